--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -210,7 +210,7 @@
 
 // answer is what an upstream says that took an order.
 func answer(order lease.Order, placement cherrykeel.Placement, now cherrykeel.Instant) cherrykeel.Holding {
-	holding := cherrykeel.Holding{Boot: "boot", Now: now.Sub(0), Accepted: !order.Ask, Fence: order.Grant.Fence, Until: order.Grant.Until}
+	holding := cherrykeel.Holding{Incarnation: "boot", Now: now.Sub(0), Accepted: !order.Ask, Fence: order.Grant.Fence, Until: order.Grant.Until}
 	for partition, owner := range placement.Owners {
 		if owner == order.Lessee {
 			holding.Partitions = append(holding.Partitions, partition)
@@ -226,12 +226,12 @@
 	for number := range hosts {
 		name := fmt.Sprintf("entry-%04d", number)
 		names = append(names, name)
-		members = append(members, cherrykeel.Member{Name: name, Role: cherrykeel.RoleEntry, Zone: "zone-1", Address: "127.0.0.1:8080", Inner: "127.0.0.1:8082", Admin: "127.0.0.1:8081"})
+		members = append(members, cherrykeel.Member{Name: name, Role: cherrykeel.RoleEntry, Zone: "zone-1", Address: "127.0.0.1:8080", InternalAddress: "127.0.0.1:8082", AdminAddress: "127.0.0.1:8081"})
 	}
 	list, _ := json.Marshal(members)
 	roster := member.NewRoster(members[0])
 	read := perCall(20, func(number int) {
-		roster.List(members, cherrykeel.Instant(number))
+		roster.ApplyList(members, cherrykeel.Instant(number))
 		roster.Peers()
 	})
 	hello, _ := json.Marshal(wire.Hello{Host: names[0], Zone: "zone-1", Next: 1 << 40, Chain: 1 << 60, Version: 1 << 40, LogUp: true})
--- a/cherrykeel.go
+++ b/cherrykeel.go
@@ -22,8 +22,8 @@
 	Deadline Instant
 	// Repeatable says that running the request twice does no harm.
 	Repeatable bool
-	// RepeatKey is the caller's Idempotency-Key, or empty.
-	RepeatKey string
+	// IdempotencyKey is the caller's Idempotency-Key, or empty.
+	IdempotencyKey string
 	// Answer is what was passed on to the caller, or nil.
 	Answer *Answer
 }
--- a/clock.go
+++ b/clock.go
@@ -46,9 +46,9 @@
 
 type suspendClock struct{}
 
-// SuspendClock returns a clock that also counts the time in which the machine was suspended:
+// BootTimeClock returns a clock that also counts the time in which the machine was suspended:
 // a host that slept must not take what it knew before for news.
-func SuspendClock() Clock {
+func BootTimeClock() Clock {
 	return suspendClock{}
 }
 
--- a/cmd/cherrykeel/entry.go
+++ b/cmd/cherrykeel/entry.go
@@ -47,7 +47,7 @@
 	sink := events.NewSink(os.Stdout)
 	logger := events.NewLogger(sink, zapcore.InfoLevel)
 	scope, handler, closer := newMetrics()
-	clock := cherrykeel.SuspendClock()
+	clock := cherrykeel.BootTimeClock()
 	store := adapter.NewStore(settings.StoreURL, transport(storeIdle))
 	host := entry.New(settings, entry.Platform{
 		Dialect:          adapter.Dialect(),
--- a/cmd/cherrykeel/transport_test.go
+++ b/cmd/cherrykeel/transport_test.go
@@ -30,10 +30,10 @@
 			}
 			ended <- err
 		}()
-		granter := adapter.NewGranter(transport(orderIdle), cherrykeel.SuspendClock())
+		granter := adapter.NewGranter(transport(orderIdle), cherrykeel.BootTimeClock())
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
-		grant := cherrykeel.SpanGrant{Span: cherrykeel.KeySpan{First: 1, Last: 2}, Fence: 1, Hold: time.Second}
+		grant := cherrykeel.SpanGrant{Span: cherrykeel.KeySpan{First: 1, Last: 2}, Fence: 1, LeaseDuration: time.Second}
 		err = granter.Grant(ctx, cherrykeel.Upstream{ID: "i-1", Address: listener.Addr().String()}, grant)
 		Expect(err).To(MatchError(cherrykeel.ErrNoAnswer))
 		Eventually(ended, "20s").Should(Receive(MatchError(syscall.ECONNRESET)))
--- a/dialect.go
+++ b/dialect.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Asked is what a caller's headers say of its request.
-type Asked struct {
+// RequestHeaders is what a caller's headers say of its request.
+type RequestHeaders struct {
 	ID string
-	// Patience is how long the caller will wait; zero if it does not say.
-	Patience time.Duration
+	// Timeout is how long the caller will wait; zero if it does not say.
+	Timeout time.Duration
 	// Key is NoKey if none is given, or none that is valid.
 	Key int
 }
 
-// Reply is what an upstream's headers say of its answer.
-type Reply struct {
+// ReplyHeaders is what an upstream's headers say of its answer.
+type ReplyHeaders struct {
 	// ID names the request that the answer belongs to; empty if it does not say.
 	ID string
 	// Signed answers bear the upstream's own signature.
@@ -38,18 +38,18 @@
 	Slots   int
 	// Slowness is how many times as long as usual work takes on its machine at this moment; 0 if it does not say.
 	Slowness float64
-	// Unreadable is the start of a report that cannot be read; empty otherwise.
-	Unreadable string
+	// Malformed is the start of a report that cannot be read; empty otherwise.
+	Malformed string
 }
 
 // Dialect translates the headers of callers and upstreams.
 type Dialect interface {
-	// Asked reads a caller's request.
-	Asked(request *http.Request) Asked
-	// Direct marks a request for one life of an upstream, with the time that is left.
-	Direct(header http.Header, upstream Upstream, left time.Duration)
-	// Echo marks an answer of the router's own with the request's id.
-	Echo(header http.Header, id string)
-	// Reply reads an upstream's answer.
-	Reply(status int, header http.Header) Reply
+	// ReadRequest reads a caller's request.
+	ReadRequest(request *http.Request) RequestHeaders
+	// MarkRequest marks a request for one life of an upstream, with the time that is left.
+	MarkRequest(header http.Header, upstream Upstream, left time.Duration)
+	// MarkAnswer marks an answer of the router's own with the request's id.
+	MarkAnswer(header http.Header, id string)
+	// ReadReply reads an upstream's answer.
+	ReadReply(status int, header http.Header) ReplyHeaders
 }
--- a/edge/abandon_test.go
+++ b/edge/abandon_test.go
@@ -89,11 +89,11 @@
 // grant replaces what the host may send, and returns what it says it still holds.
 func (world *world) grant(sequence int64, partitions ...int) []int {
 	holding, known := world.fleet.GrantView(false, cherrykeel.Grant{
-		Service: service,
-		Fence:   cherrykeel.Fence{Term: 1, Sequence: sequence},
-		Boot:    boot,
-		Until:   world.clock.Now().Add(time.Hour).Sub(0),
-		Owners:  map[string][]int{upstream: partitions},
+		Service:     service,
+		Fence:       cherrykeel.Fence{Term: 1, Sequence: sequence},
+		Incarnation: boot,
+		Until:       world.clock.Now().Add(time.Hour).Sub(0),
+		Owners:      map[string][]int{upstream: partitions},
 	})
 	Expect(known).To(BeTrue())
 	Expect(holding.Accepted).To(BeTrue())
@@ -149,12 +149,12 @@
 	It("gets no more time than the lease under which it is sent allows", func() {
 		world := newWorld()
 		holding, _ := world.fleet.GrantView(false, cherrykeel.Grant{
-			Service: service,
-			Fence:   cherrykeel.Fence{Term: 1, Sequence: 2},
-			Boot:    boot,
-			Until:   world.clock.Now().Add(time.Hour).Sub(0),
-			Timeout: allowed,
-			Partial: true,
+			Service:     service,
+			Fence:       cherrykeel.Fence{Term: 1, Sequence: 2},
+			Incarnation: boot,
+			Until:       world.clock.Now().Add(time.Hour).Sub(0),
+			Timeout:     allowed,
+			Partial:     true,
 		})
 		Expect(holding.Accepted).To(BeTrue())
 		world.send(context.Background(), func(ctx context.Context, request *http.Request) (conns.Progress, error) {
@@ -220,7 +220,7 @@
 			return conns.Sent, errors.New("connection reset by peer")
 		})
 		Expect(world.grant(3)).To(BeEmpty())
-		late, _ := world.fleet.GrantView(false, cherrykeel.Grant{Service: service, Boot: boot, Fence: cherrykeel.Fence{Term: 1, Sequence: 1}})
+		late, _ := world.fleet.GrantView(false, cherrykeel.Grant{Service: service, Incarnation: boot, Fence: cherrykeel.Fence{Term: 1, Sequence: 1}})
 		Expect(late.Accepted).To(BeFalse())
 	},
 		Entry("that removes the service and adds it again", func(world *world) {
--- a/edge/admission.go
+++ b/edge/admission.go
@@ -164,7 +164,7 @@
 		place.deadline = pool.view.Limit(exchange.Deadline, now)
 	}
 	place.upstream.inFlight++
-	place.upstream.health.Chosen()
+	place.upstream.health.RecordAttempt()
 	return place
 }
 
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -215,14 +215,14 @@
 	}
 	switch {
 	case finished.cancelled:
-		upstream.health.Left()
+		upstream.health.RecordInconclusive()
 	case finished.draining:
-		upstream.health.Drained(now)
+		upstream.health.RecordDraining(now)
 	case finished.shed:
-		upstream.health.Shed()
+		upstream.health.RecordShed()
 	case finished.reached:
-		upstream.health.Succeeded(now)
+		upstream.health.RecordSuccess(now)
 	default:
-		upstream.health.Failed(now)
+		upstream.health.RecordFailure(now)
 	}
 }
--- a/edge/fleet.go
+++ b/edge/fleet.go
@@ -206,10 +206,10 @@
 	for path, pool := range fleet.pools {
 		pool.mutex.Lock()
 		for name, upstream := range pool.upstreams {
-			if upstream.health.Unreachable() {
+			if upstream.health.IsUnreachable() {
 				unreachable = append(unreachable, path+" "+name)
 			}
-			if upstream.health.Draining(now) {
+			if upstream.health.IsDraining(now) {
 				refusing = append(refusing, path+" "+name)
 			}
 		}
@@ -238,10 +238,10 @@
 // The one that was tried last is passed over while there are others.
 func (pool *pool) choose(now cherrykeel.Instant, tried string) *upstream {
 	choices := pool.choices(now, func(upstream *upstream) bool {
-		return upstream.health.Usable(now) && upstream.server.Name != tried
+		return upstream.health.IsUsable(now) && upstream.server.Name != tried
 	})
 	if len(choices) == 0 {
-		choices = pool.choices(now, func(upstream *upstream) bool { return !upstream.health.Draining(now) })
+		choices = pool.choices(now, func(upstream *upstream) bool { return !upstream.health.IsDraining(now) })
 	}
 	index := pool.fleet.picker.Pick(pool.fleet.zone, choices, rand.Float64())
 	if index < 0 {
@@ -258,12 +258,12 @@
 			continue
 		}
 		choices = append(choices, cherrykeel.Choice{
-			Name:     server.Name,
-			Zone:     server.Zone,
-			InFlight: upstream.inFlight,
-			Limit:    pool.limit(upstream, now),
-			Reported: upstream.reported,
-			Warmth:   upstream.health.Warmth(now),
+			Name:         server.Name,
+			Zone:         server.Zone,
+			InFlight:     upstream.inFlight,
+			Limit:        pool.limit(upstream, now),
+			ReportedLoad: upstream.reported,
+			Weight:       upstream.health.Weight(now),
 		})
 	}
 	return choices
--- a/edge/identify.go
+++ b/edge/identify.go
@@ -66,7 +66,7 @@
 	}
 	exchange.Service = service
 	exchange.Repeatable = route.Repeatable(service.Idempotent, request.Method)
-	exchange.RepeatKey = request.Header.Get(cherrykeel.HeaderIdempotencyKey)
+	exchange.IdempotencyKey = request.Header.Get(cherrykeel.HeaderIdempotencyKey)
 	exchange.Priority = route.Priority(service.Priority, request.Header.Get(cherrykeel.HeaderPriority))
 	exchange.Deadline = exchange.Arrived.Add(timeout(exchange))
 	if failure := findKey(exchange); failure != nil {
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -34,7 +34,7 @@
 	written := int64(-1)
 	for ctx.Err() == nil {
 		life, _ := host.peers.Life(host.self.Name)
-		if life != host.self.Life && !host.stopping.Load() {
+		if life != host.self.Incarnation && !host.stopping.Load() {
 			offset, err := host.platform.Hosts.Put(ctx, host.self.Name, value)
 			if err != nil {
 				events.Log(host.logger, events.WriteFailed, zap.String("Key", host.self.Name), zap.Error(err))
@@ -91,8 +91,8 @@
 	newcomers := false
 	host.lives = map[string]string{}
 	for _, peer := range peers {
-		host.lives[peer.Name] = peer.Life
-		newcomers = newcomers || before[peer.Name] != peer.Life
+		host.lives[peer.Name] = peer.Incarnation
+		newcomers = newcomers || before[peer.Name] != peer.Incarnation
 	}
 	return newcomers
 }
--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -23,7 +23,7 @@
 	host.names.Store(&shortNames{})
 	host.lag = newLag(host.clock)
 	host.spans = watch.NewSpans(host.clock, host.logger, host.spansChanged, host.tellSpans)
-	host.mesh = share.New(host.self, host.clock, host.logger, &state{host: host}, host.reported.ask, host.counted.ask, func(demand share.Demand) { host.keeper.Demand(demand) }, host.told)
+	host.mesh = share.New(host.self, host.clock, host.logger, &state{host: host}, host.reported.ask, host.counted.ask, func(demand share.Demand) { host.keeper.RecordDemand(demand) }, host.told)
 	host.conns = conns.NewPool(conns.WithDialTimeout(dialTimeout), conns.WithUserTimeout(userTimeout), conns.WithIdleTimeout(idleTimeout), conns.WithUnframed())
 	host.kept = deny.NewPending()
 	host.denied = deny.New(deny.Settings{
@@ -34,7 +34,7 @@
 	host.relay = relay.New(relay.Settings{
 		Zone: host.settings.Zone, Bounds: host.currentBounds, Clock: host.clock, Dialect: host.platform.Dialect,
 		Pool:   host.conns,
-		Logger: host.logger, Scope: host.scope, Owner: host.spans.Owner, Asked: host.mesh.Asked, Hosts: host.mesh.Known,
+		Logger: host.logger, Scope: host.scope, Owner: host.spans.Owner, Asked: host.mesh.Asked, Hosts: host.mesh.HostCount,
 		Stale: host.misdirected, Ended: func(id string) { host.upstreams.End(id) }, Denied: host.denied,
 	})
 	host.server = caller.New(host.relay, caller.WithLimits(host.limits), caller.WithLogger(host.logger),
@@ -48,7 +48,7 @@
 	host.topics.upstreams = host.follow(topicUpstreams, host.platform.Upstreams, host.upstreams.Apply, host.upstreamsSchedule)
 	host.topics.hosts = host.follow(topicHosts, host.platform.Hosts, host.applyHosts, host.tableSchedule)
 	host.topics.spans = host.follow(topicSpans, host.platform.Spans, host.spans.Apply, host.tableSchedule)
-	host.spans.SetLongestHold(func() time.Duration { return host.currentBounds().MaxHold })
+	host.spans.SetLongestHold(func() time.Duration { return host.currentBounds().MaxLeaseDuration })
 	host.upstreams.SetHealth(host.topics.upstreams.WellFor)
 	host.keeper = grants.New(host.self, host.clock, host.logger, host.platform.Spans, watch.SpansKey, &ownTable{host: host},
 		&world{host: host}, host.mesh, host.platform.Granter, host.currentBounds, grants.WithMetrics(host.scope))
--- a/entry/bare_test.go
+++ b/entry/bare_test.go
@@ -17,12 +17,14 @@
 // noDialect knows no headers.
 type noDialect struct{}
 
-func (noDialect) Asked(*http.Request) cherrykeel.Asked {
-	return cherrykeel.Asked{ID: "r", Key: cherrykeel.NoKey}
+func (noDialect) ReadRequest(*http.Request) cherrykeel.RequestHeaders {
+	return cherrykeel.RequestHeaders{ID: "r", Key: cherrykeel.NoKey}
+}
+func (noDialect) MarkRequest(http.Header, cherrykeel.Upstream, time.Duration) {}
+func (noDialect) MarkAnswer(http.Header, string)                              {}
+func (noDialect) ReadReply(int, http.Header) cherrykeel.ReplyHeaders {
+	return cherrykeel.ReplyHeaders{}
 }
-func (noDialect) Direct(http.Header, cherrykeel.Upstream, time.Duration) {}
-func (noDialect) Echo(http.Header, string)                               {}
-func (noDialect) Reply(int, http.Header) cherrykeel.Reply                { return cherrykeel.Reply{} }
 
 // emptyLog is a topic of the store without records.
 type emptyLog struct{}
@@ -33,7 +35,7 @@
 
 func (emptyLog) Read(ctx context.Context, _ int64, _ time.Duration) (cherrykeel.KeyedBatch, error) {
 	<-ctx.Done()
-	return cherrykeel.KeyedBatch{}, cherrykeel.ErrStoreAway
+	return cherrykeel.KeyedBatch{}, cherrykeel.ErrStoreUnavailable
 }
 
 func (emptyLog) Put(context.Context, string, []byte) (int64, error) { return 0, nil }
@@ -62,6 +64,6 @@
 	if change != nil {
 		change(&platform)
 	}
-	settings := cherrykeel.EntrySettings{Name: "host-0", Zone: "zone-0", Inner: "127.0.0.1:7000"}
+	settings := cherrykeel.EntrySettings{Name: "host-0", Zone: "zone-0", InternalAddress: "127.0.0.1:7000"}
 	return New(settings, platform, WithClock(cherrykeel.SystemClock()), WithLogger(events.NewLogger(zapcore.AddSync(io.Discard), zapcore.InfoLevel)))
 }
--- a/entry/calls_test.go
+++ b/entry/calls_test.go
@@ -21,8 +21,8 @@
 // allHeard is a fleet in which nobody is silent.
 type allHeard struct{}
 
-func (allHeard) Silent(string) bool    { return false }
-func (allHeard) Storeless(string) bool { return false }
+func (allHeard) IsUnreachable(string) bool      { return false }
+func (allHeard) IsStoreUnreachable(string) bool { return false }
 
 // fleet is 200 hosts in six availability zones that tell each other of changes by datagrams, 5% of which are lost.
 type fleet struct {
@@ -76,7 +76,7 @@
 	for _, name := range fleet.plans[teller].Group {
 		take(name)
 	}
-	for _, relay := range fleet.plans[teller].Relays {
+	for _, relay := range fleet.plans[teller].Forwarders {
 		if !fleet.arrives() {
 			continue
 		}
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -15,8 +15,8 @@
 	}
 	bounds := host.currentBounds()
 	bound := service.SlowStartRate*bounds.SlowStartFactor + bounds.SlowStartSlack
-	upstream.ColdBounded = true
-	upstream.ColdPart = cold.Part(host.self.Name, host.knownHosts(), upstream.ID, bound)
+	upstream.HasColdLimit = true
+	upstream.ColdQuota = cold.Part(host.self.Name, host.knownHosts(), upstream.ID, bound)
 }
 
 // coldSinceTakenBack is until when the upstreams of a zone that was taken back count as cold. Their entries say so a
@@ -48,7 +48,7 @@
 	now := host.clock.Now()
 	count := 0
 	for _, upstream := range host.usable.current() {
-		if upstream.BoundedAt(now) {
+		if upstream.IsColdLimited(now) {
 			count++
 		}
 	}
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -29,7 +29,7 @@
 	// only when all their messages are lost. Among more each reads the more seldom: what one of them finds it reports,
 	// and at one pace for all 195 hosts made 26 calls a second in which nothing was found.
 	seldomPace = 30 * time.Second
-	fewHosts   = topo.FullHosts
+	fewHosts   = topo.MaxFullMeshHosts
 	// mostPatience is by how much the waits of hosts far down the order are longer while the store is away: 195 hosts
 	// made 800 calls a second that failed. They wait up to 2 s then, and are told by those who try each 0.5 s.
 	mostPatience = 4
@@ -69,11 +69,11 @@
 // keeps reports whether this host is the keeper.
 func (host *Host) keeps() bool {
 	table, _, known := host.spans.Current()
-	return known && table.Keeper == host.self.Name && table.Life == host.self.Life
+	return known && table.Keeper == host.self.Name && table.Life == host.self.Incarnation
 }
 
 func (host *Host) settingsSchedule() watch.Schedule {
-	bound := host.currentBounds().InForce
+	bound := host.currentBounds().MaxSettingsDelay
 	return host.schedule(host.topics.operator, topicSettings, bound, watch.Schedule{Wait: part(bound, settingsWait)})
 }
 
@@ -86,7 +86,7 @@
 // too old for the bound.
 func (host *Host) schedule(topic *watch.Follower, name string, bound time.Duration, first watch.Schedule) watch.Schedule {
 	rank := host.rank()
-	schedule := watch.Schedule{Pace: seldom(host.mesh.Known())}
+	schedule := watch.Schedule{Pace: seldom(host.mesh.HostCount())}
 	switch {
 	case rank == 0:
 		schedule = first
@@ -128,7 +128,7 @@
 	if host.keeps() {
 		return watch.Schedule{Pace: keeperPace, Look: keeperLook}
 	}
-	return watch.Schedule{Pace: seldom(host.mesh.Known()), Look: keeperLook, Patience: host.patience()}
+	return watch.Schedule{Pace: seldom(host.mesh.HostCount()), Look: keeperLook, Patience: host.patience()}
 }
 
 // dropSilent takes away the records of hosts that have been silent for long; one host does so for all.
@@ -142,7 +142,7 @@
 		patience = aloneAfter
 	}
 	for _, peer := range host.peers.Current() {
-		silence, heard := host.mesh.Silence(peer.Name)
+		silence, heard := host.mesh.TimeSinceReport(peer.Name)
 		if !heard {
 			silence = min(uptime, host.peers.Age(peer.Name))
 		}
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -45,7 +45,7 @@
 	report.StoreWell = host.storeWell() > 0
 	report.Offsets = host.offsets()
 	report.Ages = host.ages()
-	report.Finals = host.keeper.Finals()
+	report.Finals = host.keeper.FinalGrants()
 }
 
 // Load implements share.State.
@@ -79,7 +79,7 @@
 			ages[name] = age.Round(time.Millisecond)
 		}
 	}
-	note(topicSettings, host.topics.operator, bounds.InForce)
+	note(topicSettings, host.topics.operator, bounds.MaxSettingsDelay)
 	note(topicUpstreams, host.topics.upstreams, bounds.Drain)
 	return ages
 }
--- a/entry/host.go
+++ b/entry/host.go
@@ -149,8 +149,8 @@
 	host := &Host{
 		settings: settings,
 		platform: platform,
-		self:     cherrykeel.Peer{Name: settings.Name, Life: uuid.NewString()[:lifeLength], Inner: settings.Inner, Zone: settings.Zone, Capacity: settings.Processor},
-		clock:    cherrykeel.SuspendClock(),
+		self:     cherrykeel.Peer{Name: settings.Name, Incarnation: uuid.NewString()[:lifeLength], InternalAddress: settings.InternalAddress, Zone: settings.Zone, Capacity: settings.Cores},
+		clock:    cherrykeel.BootTimeClock(),
 		logger:   zap.NewNop(),
 		scope:    tally.NoopScope,
 		metrics:  http.NotFoundHandler(),
@@ -184,7 +184,7 @@
 // Listen opens the host's addresses.
 func (host *Host) Listen() error {
 	var err error
-	host.listener, err = drain.Listen(host.settings.Callers)
+	host.listener, err = drain.Listen(host.settings.CallerAddress)
 	if err != nil {
 		return errors.WithStack(err)
 	}
@@ -192,15 +192,15 @@
 	if err != nil {
 		return err
 	}
-	readiness, err := net.Listen("tcp", host.settings.Readiness)
+	readiness, err := net.Listen("tcp", host.settings.ReadinessAddress)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	go host.serveQuietly(readiness, http.HandlerFunc(host.answerReadiness))
-	if host.settings.Metrics == "" {
+	if host.settings.MetricsAddress == "" {
 		return nil
 	}
-	metrics, err := net.Listen("tcp", host.settings.Metrics)
+	metrics, err := net.Listen("tcp", host.settings.MetricsAddress)
 	if err != nil {
 		return errors.WithStack(err)
 	}
@@ -224,8 +224,8 @@
 // Run serves until the context ends, and then until no request is left or the grace has passed.
 func (host *Host) Run(ctx context.Context) error {
 	events.Log(host.logger, events.EntryStarted,
-		zap.String("Host", host.self.Name), zap.String("Life", host.self.Life), zap.String("Zone", host.self.Zone),
-		zap.String("Callers", host.settings.Callers), zap.String("Inner", host.self.Inner), zap.Any("Bounds", host.settings.Bounds))
+		zap.String("Host", host.self.Name), zap.String("Life", host.self.Incarnation), zap.String("Zone", host.self.Zone),
+		zap.String("Callers", host.settings.CallerAddress), zap.String("Inner", host.self.InternalAddress), zap.Any("Bounds", host.settings.Bounds))
 	running, halt := context.WithCancel(context.Background())
 	defer halt()
 	for _, topic := range host.topics.all() {
--- a/entry/listed_test.go
+++ b/entry/listed_test.go
@@ -18,7 +18,7 @@
 	var records []cherrykeel.KeyedRecord
 	for i := range count {
 		name := fmt.Sprintf("host-%d", i)
-		value, err := watch.EncodePeer(cherrykeel.Peer{Name: name, Life: life, Inner: fmt.Sprintf("127.2.0.%d:7100", i), Zone: "zone-0"})
+		value, err := watch.EncodePeer(cherrykeel.Peer{Name: name, Incarnation: life, InternalAddress: fmt.Sprintf("127.2.0.%d:7100", i), Zone: "zone-0"})
 		if err != nil {
 			panic(err)
 		}
@@ -48,7 +48,7 @@
 		for _, record := range announcements(hosts, "second", hosts) {
 			host.told(share.Told{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
 		}
-		Eventually(host.mesh.Known, "20s").Should(Equal(hosts))
+		Eventually(host.mesh.HostCount, "20s").Should(Equal(hosts))
 		most := 2 + int(time.Since(begun)/peersPace)
 		Expect(passed.Load()).To(BeNumerically("<=", most))
 	})
@@ -58,7 +58,7 @@
 		first := announcements(1, "first", 0)
 		host.told(share.Told{Topic: topicHosts, Records: first})
 		host.applyHosts(watch.Update{Records: announcements(hosts, "first", 0), Whole: true, Next: hosts})
-		Expect(host.mesh.Known()).To(Equal(hosts))
+		Expect(host.mesh.HostCount()).To(Equal(hosts))
 	})
 
 	// Guards against hosts that start unnoticed because others have started within the same pause.
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -150,7 +150,7 @@
 func (host *Host) finishKeeping(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
-	host.keeper.Finish(ctx)
+	host.keeper.StopGranting(ctx)
 	if ctx.Err() != nil {
 		return
 	}
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -52,8 +52,8 @@
 	core, logged := observer.New(zapcore.InfoLevel)
 	clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 	settings := cherrykeel.EntrySettings{
-		Name: "host-1", Callers: fakes.FreeAddress(), Readiness: fakes.FreeAddress(), Inner: fakes.FreeAddress(),
-		Bounds: cherrykeel.Bounds{Grace: stopsGrace, MaxHold: 10 * time.Second, RetryWindow: 10 * time.Second, InForce: 2 * time.Second, Drain: 2 * time.Second},
+		Name: "host-1", CallerAddress: fakes.FreeAddress(), ReadinessAddress: fakes.FreeAddress(), InternalAddress: fakes.FreeAddress(),
+		Bounds: cherrykeel.Bounds{Grace: stopsGrace, MaxLeaseDuration: 10 * time.Second, RetryWindow: 10 * time.Second, MaxSettingsDelay: 2 * time.Second, Drain: 2 * time.Second},
 	}
 	platform := Platform{Dialect: noDialect{}, Operator: emptyLog{}, Upstreams: emptyLog{}, Spans: emptyLog{}, Hosts: hostsLog{remove: remove}}
 	host := New(settings, platform, WithClock(clock), WithLogger(zap.New(core)))
@@ -82,7 +82,7 @@
 // holdOpen opens a connection that is not idle: half a request has come on it.
 func (stopping *stoppingHost) holdOpen() {
 	GinkgoHelper()
-	conn, err := net.Dial("tcp", stopping.host.settings.Callers)
+	conn, err := net.Dial("tcp", stopping.host.settings.CallerAddress)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(conn.Close)
 	_, err = conn.Write([]byte("GET / HTTP/1.1\r\n"))
@@ -150,7 +150,7 @@
 		stopping.holdOpen()
 		stopping.host.relay.SetRoutes(cherrykeel.RouteSet{
 			Services: map[string]cherrykeel.RoutedService{"s": {Name: "s"}},
-			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: stopsGrace / 2, Parts: []cherrykeel.RoutePart{{Service: "s", Weight: 1}}}},
+			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: stopsGrace / 2, SplitTargets: []cherrykeel.SplitTarget{{Service: "s", Weight: 1}}}},
 		})
 		ask := func() string {
 			writer := httptest.NewRecorder()
--- a/entry/tend.go
+++ b/entry/tend.go
@@ -91,7 +91,7 @@
 	evacuated := host.zones.Evacuated()
 	var closed []string
 	for _, upstream := range host.usable.current() {
-		if upstream.ClosedAt != 0 {
+		if upstream.EvacuateAt != 0 {
 			closed = append(closed, upstream.ID)
 		}
 	}
--- a/entry/usable.go
+++ b/entry/usable.go
@@ -46,7 +46,7 @@
 	listed := host.upstreams.Current()
 	list := make([]cherrykeel.Upstream, len(listed))
 	for i, upstream := range listed {
-		upstream.ClosedAt = host.closedAt(upstream)
+		upstream.EvacuateAt = host.closedAt(upstream)
 		host.noteCold(&upstream)
 		list[i] = upstream
 	}
--- a/entry/world.go
+++ b/entry/world.go
@@ -14,8 +14,8 @@
 	host *Host
 }
 
-// Keyed implements grants.World.
-func (world *world) Keyed() []cherrykeel.RoutedService {
+// KeyedServices implements grants.World.
+func (world *world) KeyedServices() []cherrykeel.RoutedService {
 	routes, known := world.host.routes.Current()
 	if !known {
 		return nil
@@ -34,31 +34,31 @@
 	return world.host.usable.current()
 }
 
-// Replaced implements grants.World.
-func (world *world) Replaced(id, address string) bool {
+// IsReplaced implements grants.World.
+func (world *world) IsReplaced(id, address string) bool {
 	return world.host.upstreams.Replaced(id, address)
 }
 
-// Ended implements grants.World.
-func (world *world) Ended(id string) {
+// NotifyEnded implements grants.World.
+func (world *world) NotifyEnded(id string) {
 	world.host.upstreams.End(id)
 }
 
-// Reread implements grants.World.
-func (world *world) Reread() {
+// RereadTable implements grants.World.
+func (world *world) RereadTable() {
 	world.host.topics.spans.Nudge()
 }
 
-// StoreWell implements grants.World.
-func (world *world) StoreWell() time.Duration {
+// StoreAvailableFor implements grants.World.
+func (world *world) StoreAvailableFor() time.Duration {
 	if !world.host.topics.spans.Known() {
 		return 0
 	}
 	return world.host.storeWell()
 }
 
-// PeerLife implements grants.World.
-func (world *world) PeerLife(name string) (string, time.Duration, bool) {
+// PeerIncarnation implements grants.World.
+func (world *world) PeerIncarnation(name string) (string, time.Duration, bool) {
 	life, known := world.host.peers.Life(name)
 	return life, world.host.peers.Age(name), known
 }
@@ -78,13 +78,13 @@
 	return table.host.spans.Current()
 }
 
-// Garbled implements grants.Table.
-func (table *ownTable) Garbled() bool {
+// IsCorrupt implements grants.Table.
+func (table *ownTable) IsCorrupt() bool {
 	return table.host.spans.Garbled()
 }
 
-// Wrote implements grants.Table.
-func (table *ownTable) Wrote(value []byte, offset int64) {
+// ApplyOwnWrite implements grants.Table.
+func (table *ownTable) ApplyOwnWrite(value []byte, offset int64) {
 	record := cherrykeel.KeyedRecord{Key: watch.SpansKey, Value: value, Offset: offset}
 	before, _, _ := table.host.spans.Current()
 	table.host.topics.spans.Told([]cherrykeel.KeyedRecord{record})
--- a/failure.go
+++ b/failure.go
@@ -43,7 +43,7 @@
 	return &Failure{Outcome: NotRun, Status: status, Code: code, Detail: fmt.Sprintf(format, arguments...)}
 }
 
-// Doubt returns a failure that says that the outcome is unknown.
-func Doubt(status int, code, format string, arguments ...any) *Failure {
+// FailUnknown returns a failure that says that the outcome is unknown.
+func FailUnknown(status int, code, format string, arguments ...any) *Failure {
 	return &Failure{Outcome: OutcomeUnknown, Status: status, Code: code, Detail: fmt.Sprintf(format, arguments...)}
 }
--- a/fakes/owned.go
+++ b/fakes/owned.go
@@ -85,7 +85,7 @@
 func (ownership *Ownership) Grant(grant cherrykeel.Grant, now time.Duration) cherrykeel.Holding {
 	reason := ""
 	switch {
-	case grant.Boot != ownership.boot:
+	case grant.Incarnation != ownership.boot:
 		reason = "the grant is for another start of this process"
 	case grant.Fence.Less(ownership.fence):
 		reason = "the fence is older than the one held"
@@ -128,11 +128,11 @@
 // Holding lists what is owned, and what has been taken away but is still worked on.
 func (ownership *Ownership) Holding(now time.Duration) cherrykeel.Holding {
 	holding := cherrykeel.Holding{
-		Service: ownership.service,
-		Boot:    ownership.boot,
-		Now:     now,
-		Fence:   ownership.fence,
-		Until:   ownership.until,
+		Service:     ownership.service,
+		Incarnation: ownership.boot,
+		Now:         now,
+		Fence:       ownership.fence,
+		Until:       ownership.until,
 	}
 	for partition := range ownership.partitions {
 		holding.Partitions = append(holding.Partitions, partition)
--- a/fakes/upstream.go
+++ b/fakes/upstream.go
@@ -93,7 +93,7 @@
 	upstream := &Upstream{
 		options:  options,
 		boot:     uuid.NewString(),
-		clock:    cherrykeel.SuspendClock(),
+		clock:    cherrykeel.BootTimeClock(),
 		slots:    make(chan struct{}, options.Slots),
 		mux:      http.NewServeMux(),
 		services: map[string]*Ownership{},
--- a/fakes/upstream_test.go
+++ b/fakes/upstream_test.go
@@ -42,11 +42,11 @@
 func give(upstream *fakes.Upstream, sequence int64, partition int, length time.Duration) cherrykeel.Holding {
 	now := holding(upstream)
 	body, err := json.Marshal(cherrykeel.Grant{
-		Service:    service,
-		Fence:      cherrykeel.Fence{Term: 1, Sequence: sequence},
-		Boot:       now.Boot,
-		Until:      now.Now + length,
-		Partitions: []int{partition},
+		Service:     service,
+		Fence:       cherrykeel.Fence{Term: 1, Sequence: sequence},
+		Incarnation: now.Incarnation,
+		Until:       now.Now + length,
+		Partitions:  []int{partition},
 	})
 	Expect(err).NotTo(HaveOccurred())
 	given := call(upstream, httptest.NewRequest(http.MethodPut, "/.well-known/ownership", bytes.NewReader(body)))
--- a/flow/closed_test.go
+++ b/flow/closed_test.go
@@ -13,7 +13,7 @@
 // closed is an upstream whose availability zone is evacuated.
 func closed(id string, at time.Duration) cherrykeel.Upstream {
 	upstream := upstream(id, 3)
-	upstream.ClosedAt = cherrykeel.Instant(at)
+	upstream.EvacuateAt = cherrykeel.Instant(at)
 	return upstream
 }
 
--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -14,8 +14,8 @@
 func cold(id string, part int) cherrykeel.Upstream {
 	upstream := upstream(id, 3)
 	upstream.ColdUntil = at(3 * time.Second)
-	upstream.ColdBounded = true
-	upstream.ColdPart = part
+	upstream.HasColdLimit = true
+	upstream.ColdQuota = part
 	return upstream
 }
 
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -57,7 +57,7 @@
 	// as fast as any: what was counted and learned of the one before would keep requests from it.
 	It("takes another life of an upstream for one that is not known", func() {
 		before := upstream("a", 3)
-		before.Born = 100
+		before.StartedAt = 100
 		service.SetUpstreams([]cherrykeel.Upstream{before}, 0)
 		var places []*flow.Place
 		for range 3 {
@@ -68,7 +68,7 @@
 		Expect(service.WorkTimes()).To(HaveKey("a"))
 		Expect(service.Running()["a"]).To(Equal(2))
 		after := before
-		after.Born = 200
+		after.StartedAt = 200
 		service.SetUpstreams([]cherrykeel.Upstream{after}, at(time.Second))
 		Expect(service.WorkTimes()).To(BeEmpty())
 		Expect(service.Running()).To(BeEmpty())
--- a/flow/member.go
+++ b/flow/member.go
@@ -89,7 +89,7 @@
 
 // closed reports whether nothing more is to be sent there, since its availability zone is evacuated.
 func (member *member) closed(now cherrykeel.Instant) bool {
-	return member.upstream.ClosedAt != 0 && now >= member.upstream.ClosedAt
+	return member.upstream.EvacuateAt != 0 && now >= member.upstream.EvacuateAt
 }
 
 // reachable reports whether it may be sent requests, if it has room for them.
@@ -128,7 +128,7 @@
 
 // takes reports whether a request may go there now.
 func (member *member) takes(doubt *doubt, now cherrykeel.Instant) bool {
-	if member.upstream.BoundedAt(now) && !member.sent.Allows(member.upstream.ColdPart, now) {
+	if member.upstream.IsColdLimited(now) && !member.sent.Allows(member.upstream.ColdQuota, now) {
 		return false
 	}
 	return member.reachable(now) && member.load() < member.limit()+doubt.room(member.upstream.Slots)
--- a/flow/owned.go
+++ b/flow/owned.go
@@ -137,7 +137,7 @@
 // A cold owner gets no more than its slots take: any host may have the next request for a key, so that none has a part of
 // what it bears, and the work of keys is long enough for its slots to bound that.
 func (owned *owned) hasTurn(member *member, now cherrykeel.Instant) bool {
-	if member.upstream.BoundedAt(now) && member.load() >= member.upstream.Slots {
+	if member.upstream.IsColdLimited(now) && member.load() >= member.upstream.Slots {
 		return false
 	}
 	waiting := owned.queued[member.upstream.ID]
--- a/flow/partly_test.go
+++ b/flow/partly_test.go
@@ -56,7 +56,7 @@
 	It("are sent requests again though another one is in use all the time", func() {
 		service := slowed()
 		restarted := upstream("a", 1)
-		restarted.Born = 1
+		restarted.StartedAt = 1
 		service.SetUpstreams([]cherrykeel.Upstream{restarted, upstream("b", 1), upstream("c", 1)}, at(slow))
 		Expect(used(service)).To(SatisfyAll(HaveKey("a"), HaveKey("b"), HaveKey("c")))
 	})
--- a/flow/service.go
+++ b/flow/service.go
@@ -38,7 +38,7 @@
 	members := map[string]*member{}
 	for _, upstream := range upstreams {
 		old, known := service.members[upstream.ID]
-		if !known || old.upstream.Born != upstream.Born {
+		if !known || old.upstream.StartedAt != upstream.StartedAt {
 			// Another life of an upstream knows nothing, and nothing that was learned is about it.
 			old = &member{decayed: now}
 			if service.answered() {
@@ -91,7 +91,7 @@
 // Full reports whether some upstream has no free slot.
 func (service *Service) Full() bool {
 	for _, member := range service.members {
-		if member.upstream.ClosedAt == 0 && member.load() >= member.upstream.Slots {
+		if member.upstream.EvacuateAt == 0 && member.load() >= member.upstream.Slots {
 			return true
 		}
 	}
@@ -265,7 +265,7 @@
 	member.own++
 	member.sentAt = now
 	member.tryAt = 0
-	if member.upstream.BoundedAt(now) {
+	if member.upstream.IsColdLimited(now) {
 		member.sent.Note(now)
 	}
 	return &Place{Upstream: member.upstream, Load: member.load(), Begun: now, Deadline: ticket.Deadline, member: member}
--- a/flow/shared.go
+++ b/flow/shared.go
@@ -186,7 +186,7 @@
 }
 
 func (shared *shared) cost(member *member, expected, usual time.Duration, now cherrykeel.Instant) float64 {
-	if member.upstream.BoundedAt(now) {
+	if member.upstream.IsColdLimited(now) {
 		// Few hosts may send it anything, and what they leave nobody else uses.
 		expected /= coldFactor
 	}
@@ -216,7 +216,7 @@
 	}
 	rate := 0.0
 	for _, member := range shared.members {
-		if member.reachable(now) && !member.upstream.BoundedAt(now) {
+		if member.reachable(now) && !member.upstream.IsColdLimited(now) {
 			rate += float64(member.upstream.Slots) / float64(member.workTime(usual, now))
 		}
 	}
--- a/grants/bench_test.go
+++ b/grants/bench_test.go
@@ -24,8 +24,8 @@
 	}
 	store := newFakeStore(ids...)
 	clock := &shiftedClock{}
-	keeper := grants.New(cherrykeel.Peer{Name: myself, Life: "life-" + myself}, clock, zap.NewNop(), store, "table", store, store,
-		&fakeMesh{clock: clock, known: 1}, idleGranter{}, func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxHold: 10 * time.Second} })
+	keeper := grants.New(cherrykeel.Peer{Name: myself, Incarnation: "life-" + myself}, clock, zap.NewNop(), store, "table", store, store,
+		&fakeMesh{clock: clock, known: 1}, idleGranter{}, func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: 10 * time.Second} })
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	go keeper.Run(ctx)
@@ -34,7 +34,7 @@
 		for range 35 {
 			keys = append(keys, rand.IntN(cherrykeel.MaxKey+1))
 		}
-		keeper.Demand(share.Demand{Host: "other", Service: service, Keys: keys})
+		keeper.RecordDemand(share.Demand{Host: "other", Service: service, Keys: keys})
 		time.Sleep(100 * time.Millisecond)
 	}
 	for range 30 {
@@ -58,7 +58,7 @@
 	return "", nil
 }
 
-func (idleGranter) Leaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
+func (idleGranter) IsLeaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
 	return false, nil
 }
 
--- a/grants/change.go
+++ b/grants/change.go
@@ -45,9 +45,9 @@
 	if balance {
 		keeper.plannedAt = now
 	}
-	changed := keeper.table.Garbled()
+	changed := keeper.table.IsCorrupt()
 	proposal := table.Clone()
-	for _, service := range keeper.world.Keyed() {
+	for _, service := range keeper.world.KeyedServices() {
 		list, differs := table.Next(service.Name, keeper.facts(service.Name, next, balance, now))
 		if differs {
 			proposal.Services[service.Name] = list
@@ -137,10 +137,10 @@
 		mean = total / time.Duration(len(known))
 	}
 	for _, upstream := range upstreams {
-		if upstream.Service != service || upstream.Leaving || upstream.ClosedAt != 0 || keeper.lost(upstream.ID, now) {
+		if upstream.Service != service || upstream.Leaving || upstream.EvacuateAt != 0 || keeper.lost(upstream.ID, now) {
 			continue
 		}
-		candidates = append(candidates, spans.Candidate{ID: upstream.ID, Address: upstream.Address, Born: upstream.Born, Capacity: keeper.capacity(upstream, mean, now), Cold: upstream.BoundedAt(now)})
+		candidates = append(candidates, spans.Candidate{ID: upstream.ID, Address: upstream.Address, Born: upstream.StartedAt, Capacity: keeper.capacity(upstream, mean, now), Cold: upstream.IsColdLimited(now)})
 	}
 	return candidates
 }
@@ -200,7 +200,7 @@
 	state := &releaseState{pending: true}
 	keeper.releases[key] = state
 	keeper.withdraw(key)
-	upstream := cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, Born: owned.Born}
+	upstream := cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.Born}
 	hold := keeper.hold(key.Service, key.Owner, now)
 	events.Log(keeper.logger, events.SpanMoving,
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner), zap.Int("First", owned.First), zap.Int("Last", owned.Last),
--- a/grants/claim.go
+++ b/grants/claim.go
@@ -55,10 +55,10 @@
 
 // able reports whether this host could do the duty.
 func (keeper *Keeper) able(now cherrykeel.Instant) bool {
-	if keeper.resigned || keeper.world.StoreWell() == 0 || now.Sub(keeper.started) < firstClaim {
+	if keeper.resigned || keeper.world.StoreAvailableFor() == 0 || now.Sub(keeper.started) < firstClaim {
 		return false
 	}
-	return len(keeper.world.Keyed()) > 0 && len(keeper.world.Upstreams()) > 0 && keeper.hearsMost()
+	return len(keeper.world.KeyedServices()) > 0 && len(keeper.world.Upstreams()) > 0 && keeper.hearsMost()
 }
 
 // vacancy returns why another host should have the duty, or nothing.
@@ -75,7 +75,7 @@
 		}
 		return "the store does not serve its holder"
 	}
-	silence, heard := keeper.mesh.Silence(table.Keeper)
+	silence, heard := keeper.mesh.TimeSinceReport(table.Keeper)
 	if !heard {
 		silence = min(now.Sub(keeper.started)-firstClaim, now.Sub(keeper.seenAt))
 	}
@@ -88,7 +88,7 @@
 // startedAnew reports whether the holder's process is another one than the table names. A table that is
 // newer than what the host last announced names the newer process, whose announcement is on its way.
 func (keeper *Keeper) startedAnew(table spans.Table, now cherrykeel.Instant) bool {
-	life, age, known := keeper.world.PeerLife(table.Keeper)
+	life, age, known := keeper.world.PeerIncarnation(table.Keeper)
 	if !known || life == table.Life {
 		return false
 	}
@@ -117,11 +117,11 @@
 // the duty in the store and could not use it.
 func (keeper *Keeper) hearsMost() bool {
 	heard := 1 + len(keeper.mesh.Reports(evidenceAge))
-	return 2*heard > keeper.mesh.Known()
+	return 2*heard > keeper.mesh.HostCount()
 }
 
 func (keeper *Keeper) claim(ctx context.Context, table spans.Table, next int64, reason string) {
-	claimed := table.Claimed(keeper.self.Name, keeper.self.Life, next)
+	claimed := table.Claimed(keeper.self.Name, keeper.self.Incarnation, next)
 	keeper.claimed = claimOf{at: next, before: table.Term}
 	events.Log(keeper.logger, events.KeeperClaimed,
 		zap.String("Reason", reason), zap.String("Before", table.Keeper), zap.Int64("OldTerm", table.Term), zap.Int64("At", next))
@@ -144,15 +144,15 @@
 			keeper.writing = false
 			keeper.urgent = true
 			if err == nil {
-				keeper.table.Wrote(value, at)
+				keeper.table.ApplyOwnWrite(value, at)
 				return
 			}
-			if !errors.Is(err, cherrykeel.ErrReplaced) {
+			if !errors.Is(err, cherrykeel.ErrConflict) {
 				keeper.writeAfter = now.Add(writePause)
 				events.Log(keeper.logger, events.WriteFailed, zap.Int64("At", at), zap.Error(err))
 			}
 			// Whether it was written, and what was written instead, is in the store.
-			keeper.world.Reread()
+			keeper.world.RereadTable()
 		}
 	})
 }
@@ -176,7 +176,7 @@
 		events.Log(keeper.logger, events.WriteFailed, zap.Int64("At", next), zap.Error(err))
 		return
 	}
-	keeper.table.Wrote(value, next)
+	keeper.table.ApplyOwnWrite(value, next)
 }
 
 // sure reports whether more than half of the hosts confirm that they know no newer term. It is asked
@@ -194,7 +194,7 @@
 			knowing++
 		}
 	}
-	known := keeper.mesh.Known()
+	known := keeper.mesh.HostCount()
 	if 2*knowing > known && !keeper.known {
 		keeper.known = true
 		keeper.knownAt = now
@@ -204,7 +204,7 @@
 
 func (keeper *Keeper) noteSure(sure bool, confirming int) bool {
 	if !sure && !keeper.unsure {
-		events.Log(keeper.logger, events.KeeperUnsure, zap.Int64("Term", keeper.term), zap.Int("Confirming", confirming), zap.Int("Hosts", keeper.mesh.Known()))
+		events.Log(keeper.logger, events.KeeperUnsure, zap.Int64("Term", keeper.term), zap.Int("Confirming", confirming), zap.Int("Hosts", keeper.mesh.HostCount()))
 	}
 	keeper.unsure = !sure
 	return sure
@@ -217,7 +217,7 @@
 		return
 	}
 	lastArrival := keeper.knownAt.Add(evidenceAge + reportLate + arriveWithin)
-	until := spans.End(lastArrival, keeper.bounds().MaxHold)
+	until := spans.End(lastArrival, keeper.bounds().MaxLeaseDuration)
 	for _, owner := range keeper.ledger.Bound(until) {
 		keeper.contact(owner).holds(until)
 	}
--- a/grants/demand.go
+++ b/grants/demand.go
@@ -14,8 +14,8 @@
 	at   cherrykeel.Instant
 }
 
-// Demand takes the keys that a host was asked for.
-func (keeper *Keeper) Demand(demand share.Demand) {
+// RecordDemand takes the keys that a host was asked for.
+func (keeper *Keeper) RecordDemand(demand share.Demand) {
 	select {
 	case keeper.demands <- demand:
 	default:
--- a/grants/departed.go
+++ b/grants/departed.go
@@ -58,10 +58,10 @@
 func (keeper *Keeper) revives(ctx context.Context, table spans.Table, next int64, now cherrykeel.Instant) bool {
 	for _, upstream := range keeper.world.Upstreams() {
 		contact, known := keeper.contacts[upstream.ID]
-		if !known || !contact.departed || upstream.Leaving || keeper.world.StoreWell() == 0 {
+		if !known || !contact.departed || upstream.Leaving || keeper.world.StoreAvailableFor() == 0 {
 			continue
 		}
-		lives := keeper.world.StoreWell() >= reviveAfter && now.Sub(contact.departedAt) >= reviveAfter
+		lives := keeper.world.StoreAvailableFor() >= reviveAfter && now.Sub(contact.departedAt) >= reviveAfter
 		if lives || contact.reborn {
 			keeper.claim(ctx, table, next, "an owner that had departed stays")
 			return true
@@ -88,8 +88,8 @@
 	keeper.told.Store(told)
 }
 
-// Finals returns what to report of grants that are made no more in the present term; nil if nothing is known.
-func (keeper *Keeper) Finals() *share.Finals {
+// FinalGrants returns what to report of grants that are made no more in the present term; nil if nothing is known.
+func (keeper *Keeper) FinalGrants() *share.Finals {
 	told := keeper.told.Load()
 	if told == nil || len(told.until) == 0 {
 		return nil
@@ -158,8 +158,8 @@
 	}
 }
 
-// Finish ends all grants by this host for good; afterwards Finals tells when the last ones have ended.
-func (keeper *Keeper) Finish(ctx context.Context) {
+// StopGranting ends all grants by this host for good; afterwards Finals tells when the last ones have ended.
+func (keeper *Keeper) StopGranting(ctx context.Context) {
 	done := make(chan struct{})
 	select {
 	case keeper.finish <- done:
--- a/grants/fakes_test.go
+++ b/grants/fakes_test.go
@@ -74,14 +74,14 @@
 	defer store.mutex.Unlock()
 	store.writes++
 	if store.away {
-		return errors.WithStack(cherrykeel.ErrStoreAway)
+		return errors.WithStack(cherrykeel.ErrStoreUnavailable)
 	}
 	if at != store.next {
-		return errors.WithStack(cherrykeel.ErrReplaced)
+		return errors.WithStack(cherrykeel.ErrConflict)
 	}
 	store.take(value, at)
 	if store.loseReply {
-		return errors.WithStack(cherrykeel.ErrStoreAway)
+		return errors.WithStack(cherrykeel.ErrStoreUnavailable)
 	}
 	return nil
 }
@@ -102,19 +102,19 @@
 	return store.table, store.next, true
 }
 
-func (store *fakeStore) Wrote(value []byte, offset int64) {
+func (store *fakeStore) ApplyOwnWrite(value []byte, offset int64) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.take(value, offset)
 }
 
-func (store *fakeStore) Garbled() bool {
+func (store *fakeStore) IsCorrupt() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.garbled
 }
 
-func (store *fakeStore) Keyed() []cherrykeel.RoutedService {
+func (store *fakeStore) KeyedServices() []cherrykeel.RoutedService {
 	return []cherrykeel.RoutedService{{Name: service, Keyed: true, HealthPath: "/health"}}
 }
 
@@ -124,19 +124,19 @@
 	return append([]cherrykeel.Upstream(nil), store.upstreams...)
 }
 
-func (store *fakeStore) Replaced(id, _ string) bool {
+func (store *fakeStore) IsReplaced(id, _ string) bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.ended[id]
 }
 
-func (store *fakeStore) Ended(id string) {
+func (store *fakeStore) NotifyEnded(id string) {
 	store.set(func() { store.ended[id] = true })
 }
 
-func (store *fakeStore) Reread() {}
+func (store *fakeStore) RereadTable() {}
 
-func (store *fakeStore) StoreWell() time.Duration {
+func (store *fakeStore) StoreAvailableFor() time.Duration {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	if store.away {
@@ -148,7 +148,7 @@
 	return time.Hour
 }
 
-func (store *fakeStore) PeerLife(name string) (string, time.Duration, bool) {
+func (store *fakeStore) PeerIncarnation(name string) (string, time.Duration, bool) {
 	return "life-" + name, time.Hour, true
 }
 
@@ -194,7 +194,7 @@
 	return fresh
 }
 
-func (mesh *fakeMesh) Silence(name string) (time.Duration, bool) {
+func (mesh *fakeMesh) TimeSinceReport(name string) (time.Duration, bool) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	for _, heard := range mesh.reports {
@@ -205,7 +205,7 @@
 	return 0, false
 }
 
-func (mesh *fakeMesh) Known() int {
+func (mesh *fakeMesh) HostCount() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	return mesh.known
@@ -303,7 +303,7 @@
 	if granter.held[upstream.ID] == nil {
 		granter.held[upstream.ID] = map[cherrykeel.KeySpan]time.Time{}
 	}
-	until := time.Now().Add(grant.Hold)
+	until := time.Now().Add(grant.LeaseDuration)
 	if before := granter.held[upstream.ID][grant.Span]; granter.longest && before.After(until) {
 		until = before
 	}
@@ -337,7 +337,7 @@
 	return "token-" + upstream.ID, nil
 }
 
-func (granter *fakeGranter) Leaving(_ context.Context, upstream cherrykeel.Upstream, _ string) (bool, error) {
+func (granter *fakeGranter) IsLeaving(_ context.Context, upstream cherrykeel.Upstream, _ string) (bool, error) {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
 	granter.probed++
--- a/grants/grants_test.go
+++ b/grants/grants_test.go
@@ -163,11 +163,11 @@
 	It("grants long holds while the store is away, and short ones after", func() {
 		run()
 		Eventually(granter.count("u1"), generous).Should(BeNumerically(">=", 1))
-		Expect(granter.last("u1").Hold).To(BeNumerically("<", 3*time.Second))
+		Expect(granter.last("u1").LeaseDuration).To(BeNumerically("<", 3*time.Second))
 		store.set(func() { store.away = true })
-		Eventually(func() time.Duration { return granter.last("u1").Hold }, generous).Should(Equal(10 * time.Second))
+		Eventually(func() time.Duration { return granter.last("u1").LeaseDuration }, generous).Should(Equal(10 * time.Second))
 		store.set(func() { store.away = false })
-		Eventually(func() time.Duration { return granter.last("u1").Hold }, generous).Should(BeNumerically("<", 3*time.Second))
+		Eventually(func() time.Duration { return granter.last("u1").LeaseDuration }, generous).Should(BeNumerically("<", 3*time.Second))
 	})
 
 	// The store is away and an owner is being shut down, which it could tell the store only. When it has ended
@@ -182,9 +182,9 @@
 		granter.mutex.Unlock()
 		Expect(probed).To(BeZero(), "the store tells while it is well")
 		store.set(func() { store.away = true })
-		Eventually(func() time.Duration { return granter.last("u2").Hold }, generous).Should(Equal(10 * time.Second))
-		Eventually(func() time.Duration { return granter.last("u1").Hold }, generous).Should(BeNumerically("<", 3*time.Second))
-		Expect(granter.last("u2").Hold).To(Equal(10 * time.Second))
+		Eventually(func() time.Duration { return granter.last("u2").LeaseDuration }, generous).Should(Equal(10 * time.Second))
+		Eventually(func() time.Duration { return granter.last("u1").LeaseDuration }, generous).Should(BeNumerically("<", 3*time.Second))
+		Expect(granter.last("u2").LeaseDuration).To(Equal(10 * time.Second))
 	})
 
 	// A grant meets a higher fence though this host keeps. The same fence can never be taken; a new claim
@@ -223,7 +223,7 @@
 		go func() {
 			for key := 0; ctx.Err() == nil; key += 1009 {
 				for _, host := range []string{"host-1", "host-2"} {
-					asked.Demand(share.Demand{Host: host, Service: service, Keys: []int{key % (cherrykeel.MaxKey + 1)}, Work: work})
+					asked.RecordDemand(share.Demand{Host: host, Service: service, Keys: []int{key % (cherrykeel.MaxKey + 1)}, Work: work})
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
--- a/grants/hold.go
+++ b/grants/hold.go
@@ -24,7 +24,7 @@
 
 // noteStore follows for how long the store has not served this host.
 func (keeper *Keeper) noteStore(now cherrykeel.Instant) {
-	if keeper.world.StoreWell() > 0 {
+	if keeper.world.StoreAvailableFor() > 0 {
 		keeper.away = false
 	} else if !keeper.away {
 		keeper.away = true
@@ -57,13 +57,13 @@
 // lost up to 10 s without an owner in place of 2.5 s.
 func (keeper *Keeper) usualHold() time.Duration {
 	if keeper.barred {
-		return keeper.bounds().MaxHold
+		return keeper.bounds().MaxLeaseDuration
 	}
 	return keeper.shortHold()
 }
 
 func (keeper *Keeper) shortHold() time.Duration {
-	return min(calmHold, keeper.bounds().MaxHold)
+	return min(calmHold, keeper.bounds().MaxLeaseDuration)
 }
 
 // hold is short for an owner that leaves, which is soon gone whoever keeps, and for one that does not answer and
@@ -88,7 +88,7 @@
 	if work == 0 {
 		work = keeper.meanWork(service, now)
 	}
-	return min(max(workTail*work, calmHold), keeper.bounds().MaxHold)
+	return min(max(workTail*work, calmHold), keeper.bounds().MaxLeaseDuration)
 }
 
 // meanWork is the mean work time over the upstreams of a service that hosts have told of lately, or 0.
--- a/grants/hold_test.go
+++ b/grants/hold_test.go
@@ -32,7 +32,7 @@
 	}
 
 	lastHold := func(id string) func() time.Duration {
-		return func() time.Duration { return granter.last(id).Hold }
+		return func() time.Duration { return granter.last(id).LeaseDuration }
 	}
 
 	// The store is away and owners get long holds; it is back, and one short grant is answered before the owner
@@ -71,7 +71,7 @@
 			store.set(func() { store.away = false })
 			time.Sleep(100 * time.Millisecond)
 		}
-		Expect(granter.last("u1").Hold).To(BeNumerically("<", longest))
+		Expect(granter.last("u1").LeaseDuration).To(BeNumerically("<", longest))
 	})
 
 	// An upstream forgets its rested connections, so that the grants of two of its spans end at once. It lives
@@ -93,16 +93,16 @@
 	// An owner that has said that it leaves has departed, and starts again under its ID. It may be granted keys, though
 	// this term's keeper has told all hosts that it gets none any more: in a new term.
 	It("are granted to the next life of an owner that had departed", func() {
-		store.set(func() { store.upstreams[0].Born = 100 })
+		store.set(func() { store.upstreams[0].StartedAt = 100 })
 		run()
 		granter.set(func() { granter.leaving = map[string]bool{"u1": true} })
 		store.set(func() { store.away = true })
 		Eventually(func() int { granter.mutex.Lock(); defer granter.mutex.Unlock(); return granter.probed }, generous).Should(BeNumerically(">=", 2))
 		granter.set(func() { granter.dead["u1"] = true })
-		Eventually(keeper.Finals, generous).ShouldNot(BeNil())
+		Eventually(keeper.FinalGrants, generous).ShouldNot(BeNil())
 		before, _, _ := store.Current()
 		granter.set(func() { granter.dead["u1"], granter.leaving, granter.held["u1"] = false, nil, nil })
-		store.set(func() { store.away, store.upstreams[0].Born = false, 200 })
+		store.set(func() { store.away, store.upstreams[0].StartedAt = false, 200 })
 		tries := granter.count("u1")()
 		Eventually(granter.count("u1"), generous).Should(BeNumerically(">", tries))
 		after, _, _ := store.Current()
@@ -113,11 +113,11 @@
 	// An owner crashes and starts again. Its entry says that it was born later; its keys come to it at once under a
 	// higher fence, while another upstream would have to wait for the hold of its earlier life.
 	It("are granted anew to an owner that has started again", func() {
-		store.set(func() { store.upstreams[1].Born = 100 })
+		store.set(func() { store.upstreams[1].StartedAt = 100 })
 		run()
 		fence := granter.last("u2").Fence
 		granter.set(func() { granter.held["u2"], granter.fences["u2"] = nil, 0 })
-		store.set(func() { store.upstreams[1].Born = 200 })
+		store.set(func() { store.upstreams[1].StartedAt = 200 })
 		Eventually(func() int64 { return granter.last("u2").Fence }, "2s").Should(BeNumerically(">", fence))
 		Expect(store.ownerOf(cherrykeel.MaxKey)()).To(Equal("u2"))
 	})
@@ -129,7 +129,7 @@
 		run()
 		tell := func(work time.Duration) {
 			times := map[string]time.Duration{"u1": work, "u2": work}
-			keeper.Demand(share.Demand{Host: "host-1", Service: service, Keys: []int{1}, Work: times})
+			keeper.RecordDemand(share.Demand{Host: "host-1", Service: service, Keys: []int{1}, Work: times})
 		}
 		tell(60 * time.Millisecond)
 		Consistently(lastHold("u2"), "700ms").Should(Equal(2500 * time.Millisecond))
--- a/grants/keeper.go
+++ b/grants/keeper.go
@@ -38,38 +38,38 @@
 type Mesh interface {
 	// Reports returns what other hosts told within an age.
 	Reports(age time.Duration) []share.Heard
-	// Silence returns how long a host has not been heard; false if it never was in its present life.
-	Silence(name string) (time.Duration, bool)
-	// Known returns how many hosts there are, this one included.
-	Known() int
+	// TimeSinceReport returns how long a host has not been heard; false if it never was in its present life.
+	TimeSinceReport(name string) (time.Duration, bool)
+	// HostCount returns how many hosts there are, this one included.
+	HostCount() int
 }
 
 // Table is the view of the store's table.
 type Table interface {
 	// Current returns the table and where the next one would stand; false until it is known.
 	Current() (spans.Table, int64, bool)
-	// Wrote takes a table that this host has written.
-	Wrote(value []byte, offset int64)
-	// Garbled reports whether another writer's record stands in the table's place.
-	Garbled() bool
+	// ApplyOwnWrite takes a table that this host has written.
+	ApplyOwnWrite(value []byte, offset int64)
+	// IsCorrupt reports whether another writer's record stands in the table's place.
+	IsCorrupt() bool
 }
 
-// World is what the keeper sees of upstreams, settings and the store.
-type World interface {
-	// Keyed returns the services whose keys are divided.
-	Keyed() []cherrykeel.RoutedService
+// Environment is what the keeper sees of upstreams, settings and the store.
+type Environment interface {
+	// KeyedServices returns the services whose keys are divided.
+	KeyedServices() []cherrykeel.RoutedService
 	// Upstreams returns all upstreams that are not gone.
 	Upstreams() []cherrykeel.Upstream
-	// Replaced reports whether another upstream has taken the address since.
-	Replaced(id, address string) bool
-	// Ended is told that an upstream's process has ended.
-	Ended(id string)
-	// Reread makes the host read the table anew.
-	Reread()
-	// StoreWell is how long the store has served this host without a failure.
-	StoreWell() time.Duration
-	// PeerLife is the life that a host last announced, and how long ago that was read.
-	PeerLife(name string) (string, time.Duration, bool)
+	// IsReplaced reports whether another upstream has taken the address since.
+	IsReplaced(id, address string) bool
+	// NotifyEnded is told that an upstream's process has ended.
+	NotifyEnded(id string)
+	// RereadTable makes the host read the table anew.
+	RereadTable()
+	// StoreAvailableFor is how long the store has served this host without a failure.
+	StoreAvailableFor() time.Duration
+	// PeerIncarnation is the life that a host last announced, and how long ago that was read.
+	PeerIncarnation(name string) (string, time.Duration, bool)
 	// Rank is this host's place among those that are heard, from 0.
 	Rank() int
 }
@@ -82,7 +82,7 @@
 	log     cherrykeel.KeyedLog
 	key     string
 	table   Table
-	world   World
+	world   Environment
 	mesh    Mesh
 	granter cherrykeel.SpanGranter
 	bounds  func() cherrykeel.Bounds
@@ -152,7 +152,7 @@
 }
 
 // New returns a keeper that keeps nothing yet.
-func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, log cherrykeel.KeyedLog, key string, table Table, world World, mesh Mesh, granter cherrykeel.SpanGranter, bounds func() cherrykeel.Bounds, options ...Option) *Keeper {
+func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, log cherrykeel.KeyedLog, key string, table Table, world Environment, mesh Mesh, granter cherrykeel.SpanGranter, bounds func() cherrykeel.Bounds, options ...Option) *Keeper {
 	keeper := &Keeper{
 		self: self, clock: clock, logger: logger, log: log, key: key, table: table, world: world, mesh: mesh,
 		granter: granter, bounds: bounds, workers: newWorkers(), meter: meter{scope: tally.NoopScope},
@@ -235,7 +235,7 @@
 		keeper.seenTable = table.Version
 		keeper.seenAt = now
 	}
-	if table.Keeper != keeper.self.Name || table.Life != keeper.self.Life {
+	if table.Keeper != keeper.self.Name || table.Life != keeper.self.Incarnation {
 		keeper.stand(table)
 		keeper.remember(table)
 		keeper.consider(ctx, table, next, now)
@@ -283,5 +283,5 @@
 	keeper.contacts = map[string]*contact{}
 	keeper.ledger = spans.Ledger{}
 	keeper.inherit(table, now)
-	events.Log(keeper.logger, events.KeeperClaimed, zap.Int64("Term", table.Term), zap.Int("Hosts", keeper.mesh.Known()))
+	events.Log(keeper.logger, events.KeeperClaimed, zap.Int64("Term", table.Term), zap.Int("Hosts", keeper.mesh.HostCount()))
 }
--- a/grants/keeper_test.go
+++ b/grants/keeper_test.go
@@ -18,8 +18,8 @@
 	store := newFakeStore("u1", "u2")
 	mesh := &fakeMesh{clock: clock, known: 1}
 	granter := newFakeGranter()
-	bounds := func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxHold: longest} }
-	keeper := grants.New(cherrykeel.Peer{Name: myself, Life: "life-" + myself}, clock, zap.NewNop(), store, "table", store, store, mesh, granter, bounds)
+	bounds := func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: longest} }
+	keeper := grants.New(cherrykeel.Peer{Name: myself, Incarnation: "life-" + myself}, clock, zap.NewNop(), store, "table", store, store, mesh, granter, bounds)
 	DeferCleanup(func() { Expect(granter.twice).To(BeZero(), "a key had two owners") })
 	return clock, store, mesh, granter, keeper
 }
--- a/grants/lives_test.go
+++ b/grants/lives_test.go
@@ -20,7 +20,7 @@
 }
 
 func (world *rebornWorld) Upstreams() []cherrykeel.Upstream {
-	return []cherrykeel.Upstream{{ID: "u1", Service: "halls", Address: "u1", Slots: 3, Born: world.born}}
+	return []cherrykeel.Upstream{{ID: "u1", Service: "halls", Address: "u1", Slots: 3, StartedAt: world.born}}
 }
 
 // refusingGranter refuses connections to all but the second life.
@@ -30,7 +30,7 @@
 }
 
 func (granter *refusingGranter) Grant(_ context.Context, upstream cherrykeel.Upstream, _ cherrykeel.SpanGrant) error {
-	if upstream.Born != 2 {
+	if upstream.StartedAt != 2 {
 		return errors.WithStack(cherrykeel.ErrNotSent)
 	}
 	granter.second++
--- a/grants/meter.go
+++ b/grants/meter.go
@@ -40,7 +40,7 @@
 		return "answered"
 	case errors.Is(err, cherrykeel.ErrFenced):
 		return "fenced"
-	case errors.Is(err, cherrykeel.ErrEnded):
+	case errors.Is(err, cherrykeel.ErrUpstreamReplaced):
 		return "ended"
 	case errors.Is(err, errWithdrawn):
 		return "withdrawn"
--- a/grants/order_test.go
+++ b/grants/order_test.go
@@ -31,7 +31,7 @@
 	return "", nil
 }
 
-func (granter *lateGranter) Leaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
+func (granter *lateGranter) IsLeaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
 	return false, cherrykeel.ErrNoAnswer
 }
 
--- a/grants/overtaken_test.go
+++ b/grants/overtaken_test.go
@@ -38,7 +38,7 @@
 	return "token", nil
 }
 
-func (granter *fencedGranter) Leaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
+func (granter *fencedGranter) IsLeaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
 	return false, errors.WithStack(cherrykeel.ErrNoAnswer)
 }
 
--- a/grants/phases_test.go
+++ b/grants/phases_test.go
@@ -33,7 +33,7 @@
 	return "token", nil
 }
 
-func (granter *hungGranter) Leaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
+func (granter *hungGranter) IsLeaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
 	return false, errors.WithStack(cherrykeel.ErrNoAnswer)
 }
 
--- a/grants/probe.go
+++ b/grants/probe.go
@@ -21,10 +21,10 @@
 // then. One that is known to leave gets short ones from then on. Without this a quarter of all keys had no
 // owner for 9 s after the outage, and for 20 s when the hosts were restarted meanwhile.
 func (keeper *Keeper) probe(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
-	if keeper.world.StoreWell() > 0 {
+	if keeper.world.StoreAvailableFor() > 0 {
 		return
 	}
-	for _, service := range keeper.world.Keyed() {
+	for _, service := range keeper.world.KeyedServices() {
 		if service.HealthPath == "" {
 			continue
 		}
@@ -47,7 +47,7 @@
 	keeper.workers.probes.Submit(func() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		leaving, err := keeper.granter.Leaving(ctx, upstream, healthPath)
+		leaving, err := keeper.granter.IsLeaving(ctx, upstream, healthPath)
 		keeper.results <- func(cherrykeel.Instant) {
 			contact.probing = false
 			if err != nil || contact.leaving == leaving || contact.born != born {
--- a/grants/renew.go
+++ b/grants/renew.go
@@ -160,7 +160,7 @@
 
 // newGrant notes a grant that is to be sent.
 func (keeper *Keeper) newGrant(key spans.Held, owned spans.Owned) *grantState {
-	state := &grantState{upstream: cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, Born: owned.Born}, handover: keeper.handover(key)}
+	state := &grantState{upstream: cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.Born}, handover: keeper.handover(key)}
 	whole, cut := keeper.covering(key)
 	if cut {
 		state.cut = true
@@ -179,12 +179,12 @@
 
 // noteEnded takes it that a life of an upstream has ended, unless the next one is known: that may hold keys.
 func (keeper *Keeper) noteEnded(upstream cherrykeel.Upstream, now cherrykeel.Instant) {
-	if keeper.contact(upstream.ID).born > upstream.Born {
+	if keeper.contact(upstream.ID).born > upstream.StartedAt {
 		return
 	}
 	keeper.ledger.Ended(upstream.ID)
 	keeper.contact(upstream.ID).end(now)
-	keeper.world.Ended(upstream.ID)
+	keeper.world.NotifyEnded(upstream.ID)
 }
 
 // greet notes the upstreams' lives. What was learned of an earlier life, that it does not answer or leaves, is not
@@ -192,19 +192,19 @@
 func (keeper *Keeper) greet() {
 	for _, upstream := range keeper.world.Upstreams() {
 		known := keeper.contact(upstream.ID)
-		if upstream.Born <= known.born {
+		if upstream.StartedAt <= known.born {
 			continue
 		}
 		if known.born > 0 {
 			*known = contact{departed: known.departed, departedAt: known.departedAt, reborn: true}
 		}
-		known.born = upstream.Born
+		known.born = upstream.StartedAt
 	}
 }
 
 // ended reports whether the upstream's process is known to be gone.
 func (keeper *Keeper) ended(id, address string, now cherrykeel.Instant) bool {
-	if !keeper.world.Replaced(id, address) {
+	if !keeper.world.IsReplaced(id, address) {
 		return false
 	}
 	keeper.ledger.Ended(id)
--- a/grants/send.go
+++ b/grants/send.go
@@ -21,14 +21,14 @@
 
 func (keeper *Keeper) send(ctx context.Context, key spans.Held, state *grantState, now cherrykeel.Instant) {
 	grant := cherrykeel.SpanGrant{
-		Span: key.Span, Fence: key.Fence, Hold: keeper.hold(key.Service, key.Owner, now), Handover: state.handover, SendBy: now.Add(callTimeout),
+		Span: key.Span, Fence: key.Fence, LeaseDuration: keeper.hold(key.Service, key.Owner, now), Handover: state.handover, SendBy: now.Add(callTimeout),
 	}
 	state.pending = true
 	state.sent = true
 	state.sentAt = now
 	// The grant's time counts from here, for the ledger and for the call: while the call had its whole time from when a
 	// worker took it, up to half a second later, an upstream could hold keys for that long after they were given on.
-	until := spans.End(now.Add(arriveWithin), grant.Hold)
+	until := spans.End(now.Add(arriveWithin), grant.LeaseDuration)
 	call := keeper.ledger.Sent(key, until)
 	keeper.contact(key.Owner).holds(until)
 	term := keeper.term
@@ -82,7 +82,7 @@
 		keeper.urgent = true
 		state.refused = true
 		events.Log(keeper.logger, events.GrantRefused, fields...)
-	case errors.Is(err, cherrykeel.ErrEnded):
+	case errors.Is(err, cherrykeel.ErrUpstreamReplaced):
 		keeper.urgent = true
 		keeper.noteEnded(state.upstream, now)
 	default:
@@ -92,14 +92,14 @@
 
 // answered notes that an upstream has taken a grant.
 func (keeper *Keeper) answered(key spans.Held, state *grantState, grant cherrykeel.SpanGrant, fields []zap.Field, now cherrykeel.Instant) {
-	until := spans.End(now, grant.Hold)
+	until := spans.End(now, grant.LeaseDuration)
 	keeper.ledger.May(key, until)
 	contact := keeper.contact(key.Owner)
 	contact.holds(until)
 	contact.answered()
 	if !state.taken {
 		keeper.noteTaken(state, now)
-		events.Log(keeper.logger, events.SpanGiven, append(fields, zap.Bool("Handover", grant.Handover != ""), zap.Duration("Hold", grant.Hold))...)
+		events.Log(keeper.logger, events.SpanGiven, append(fields, zap.Bool("Handover", grant.Handover != ""), zap.Duration("Hold", grant.LeaseDuration))...)
 	}
 	state.handover = ""
 }
@@ -113,7 +113,7 @@
 	case outcome.overdue():
 		state.overdue = true
 		events.Log(keeper.logger, events.GrantOverdue, fields...)
-	case contact.born > state.upstream.Born:
+	case contact.born > state.upstream.StartedAt:
 	default:
 		contact.missed(now)
 		contact.depart(now)
--- a/grants/standin_test.go
+++ b/grants/standin_test.go
@@ -21,13 +21,13 @@
 
 func (log *openLog) PutAt(_ context.Context, _ string, value []byte, _ int64) error {
 	log.values <- value
-	return errors.WithStack(cherrykeel.ErrStoreAway)
+	return errors.WithStack(cherrykeel.ErrStoreUnavailable)
 }
 
 // smallWorld has two upstreams of one keyed service, and one host.
 type smallWorld struct{}
 
-func (smallWorld) Keyed() []cherrykeel.RoutedService {
+func (smallWorld) KeyedServices() []cherrykeel.RoutedService {
 	return []cherrykeel.RoutedService{{Name: "halls", Keyed: true}}
 }
 
@@ -35,23 +35,23 @@
 	return []cherrykeel.Upstream{{ID: "u1", Service: "halls", Address: "u1", Slots: 3}, {ID: "u2", Service: "halls", Address: "u2", Slots: 3}}
 }
 
-func (smallWorld) Replaced(string, string) bool                  { return false }
-func (smallWorld) Ended(string)                                  {}
-func (smallWorld) Reread()                                       {}
-func (smallWorld) StoreWell() time.Duration                      { return time.Hour }
-func (smallWorld) PeerLife(string) (string, time.Duration, bool) { return "", 0, false }
-func (smallWorld) Rank() int                                     { return 0 }
-func (smallWorld) Reports(time.Duration) []share.Heard           { return nil }
-func (smallWorld) Silence(string) (time.Duration, bool)          { return 0, false }
-func (smallWorld) Known() int                                    { return 1 }
-func (smallWorld) Current() (spans.Table, int64, bool)           { return spans.Table{}, 0, false }
-func (smallWorld) Wrote([]byte, int64)                           {}
-func (smallWorld) Garbled() bool                                 { return false }
+func (smallWorld) IsReplaced(string, string) bool                       { return false }
+func (smallWorld) NotifyEnded(string)                                   {}
+func (smallWorld) RereadTable()                                         {}
+func (smallWorld) StoreAvailableFor() time.Duration                     { return time.Hour }
+func (smallWorld) PeerIncarnation(string) (string, time.Duration, bool) { return "", 0, false }
+func (smallWorld) Rank() int                                            { return 0 }
+func (smallWorld) Reports(time.Duration) []share.Heard                  { return nil }
+func (smallWorld) TimeSinceReport(string) (time.Duration, bool)         { return 0, false }
+func (smallWorld) HostCount() int                                       { return 1 }
+func (smallWorld) Current() (spans.Table, int64, bool)                  { return spans.Table{}, 0, false }
+func (smallWorld) ApplyOwnWrite([]byte, int64)                          {}
+func (smallWorld) IsCorrupt() bool                                      { return false }
 
 // newStepped returns a keeper whose clock and results the spec drives itself.
-func newStepped(name string, clock cherrykeel.Clock, log cherrykeel.KeyedLog, world World, granter cherrykeel.SpanGranter) *Keeper {
-	bounds := func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxHold: 10 * time.Second} }
-	return New(cherrykeel.Peer{Name: name, Life: "life"}, clock, zap.NewNop(), log, "table", smallWorld{}, world, smallWorld{}, granter, bounds)
+func newStepped(name string, clock cherrykeel.Clock, log cherrykeel.KeyedLog, world Environment, granter cherrykeel.SpanGranter) *Keeper {
+	bounds := func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: 10 * time.Second} }
+	return New(cherrykeel.Peer{Name: name, Incarnation: "life"}, clock, zap.NewNop(), log, "table", smallWorld{}, world, smallWorld{}, granter, bounds)
 }
 
 // settle takes the next result of an order or a write.
--- a/grants/successor_test.go
+++ b/grants/successor_test.go
@@ -31,7 +31,7 @@
 			granter.twice = max(granter.twice, until.Sub(now))
 		}
 	}
-	granter.until[upstream.ID] = now.Add(grant.Hold)
+	granter.until[upstream.ID] = now.Add(grant.LeaseDuration)
 	return nil
 }
 
@@ -53,7 +53,7 @@
 	return "", errors.WithStack(cherrykeel.ErrNoAnswer)
 }
 
-func (granter *countingGranter) Leaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
+func (granter *countingGranter) IsLeaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
 	return false, errors.WithStack(cherrykeel.ErrNoAnswer)
 }
 
--- a/grants/transfer.go
+++ b/grants/transfer.go
@@ -38,7 +38,7 @@
 // settleTransfers forgets the writes whose offset is taken: their outcome is in the table that is known, unless another
 // writer's record stands in its place.
 func (keeper *Keeper) settleTransfers(next int64) {
-	if keeper.table.Garbled() {
+	if keeper.table.IsCorrupt() {
 		return
 	}
 	kept := keeper.transfers[:0]
--- a/host/admin.go
+++ b/host/admin.go
@@ -119,8 +119,8 @@
 			continue
 		}
 		silence := time.Duration(-1)
-		if peer.Heard != 0 {
-			silence = now.Sub(peer.Heard)
+		if peer.ReceivedAt != 0 {
+			silence = now.Sub(peer.ReceivedAt)
 		}
 		peers = append(peers, PeerStatus{
 			Name:    peer.Name,
@@ -128,7 +128,7 @@
 			Leaving: peer.Leaving,
 			Silence: silence,
 			Version: peer.Version,
-			LogUp:   peer.LogUp,
+			LogUp:   peer.LogAvailable,
 			Differs: host.follower.Differs(peer.Next, peer.Chain),
 		})
 	}
--- a/host/duty_test.go
+++ b/host/duty_test.go
@@ -18,7 +18,7 @@
 	// meanwhile says that the lease runs, and that the host's witness may still be relied on.
 	It("counts the time in which its machine was suspended", func() {
 		host := New(config.Config{Name: "host"})
-		Expect(host.clock.Now()).To(BeNumerically("~", cherrykeel.SuspendClock().Now(), time.Second))
+		Expect(host.clock.Now()).To(BeNumerically("~", cherrykeel.BootTimeClock().Now(), time.Second))
 	})
 
 	// A caller's key gets two owners: a keeper that was replaced is still confirmed. Its witness was paused, so
--- a/host/host.go
+++ b/host/host.go
@@ -133,7 +133,7 @@
 		scope:   tally.NoopScope,
 		metrics: http.NotFoundHandler(),
 		// Leases on sending, and a witness's word, must not outlive a suspension of the machine.
-		clock:    cherrykeel.SuspendClock(),
+		clock:    cherrykeel.BootTimeClock(),
 		boot:     uuid.NewString(),
 		log:      remote.NewLog(config.Log, Stream),
 		intents:  remote.NewLog(config.Log, intent.Stream),
@@ -173,13 +173,13 @@
 	}
 	front, admin := host.addresses()
 	return cherrykeel.Member{
-		Name:    host.config.Name,
-		Role:    cherrykeel.RoleEntry,
-		Zone:    host.config.Zone,
-		Leaving: host.stopping.Load(),
-		Address: front,
-		Inner:   inner,
-		Admin:   admin,
+		Name:            host.config.Name,
+		Role:            cherrykeel.RoleEntry,
+		Zone:            host.config.Zone,
+		Leaving:         host.stopping.Load(),
+		Address:         front,
+		InternalAddress: inner,
+		AdminAddress:    admin,
 	}
 }
 
--- a/host/inner.go
+++ b/host/inner.go
@@ -54,15 +54,15 @@
 }
 
 func (host *Host) hear(hello wire.Hello) {
-	host.roster.hear(member.Word{
-		Host:        hello.Host,
-		Leaving:     hello.Leaving,
-		Next:        hello.Next,
-		Chain:       hello.Chain,
-		Version:     hello.Version,
-		LogUp:       hello.LogUp,
-		Unreachable: hello.Unreachable,
-		Refusing:    hello.Refusing,
+	host.roster.hear(member.PeerReport{
+		Host:         hello.Host,
+		Leaving:      hello.Leaving,
+		Next:         hello.Next,
+		Chain:        hello.Chain,
+		Version:      hello.Version,
+		LogAvailable: hello.LogUp,
+		Unreachable:  hello.Unreachable,
+		Refusing:     hello.Refusing,
 	}, host.clock.Now())
 	for service, demand := range hello.Demands {
 		host.duty.hearDemand(hello.Host, service, demand)
--- a/host/orders.go
+++ b/host/orders.go
@@ -55,7 +55,7 @@
 
 func (host *Host) grantOrAsk(ctx context.Context, relay wire.Relay) (cherrykeel.Holding, error) {
 	if relay.Ask {
-		return host.granter.Holding(ctx, relay.Address, relay.Grant.Service)
+		return host.granter.RequestHolding(ctx, relay.Address, relay.Grant.Service)
 	}
 	return host.granter.Grant(ctx, relay.Address, relay.Grant)
 }
--- a/host/roster.go
+++ b/host/roster.go
@@ -45,13 +45,13 @@
 func (roster *roster) left(upstream string) bool {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	return roster.view.Left(upstream)
+	return roster.view.HasLeft(upstream)
 }
 
-func (roster *roster) hear(word member.Word, now cherrykeel.Instant) {
+func (roster *roster) hear(word member.PeerReport, now cherrykeel.Instant) {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	roster.view.Hear(word, now)
+	roster.view.RecordReport(word, now)
 	roster.cached = nil
 }
 
@@ -74,13 +74,13 @@
 func (roster *roster) down(service, upstream string, now cherrykeel.Instant) bool {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	return roster.view.Down(service, upstream, now)
+	return roster.view.IsDown(service, upstream, now)
 }
 
 func (roster *roster) refusing(service, upstream string, now cherrykeel.Instant) bool {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	return roster.view.Refusing(service, upstream, now)
+	return roster.view.IsRefusing(service, upstream, now)
 }
 
 // activeHosts counts the entry hosts among which upstreams' slots are shared.
@@ -116,7 +116,7 @@
 	}
 	before := host.roster.activeHosts()
 	host.roster.mutex.Lock()
-	host.roster.view.List(members, host.clock.Now())
+	host.roster.view.ApplyList(members, host.clock.Now())
 	host.roster.cached = nil
 	host.roster.mutex.Unlock()
 	if host.roster.activeHosts() != before {
@@ -144,8 +144,8 @@
 // hasSuccessor reports whether another host could take over this host's roles.
 func (host *Host) hasSuccessor() bool {
 	for _, peer := range host.roster.peers() {
-		recent := host.clock.Now().Sub(peer.Heard) < peerAge
-		if peer.Name != host.config.Name && !peer.Leaving && peer.Heard != 0 && recent {
+		recent := host.clock.Now().Sub(peer.ReceivedAt) < peerAge
+		if peer.Name != host.config.Name && !peer.Leaving && peer.ReceivedAt != 0 && recent {
 			return true
 		}
 	}
--- a/host/watch.go
+++ b/host/watch.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		others++
-		if peer.Heard != 0 && now.Sub(peer.Heard) < staleAfter {
+		if peer.ReceivedAt != 0 && now.Sub(peer.ReceivedAt) < staleAfter {
 			return false
 		}
 	}
--- a/hosts.go
+++ b/hosts.go
@@ -19,10 +19,10 @@
 	Leaving bool
 	// Address takes callers' requests, as IP and port.
 	Address string
-	// Inner takes the inner protocol of entry hosts, as IP and port.
-	Inner string
-	// Admin takes operators' requests to entry hosts, as IP and port.
-	Admin string
+	// InternalAddress takes the inner protocol of entry hosts, as IP and port.
+	InternalAddress string `json:"Inner"`
+	// AdminAddress takes operators' requests to entry hosts, as IP and port.
+	AdminAddress string `json:"Admin"`
 }
 
 // HostList is the platform's list, which lags behind the truth by seconds.
--- a/intent/stage.go
+++ b/intent/stage.go
@@ -48,7 +48,7 @@
 	}
 	begin := fold.IntentBegin{
 		Service: exchange.Service.Path,
-		Key:     exchange.RepeatKey,
+		Key:     exchange.IdempotencyKey,
 		Digest:  digest(exchange),
 		Request: exchange.ID,
 	}
@@ -103,9 +103,9 @@
 		replay(exchange, known)
 		return nil
 	case known.Status != 0:
-		return cherrykeel.Doubt(http.StatusConflict, "already-answered", "a request with this Idempotency-Key was answered with status %d; its answer was too large to keep", known.Status)
+		return cherrykeel.FailUnknown(http.StatusConflict, "already-answered", "a request with this Idempotency-Key was answered with status %d; its answer was too large to keep", known.Status)
 	}
-	failure := cherrykeel.Doubt(http.StatusConflict, "already-begun", "a request with this Idempotency-Key was begun through %s at %s, and how it ended is not known here", known.Host, known.Time.Format(time.RFC3339))
+	failure := cherrykeel.FailUnknown(http.StatusConflict, "already-begun", "a request with this Idempotency-Key was begun through %s at %s, and how it ended is not known here", known.Host, known.Time.Format(time.RFC3339))
 	failure.RetryAfter = retryAfterRun
 	return failure
 }
--- a/keyedlog.go
+++ b/keyedlog.go
@@ -8,12 +8,12 @@
 )
 
 var (
-	// ErrStoreAway means that the store did not serve the call; a write may still take effect.
-	ErrStoreAway = errors.New("the store did not serve the call")
-	// ErrForgotten means that the records asked for are no longer kept.
-	ErrForgotten = errors.New("the store no longer keeps these records")
-	// ErrReplaced means that another writer came first.
-	ErrReplaced = errors.New("another writer came first")
+	// ErrStoreUnavailable means that the store did not serve the call; a write may still take effect.
+	ErrStoreUnavailable = errors.New("the store did not serve the call")
+	// ErrRecordsExpired means that the records asked for are no longer kept.
+	ErrRecordsExpired = errors.New("the store no longer keeps these records")
+	// ErrConflict means that another writer came first.
+	ErrConflict = errors.New("another writer came first")
 )
 
 // KeyedRecord is one record of a KeyedLog; an empty value drops its key.
@@ -47,11 +47,11 @@
 // Peer is another host of the system as it announced itself.
 type Peer struct {
 	Name string
-	// Life differs with each start of the host's process.
-	Life string
-	// Inner takes the messages of other hosts, as IP and port.
-	Inner string
-	Zone  string
+	// Incarnation differs with each start of the host's process.
+	Incarnation string `json:"Life"`
+	// InternalAddress takes the messages of other hosts, as IP and port.
+	InternalAddress string `json:"Inner"`
+	Zone            string
 	// Capacity is what the host can carry, in cores; duties go to those with most.
 	Capacity float64
 }
--- a/keyspan.go
+++ b/keyspan.go
@@ -22,8 +22,8 @@
 // ErrNotSent is an ErrNoAnswer of an order that has not left this host and will not: it was surely not carried out.
 var ErrNotSent = errors.WithMessage(ErrNoAnswer, "it was not sent")
 
-// ErrEnded means that another upstream answers at the address, so the one asked has ended.
-var ErrEnded = errors.New("another upstream has the address")
+// ErrUpstreamReplaced means that another upstream answers at the address, so the one asked has ended.
+var ErrUpstreamReplaced = errors.New("another upstream has the address")
 
 // KeySpan is a run of keys, both ends included.
 type KeySpan struct {
@@ -51,8 +51,8 @@
 	Span KeySpan
 	// Fence orders grants: an upstream refuses a lower one than it has seen.
 	Fence int64
-	// Hold counts from the grant's arrival, on the upstream's clock.
-	Hold time.Duration
+	// LeaseDuration counts from the grant's arrival, on the upstream's clock.
+	LeaseDuration time.Duration
 	// Handover is what the last owner's release returned, or empty.
 	Handover string
 	// SendBy is when the grant is too old to be sent, on the clock of the host that decided on it; 0 is never.
@@ -66,7 +66,7 @@
 	Grant(ctx context.Context, upstream Upstream, grant SpanGrant) error
 	// Release stops new work on the span, waits for running work, and returns the handover.
 	Release(ctx context.Context, upstream Upstream, span KeySpan, fence int64) (string, error)
-	// Leaving asks an upstream itself whether it leaves, by its service's health path; ErrNoAnswer when it
+	// IsLeaving asks an upstream itself whether it leaves, by its service's health path; ErrNoAnswer when it
 	// does not say.
-	Leaving(ctx context.Context, upstream Upstream, healthPath string) (bool, error)
+	IsLeaving(ctx context.Context, upstream Upstream, healthPath string) (bool, error)
 }
--- a/lease/answers.go
+++ b/lease/answers.go
@@ -14,7 +14,7 @@
 		return
 	}
 	lessee.outstanding = 0
-	if holding.Service != ledger.service || lessee.replaced[holding.Boot] {
+	if holding.Service != ledger.service || lessee.replaced[holding.Incarnation] {
 		// A connection can bring the answer to another call: one for another service, or one that the lessee's
 		// last process gave. Taken for this one, it would make the ledger forget what the lessee holds.
 		return
@@ -23,8 +23,8 @@
 		ledger.deposed = true
 		return
 	}
-	if holding.Boot != lessee.boot {
-		ledger.restarted(lessee, holding.Boot)
+	if holding.Incarnation != lessee.boot {
+		ledger.restarted(lessee, holding.Incarnation)
 	}
 	if holding.Now >= lessee.clock {
 		lessee.clock = holding.Now
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -77,11 +77,11 @@
 	left := time.Duration(float64(end.Sub(lessee.readAt)) / (1 + ledger.drift))
 	ledger.sequence++
 	order.Grant = cherrykeel.Grant{
-		Service: ledger.service,
-		Fence:   cherrykeel.Fence{Term: ledger.term, Sequence: ledger.sequence},
-		Boot:    lessee.boot,
-		Until:   lessee.clock + left,
-		Timeout: ledger.timeout,
+		Service:     ledger.service,
+		Fence:       cherrykeel.Fence{Term: ledger.term, Sequence: ledger.sequence},
+		Incarnation: lessee.boot,
+		Until:       lessee.clock + left,
+		Timeout:     ledger.timeout,
 	}
 	ledger.fill(name, lessee, now, &order)
 	lessee.bound = max(lessee.bound, end)
--- a/member/health.go
+++ b/member/health.go
@@ -41,8 +41,8 @@
 	return health
 }
 
-// Succeeded takes in an answer.
-func (health *Health) Succeeded(now cherrykeel.Instant) {
+// RecordSuccess takes in an answer.
+func (health *Health) RecordSuccess(now cherrykeel.Instant) {
 	if health.ejections > 0 && health.probing {
 		health.warmSince = now
 		health.ejections = 0
@@ -52,16 +52,16 @@
 	health.shed -= shedWeight * health.shed
 }
 
-// Shed takes in that the upstream refused a request for want of room. Whatever load it
+// RecordShed takes in that the upstream refused a request for want of room. Whatever load it
 // reports, it gets less from now on: a lying upstream that claims to be idle and sheds would
 // otherwise draw the most requests, since refusals leave the fewest in flight.
-func (health *Health) Shed() {
+func (health *Health) RecordShed() {
 	health.shed += shedWeight * (1 - health.shed)
 	health.probing = false
 }
 
-// Failed takes in an attempt that got no answer; it ejects the upstream after several in a row.
-func (health *Health) Failed(now cherrykeel.Instant) {
+// RecordFailure takes in an attempt that got no answer; it ejects the upstream after several in a row.
+func (health *Health) RecordFailure(now cherrykeel.Instant) {
 	health.failures++
 	if health.failures < failuresToEject && !health.probing {
 		return
@@ -72,23 +72,23 @@
 	health.ejectedUntil = now.Add(min(pause, maxEjection))
 }
 
-// Left takes in that an attempt ended without showing anything, as when its caller went away. The next request is the probe
+// RecordInconclusive takes in that an attempt ended without showing anything, as when its caller went away. The next request is the probe
 // then: without it an upstream whose probe ended so got nothing any more, while the service had others.
-func (health *Health) Left() {
+func (health *Health) RecordInconclusive() {
 	health.probing = false
 }
 
-// Drained takes in the upstream's own word that it takes no new work.
-func (health *Health) Drained(now cherrykeel.Instant) {
+// RecordDraining takes in the upstream's own word that it takes no new work.
+func (health *Health) RecordDraining(now cherrykeel.Instant) {
 	health.draining = true
 	health.probing = false
 	health.drainedAt = now
 }
 
-// Usable reports whether a request may go to the upstream. When an ejection ends, one
+// IsUsable reports whether a request may go to the upstream. When an ejection ends, one
 // request goes first as a probe: a probe of our own would cost several times as much.
-func (health *Health) Usable(now cherrykeel.Instant) bool {
-	if health.Draining(now) {
+func (health *Health) IsUsable(now cherrykeel.Instant) bool {
+	if health.IsDraining(now) {
 		return false
 	}
 	if health.ejections == 0 {
@@ -97,25 +97,25 @@
 	return now >= health.ejectedUntil && !health.probing
 }
 
-// Draining reports whether the upstream has said of late that it takes no new work.
-func (health *Health) Draining(now cherrykeel.Instant) bool {
+// IsDraining reports whether the upstream has said of late that it takes no new work.
+func (health *Health) IsDraining(now cherrykeel.Instant) bool {
 	return health.draining && now.Sub(health.drainedAt) < drainMemory
 }
 
-// Chosen notes that a request goes to the upstream.
-func (health *Health) Chosen() {
+// RecordAttempt notes that a request goes to the upstream.
+func (health *Health) RecordAttempt() {
 	if health.ejections > 0 {
 		health.probing = true
 	}
 }
 
-// Unreachable reports whether the upstream has been ejected and has not answered since.
-func (health *Health) Unreachable() bool {
+// IsUnreachable reports whether the upstream has been ejected and has not answered since.
+func (health *Health) IsUnreachable() bool {
 	return health.ejections > 0
 }
 
-// Warmth goes from 0, for an upstream that has just come or sheds all, to 1.
-func (health *Health) Warmth(now cherrykeel.Instant) float64 {
+// Weight goes from 0, for an upstream that has just come or sheds all, to 1.
+func (health *Health) Weight(now cherrykeel.Instant) float64 {
 	warmth := min(1, float64(now.Sub(health.warmSince))/float64(warmUp))
 	return warmth * (1 - health.shed)
 }
--- a/member/roster.go
+++ b/member/roster.go
@@ -25,30 +25,30 @@
 	Inner   string
 	Admin   string
 	Leaving bool
-	// Heard is when the peer itself last spoke to this host, or 0.
-	Heard cherrykeel.Instant
-	Next  int64
-	Chain uint64
+	// ReceivedAt is when the peer itself last spoke to this host, or 0.
+	ReceivedAt cherrykeel.Instant
+	Next       int64
+	Chain      uint64
 	// Version is the settings version in force on the peer.
-	Version int64
-	LogUp   bool
+	Version      int64
+	LogAvailable bool
 }
 
-// Word is what a peer says of itself and of upstreams.
-type Word struct {
-	Host        string
-	Leaving     bool
-	Next        int64
-	Chain       uint64
-	Version     int64
-	LogUp       bool
-	Unreachable []string
+// PeerReport is what a peer says of itself and of upstreams.
+type PeerReport struct {
+	Host         string
+	Leaving      bool
+	Next         int64
+	Chain        uint64
+	Version      int64
+	LogAvailable bool
+	Unreachable  []string
 	// Refusing are upstreams that told the host that they take no new work.
 	Refusing []string
 }
 
 type heard struct {
-	word Word
+	word PeerReport
 	at   cherrykeel.Instant
 }
 
@@ -74,8 +74,8 @@
 	}
 }
 
-// List takes in the platform's list.
-func (roster *Roster) List(members []cherrykeel.Member, now cherrykeel.Instant) {
+// ApplyList takes in the platform's list.
+func (roster *Roster) ApplyList(members []cherrykeel.Member, now cherrykeel.Instant) {
 	own := roster.members[roster.self]
 	roster.members = map[string]cherrykeel.Member{roster.self: own}
 	for _, member := range members {
@@ -90,8 +90,8 @@
 	roster.listed = now
 }
 
-// Hear takes in a peer's word.
-func (roster *Roster) Hear(word Word, now cherrykeel.Instant) {
+// RecordReport takes in a peer's word.
+func (roster *Roster) RecordReport(word PeerReport, now cherrykeel.Instant) {
 	roster.words[word.Host] = heard{word: word, at: now}
 }
 
@@ -109,14 +109,14 @@
 		if member.Role != cherrykeel.RoleEntry {
 			continue
 		}
-		peer := Peer{Name: member.Name, Zone: member.Zone, Inner: member.Inner, Admin: member.Admin, Leaving: member.Leaving}
+		peer := Peer{Name: member.Name, Zone: member.Zone, Inner: member.InternalAddress, Admin: member.AdminAddress, Leaving: member.Leaving}
 		if said, known := roster.words[member.Name]; known {
-			peer.Heard = said.at
+			peer.ReceivedAt = said.at
 			peer.Leaving = peer.Leaving || said.word.Leaving
 			peer.Next = said.word.Next
 			peer.Chain = said.word.Chain
 			peer.Version = said.word.Version
-			peer.LogUp = said.word.LogUp
+			peer.LogAvailable = said.word.LogAvailable
 		}
 		peers = append(peers, peer)
 	}
@@ -135,8 +135,8 @@
 	return gone
 }
 
-// Left reports whether an upstream is marked as leaving on the list, or has vanished from it.
-func (roster *Roster) Left(upstream string) bool {
+// HasLeft reports whether an upstream is marked as leaving on the list, or has vanished from it.
+func (roster *Roster) HasLeft(upstream string) bool {
 	member, present := roster.members[upstream]
 	if present {
 		return member.Leaving
@@ -144,9 +144,9 @@
 	return roster.upstreams[upstream]
 }
 
-// Down reports whether most of the hosts that have spoken of late, this one included, cannot reach an upstream.
+// IsDown reports whether most of the hosts that have spoken of late, this one included, cannot reach an upstream.
 // One host's bad view moves nothing.
-func (roster *Roster) Down(service, upstream string, now cherrykeel.Instant) bool {
+func (roster *Roster) IsDown(service, upstream string, now cherrykeel.Instant) bool {
 	name := service + " " + upstream
 	votes, voters := 0, 0
 	for _, said := range roster.words {
@@ -163,9 +163,9 @@
 	return 2*votes > voters
 }
 
-// Refusing reports whether an upstream has told any host of late that it takes no new work.
+// IsRefusing reports whether an upstream has told any host of late that it takes no new work.
 // Unlike silence, this is the upstream's own word, so one host that got it is enough.
-func (roster *Roster) Refusing(service, upstream string, now cherrykeel.Instant) bool {
+func (roster *Roster) IsRefusing(service, upstream string, now cherrykeel.Instant) bool {
 	name := service + " " + upstream
 	for _, said := range roster.words {
 		if now.Sub(said.at) > wordAge {
--- a/opctl/client.go
+++ b/opctl/client.go
@@ -284,7 +284,7 @@
 }
 
 func (client *Client) get(ctx context.Context, member cherrykeel.Member, path string, result any) error {
-	response, err := client.http.R().SetContext(ctx).SetResult(result).Get("http://" + member.Admin + path)
+	response, err := client.http.R().SetContext(ctx).SetResult(result).Get("http://" + member.AdminAddress + path)
 	if err != nil {
 		return errors.WithStack(err)
 	}
--- a/ownership.go
+++ b/ownership.go
@@ -25,8 +25,8 @@
 type Grant struct {
 	Service string
 	Fence   Fence
-	// Boot is the start of the upstream process that the grant is meant for; another one refuses it.
-	Boot string
+	// Incarnation is the start of the upstream process that the grant is meant for; another one refuses it.
+	Incarnation string `json:"Boot"`
 	// Until is in the upstream's own monotonic time.
 	Until      time.Duration
 	Partitions []int `json:",omitempty"`
@@ -46,8 +46,8 @@
 
 // Holding is what an upstream answers to a grant or a question: what it now holds.
 type Holding struct {
-	Service string
-	Boot    string
+	Service     string
+	Incarnation string `json:"Boot"`
 	// Now is the upstream's monotonic time when it answered.
 	Now      time.Duration
 	Accepted bool
@@ -66,6 +66,6 @@
 type Granter interface {
 	// Grant sends a grant; an error leaves open whether it was taken.
 	Grant(ctx context.Context, address string, grant Grant) (Holding, error)
-	// Holding asks an upstream what it holds for a service.
-	Holding(ctx context.Context, address, service string) (Holding, error)
+	// RequestHolding asks an upstream what it holds for a service.
+	RequestHolding(ctx context.Context, address, service string) (Holding, error)
 }
--- a/picker.go
+++ b/picker.go
@@ -8,10 +8,10 @@
 	InFlight int
 	// Limit is how many this host may have there at once.
 	Limit int
-	// Reported is the upstream's last word on its load; it lags and may lie.
-	Reported float64
-	// Warmth goes from 0 for an upstream that has just joined to 1.
-	Warmth float64
+	// ReportedLoad is the upstream's last word on its load; it lags and may lie.
+	ReportedLoad float64
+	// Weight goes from 0 for an upstream that has just joined to 1.
+	Weight float64
 }
 
 // Picker chooses an upstream for a request that any of them may serve.
--- a/picker/least.go
+++ b/picker/least.go
@@ -42,8 +42,8 @@
 }
 
 func score(zone string, choice cherrykeel.Choice) float64 {
-	score := float64(choice.InFlight+1) / float64(choice.Limit) / max(choice.Warmth, minWarmth)
-	score += reportWeight * min(max(choice.Reported, 0), 1)
+	score := float64(choice.InFlight+1) / float64(choice.Limit) / max(choice.Weight, minWarmth)
+	score += reportWeight * min(max(choice.ReportedLoad, 0), 1)
 	if choice.Zone != zone {
 		score += otherZone
 	}
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -23,10 +23,10 @@
 			room := false
 			for range rapid.IntRange(0, 8).Draw(t, "count") {
 				choice := cherrykeel.Choice{
-					InFlight: rapid.IntRange(0, 4).Draw(t, "in flight"),
-					Limit:    rapid.IntRange(0, 4).Draw(t, "limit"),
-					Reported: rapid.Float64Range(-5, 5).Draw(t, "report"),
-					Warmth:   rapid.Float64Range(0, 1).Draw(t, "warmth"),
+					InFlight:     rapid.IntRange(0, 4).Draw(t, "in flight"),
+					Limit:        rapid.IntRange(0, 4).Draw(t, "limit"),
+					ReportedLoad: rapid.Float64Range(-5, 5).Draw(t, "report"),
+					Weight:       rapid.Float64Range(0, 1).Draw(t, "warmth"),
 				}
 				room = room || choice.InFlight < choice.Limit
 				choices = append(choices, choice)
@@ -43,8 +43,8 @@
 
 	It("is not drawn by a lying report to an upstream with more of its own requests in flight", func() {
 		choices := []cherrykeel.Choice{
-			{Name: "honest", InFlight: 1, Limit: 4, Reported: 1, Warmth: 1},
-			{Name: "liar", InFlight: 3, Limit: 4, Reported: 0, Warmth: 1},
+			{Name: "honest", InFlight: 1, Limit: 4, ReportedLoad: 1, Weight: 1},
+			{Name: "liar", InFlight: 3, Limit: 4, ReportedLoad: 0, Weight: 1},
 		}
 		for _, random := range []float64{0, 0.3, 0.6, 0.9} {
 			Expect(picker.NewLeastLoaded().Pick("", choices, random)).To(Equal(0))
@@ -52,7 +52,7 @@
 	})
 
 	It("prefers its own zone until that is busier", func() {
-		choices := []cherrykeel.Choice{{Zone: "here", InFlight: 0, Limit: 4, Warmth: 1}, {Zone: "there", InFlight: 0, Limit: 4, Warmth: 1}}
+		choices := []cherrykeel.Choice{{Zone: "here", InFlight: 0, Limit: 4, Weight: 1}, {Zone: "there", InFlight: 0, Limit: 4, Weight: 1}}
 		Expect(picker.NewLeastLoaded().Pick("here", choices, 0.9)).To(Equal(0))
 		choices[0].InFlight = 3
 		Expect(picker.NewLeastLoaded().Pick("here", choices, 0.9)).To(Equal(1))
--- a/poison/witness.go
+++ b/poison/witness.go
@@ -29,7 +29,7 @@
 
 // LifeOf returns an upstream's present life.
 func LifeOf(upstream cherrykeel.Upstream) Life {
-	return Life{Upstream: upstream.ID, Born: upstream.Born}
+	return Life{Upstream: upstream.ID, Born: upstream.StartedAt}
 }
 
 // Break is a request that was sent and got no answer: its connection ended, or this host gave it up.
--- a/relay/again_test.go
+++ b/relay/again_test.go
@@ -34,7 +34,7 @@
 			}),
 			route:      &dealt{Route: cherrykeel.Route{Repeatable: true, MaxAttempts: 2}},
 			dispatcher: &dispatcher{name: "s", keyed: true, budget: newBudget(bounds)},
-			asked:      cherrykeel.Asked{Key: 7},
+			asked:      cherrykeel.RequestHeaders{Key: 7},
 			inputs:     flow.Inputs{Owner: "a", Fence: 3, Work: 200 * time.Millisecond},
 			deadline:   cherrykeel.Instant(time.Hour + 4*time.Second),
 			attempts:   1,
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -36,9 +36,9 @@
 
 func (exchange *exchange) doubt() *cherrykeel.Failure {
 	if exchange.relay.clock.Now() >= exchange.deadline {
-		return cherrykeel.Doubt(http.StatusGatewayTimeout, "upstream-timeout", "%s", exchange.last)
+		return cherrykeel.FailUnknown(http.StatusGatewayTimeout, "upstream-timeout", "%s", exchange.last)
 	}
-	return cherrykeel.Doubt(http.StatusBadGateway, "upstream-broke", "%s", exchange.last)
+	return cherrykeel.FailUnknown(http.StatusBadGateway, "upstream-broke", "%s", exchange.last)
 }
 
 func (exchange *exchange) giveUp(cherrykeel.Instant) *cherrykeel.Failure {
@@ -95,7 +95,7 @@
 		zap.Duration("RetryAfter", failure.RetryAfter), zap.Duration("Took", took))...)
 	header := exchange.writer.Header()
 	header.Set(cherrykeel.HeaderOutcome, string(failure.Outcome))
-	exchange.relay.dialect.Echo(header, exchange.asked.ID)
+	exchange.relay.dialect.MarkAnswer(header, exchange.asked.ID)
 	if failure.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(failure.RetryAfter.Seconds(), 'f', 3, 64))
 	}
@@ -133,12 +133,12 @@
 
 // noteUnreadableLoad logs that an upstream's load cannot be read: it is then as if it told none, which is silent.
 func (exchange *exchange) noteUnreadableLoad(upstream cherrykeel.Upstream, load cherrykeel.UpstreamLoad) {
-	if load.Unreadable == "" {
+	if load.Malformed == "" {
 		return
 	}
 	exchange.relay.loadLines.Do(func() {
 		events.Log(exchange.relay.Logger, events.LoadUnreadable, append(exchange.fields(),
-			zap.String("Upstream", upstream.ID), zap.String("Told", load.Unreadable))...)
+			zap.String("Upstream", upstream.ID), zap.String("Told", load.Malformed))...)
 	})
 }
 
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -88,7 +88,7 @@
 	if _, given := header["User-Agent"]; !given {
 		header["User-Agent"] = []string{""}
 	}
-	exchange.relay.dialect.Direct(header, upstream, left)
+	exchange.relay.dialect.MarkRequest(header, upstream, left)
 	path, query, hasQuery := strings.Cut(incoming.RequestURI, "?")
 	request := &http.Request{
 		Method: incoming.Method,
@@ -127,7 +127,7 @@
 		return result
 	}
 	defer answer.Close()
-	reply := exchange.relay.dialect.Reply(answer.Status, answer.Header)
+	reply := exchange.relay.dialect.ReadReply(answer.Status, answer.Header)
 	exchange.noteUnreadableLoad(place.Upstream, reply.Load)
 	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes+1))
 	result := result{status: answer.Status, header: answer.Header, body: body, load: reply.Load, misdirected: reply.Misdirected}
@@ -162,7 +162,7 @@
 }
 
 // judge decides whether a whole answer may be passed on.
-func (result *result) judge(reply cherrykeel.Reply) {
+func (result *result) judge(reply cherrykeel.ReplyHeaders) {
 	encoded := result.header.Get("Content-Encoding") != ""
 	success := result.status < http.StatusBadRequest
 	switch {
--- a/relay/denied_test.go
+++ b/relay/denied_test.go
@@ -36,7 +36,7 @@
 		relay.SetRoutes(cherrykeel.RouteSet{
 			Version:  1,
 			Services: map[string]cherrykeel.RoutedService{"s": {Name: "s", Keyed: true}},
-			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: time.Minute, Target: time.Minute, Parts: []cherrykeel.RoutePart{part("s", 1)}}},
+			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: time.Minute, TargetLatency: time.Minute, SplitTargets: []cherrykeel.SplitTarget{part("s", 1)}}},
 		})
 		relay.SetUpstreams([]cherrykeel.Upstream{{ID: "u", Service: "s", Address: "127.0.0.1:1", Slots: 1}})
 	})
@@ -56,7 +56,7 @@
 		ask := func(path string) {
 			request := httptest.NewRequest(http.MethodGet, "http://h"+path, strings.NewReader(""))
 			writer := httptest.NewRecorder()
-			exchange := &exchange{relay: relay, request: request, writer: writer, arrived: relay.clock.Now(), asked: cherrykeel.Asked{ID: path, Key: 7}}
+			exchange := &exchange{relay: relay, request: request, writer: writer, arrived: relay.clock.Now(), asked: cherrykeel.RequestHeaders{ID: path, Key: 7}}
 			failure := exchange.prepare()
 			if failure == nil {
 				failure = exchange.run()
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -28,7 +28,7 @@
 	request    *http.Request
 	writer     http.ResponseWriter
 	body       []byte
-	asked      cherrykeel.Asked
+	asked      cherrykeel.RequestHeaders
 	route      *dealt
 	version    int64
 	dispatcher *dispatcher
@@ -51,7 +51,7 @@
 
 // ServeHTTP implements http.Handler.
 func (relay *Relay) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	exchange := &exchange{relay: relay, request: request, writer: writer, arrived: relay.clock.Now(), asked: relay.dialect.Asked(request)}
+	exchange := &exchange{relay: relay, request: request, writer: writer, arrived: relay.clock.Now(), asked: relay.dialect.ReadRequest(request)}
 	defer exchange.noteFault()
 	failure := exchange.prepare()
 	if failure == nil {
@@ -75,7 +75,7 @@
 		return cherrykeel.Refuse(http.StatusNotFound, "no-route", "no route matches")
 	}
 	exchange.route = route
-	patience := exchange.asked.Patience
+	patience := exchange.asked.Timeout
 	if patience == 0 {
 		patience = max(route.Timeout, unknownPatience)
 	}
@@ -179,7 +179,7 @@
 		Priority: exchange.route.Priority,
 		Key:      exchange.asked.Key,
 		Arrived:  exchange.arrived,
-		Target:   min(exchange.arrived.Add(exchange.route.Target), exchange.deadline),
+		Target:   min(exchange.arrived.Add(exchange.route.TargetLatency), exchange.deadline),
 		Deadline: exchange.deadline,
 		Tried:    exchange.tried,
 	}
--- a/relay/load_test.go
+++ b/relay/load_test.go
@@ -24,7 +24,7 @@
 		exchange.noteUnreadableLoad(cherrykeel.Upstream{ID: "u"}, cherrykeel.UpstreamLoad{Known: true})
 		Expect(lines.Len()).To(BeZero())
 		for range 3 {
-			exchange.noteUnreadableLoad(cherrykeel.Upstream{ID: "u"}, cherrykeel.UpstreamLoad{Unreadable: "1,2,3,4,5"})
+			exchange.noteUnreadableLoad(cherrykeel.Upstream{ID: "u"}, cherrykeel.UpstreamLoad{Malformed: "1,2,3,4,5"})
 		}
 		Expect(lines.Len()).To(Equal(1))
 		Expect(lines.All()[0].ContextMap()).To(HaveKeyWithValue("Told", "1,2,3,4,5"))
--- a/relay/match.go
+++ b/relay/match.go
@@ -26,7 +26,7 @@
 	matcher := &matcher{version: routes.Version, domains: map[string][]*dealt{}}
 	for _, route := range routes.Routes {
 		domain := strings.ToLower(route.Domain)
-		matcher.domains[domain] = append(matcher.domains[domain], &dealt{Route: route, credit: make([]float64, len(route.Parts))})
+		matcher.domains[domain] = append(matcher.domains[domain], &dealt{Route: route, credit: make([]float64, len(route.SplitTargets))})
 	}
 	for _, list := range matcher.domains {
 		sort.SliceStable(list, func(i, j int) bool { return len(list[i].PathPrefix) > len(list[j].PathPrefix) })
@@ -51,14 +51,14 @@
 // deal returns the next part's service. Each part gains its weight in credit with each request, and the
 // richest is chosen and pays: over any run of requests the shares differ from the weights by one request.
 func (dealt *dealt) deal() string {
-	if len(dealt.Parts) == 1 {
-		return dealt.Parts[0].Service
+	if len(dealt.SplitTargets) == 1 {
+		return dealt.SplitTargets[0].Service
 	}
 	dealt.mutex.Lock()
 	defer dealt.mutex.Unlock()
 	best := 0
 	total := 0.0
-	for i, part := range dealt.Parts {
+	for i, part := range dealt.SplitTargets {
 		dealt.credit[i] += part.Weight
 		total += part.Weight
 		if dealt.credit[i] > dealt.credit[best] {
@@ -66,5 +66,5 @@
 		}
 	}
 	dealt.credit[best] -= total
-	return dealt.Parts[best].Service
+	return dealt.SplitTargets[best].Service
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -137,15 +137,15 @@
 func (relay *Relay) forgetEnded(next []cherrykeel.Upstream) []poison.Life {
 	born := map[string]int64{}
 	for _, upstream := range next {
-		born[upstream.ID] = upstream.Born
+		born[upstream.ID] = upstream.StartedAt
 	}
 	var over []poison.Life
 	for _, upstream := range relay.upstreams {
 		nextBorn, listed := born[upstream.ID]
-		if !listed || nextBorn > upstream.Born {
+		if !listed || nextBorn > upstream.StartedAt {
 			over = append(over, poison.LifeOf(upstream))
 		}
-		if nextBorn > upstream.Born {
+		if nextBorn > upstream.StartedAt {
 			relay.pool.Forget(upstream.Address)
 		}
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -20,14 +20,14 @@
 	RunSpecs(t, "relay")
 }
 
-func part(service string, weight float64) cherrykeel.RoutePart {
-	return cherrykeel.RoutePart{Service: service, Weight: weight}
+func part(service string, weight float64) cherrykeel.SplitTarget {
+	return cherrykeel.SplitTarget{Service: service, Weight: weight}
 }
 
 var _ = Describe("matching", func() {
 	matcher := newMatcher(cherrykeel.RouteSet{Version: 3, Routes: []cherrykeel.Route{
-		{Name: "short", Domain: "Halls.example", PathPrefix: "/a/", Parts: []cherrykeel.RoutePart{part("s", 1)}},
-		{Name: "long", Domain: "halls.example", PathPrefix: "/a/b/", Parts: []cherrykeel.RoutePart{part("s", 1)}},
+		{Name: "short", Domain: "Halls.example", PathPrefix: "/a/", SplitTargets: []cherrykeel.SplitTarget{part("s", 1)}},
+		{Name: "long", Domain: "halls.example", PathPrefix: "/a/b/", SplitTargets: []cherrykeel.SplitTarget{part("s", 1)}},
 	}})
 
 	DescribeTable("takes the longest prefix of the host's routes", func(domain, path, expected string) {
@@ -48,11 +48,11 @@
 	// Operators move a tenth of a route's requests to another service and watch it. Dealt by chance, 300
 	// requests would miss the share by 5 in 100 now and then; dealt by credit they miss by one request.
 	It("deals requests by weight, exactly", func() {
-		route := &dealt{Route: cherrykeel.Route{Parts: []cherrykeel.RoutePart{part("a", 90), part("b", 7), part("c", 3)}}, credit: make([]float64, 3)}
+		route := &dealt{Route: cherrykeel.Route{SplitTargets: []cherrykeel.SplitTarget{part("a", 90), part("b", 7), part("c", 3)}}, credit: make([]float64, 3)}
 		counts := map[string]float64{}
 		for number := 1; number <= 300; number++ {
 			counts[route.deal()]++
-			for _, one := range route.Parts {
+			for _, one := range route.SplitTargets {
 				Expect(math.Abs(counts[one.Service] - float64(number)*one.Weight/100)).To(BeNumerically("<=", 1))
 			}
 		}
@@ -95,18 +95,18 @@
 })
 
 var _ = Describe("an upstream's answer", func() {
-	signed := cherrykeel.Reply{ID: "r", Signed: true}
+	signed := cherrykeel.ReplyHeaders{ID: "r", Signed: true}
 
 	// A status of 503 tells the caller that its payment did not run and may be sent again. Only an upstream
 	// that says so may be believed; else the caller pays twice.
-	DescribeTable("is passed on only if it can be trusted", func(status int, reply cherrykeel.Reply, header http.Header, expected finding) {
+	DescribeTable("is passed on only if it can be trusted", func(status int, reply cherrykeel.ReplyHeaders, header http.Header, expected finding) {
 		result := result{status: status, header: header}
 		result.judge(reply)
 		Expect(result.finding).To(Equal(expected))
 	},
 		Entry("a signed success", 200, signed, http.Header{}, answered),
-		Entry("an unsigned success", 200, cherrykeel.Reply{ID: "r"}, http.Header{}, uncertain),
-		Entry("a success without an id", 200, cherrykeel.Reply{Signed: true}, http.Header{}, uncertain),
+		Entry("an unsigned success", 200, cherrykeel.ReplyHeaders{ID: "r"}, http.Header{}, uncertain),
+		Entry("a success without an id", 200, cherrykeel.ReplyHeaders{Signed: true}, http.Header{}, uncertain),
 		Entry("an encoded success", 200, signed, http.Header{"Content-Encoding": {"gzip"}}, uncertain),
 		Entry("a failure", 500, signed, http.Header{}, answered),
 		Entry("a time-out of its own", 504, signed, http.Header{}, answered),
@@ -119,12 +119,14 @@
 // silentDialect knows no headers.
 type silentDialect struct{}
 
-func (silentDialect) Asked(*http.Request) cherrykeel.Asked {
-	return cherrykeel.Asked{ID: "r", Key: cherrykeel.NoKey}
+func (silentDialect) ReadRequest(*http.Request) cherrykeel.RequestHeaders {
+	return cherrykeel.RequestHeaders{ID: "r", Key: cherrykeel.NoKey}
+}
+func (silentDialect) MarkRequest(http.Header, cherrykeel.Upstream, time.Duration) {}
+func (silentDialect) MarkAnswer(http.Header, string)                              {}
+func (silentDialect) ReadReply(int, http.Header) cherrykeel.ReplyHeaders {
+	return cherrykeel.ReplyHeaders{}
 }
-func (silentDialect) Direct(http.Header, cherrykeel.Upstream, time.Duration) {}
-func (silentDialect) Echo(http.Header, string)                               {}
-func (silentDialect) Reply(int, http.Header) cherrykeel.Reply                { return cherrykeel.Reply{} }
 
 type stillClock struct{}
 
@@ -143,7 +145,7 @@
 		relay.SetRoutes(cherrykeel.RouteSet{
 			Version:  1,
 			Services: map[string]cherrykeel.RoutedService{"s": {Name: "s"}},
-			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: time.Second, Parts: []cherrykeel.RoutePart{part("s", 1)}}},
+			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: time.Second, SplitTargets: []cherrykeel.SplitTarget{part("s", 1)}}},
 		})
 		if left > 0 {
 			relay.EndAt(stillClock{}.Now().Add(left))
--- a/remote/grant.go
+++ b/remote/grant.go
@@ -35,8 +35,8 @@
 	return holding, nil
 }
 
-// Holding implements cherrykeel.Granter.
-func (granter *granter) Holding(ctx context.Context, address, service string) (cherrykeel.Holding, error) {
+// RequestHolding implements cherrykeel.Granter.
+func (granter *granter) RequestHolding(ctx context.Context, address, service string) (cherrykeel.Holding, error) {
 	var holding cherrykeel.Holding
 	target := "http://" + address + ownershipPath + "?service=" + url.QueryEscape(service)
 	err := exchange(ctx, granter.client, http.MethodGet, target, nil, &holding)
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -176,7 +176,7 @@
 }
 
 func doubt(status int, code string, ending Ending) Verdict {
-	return Verdict{Failure: cherrykeel.Doubt(status, code, "%s", ending.Detail)}
+	return Verdict{Failure: cherrykeel.FailUnknown(status, code, "%s", ending.Detail)}
 }
 
 // Final returns the failure for a request whose time ran out, given whether an earlier attempt may have run.
--- a/routes.go
+++ b/routes.go
@@ -20,18 +20,18 @@
 	Repeatable bool
 	// Timeout is the longest that a caller is kept waiting.
 	Timeout time.Duration
-	// Target is the time within which an answer has its full worth.
-	Target time.Duration
+	// TargetLatency is the time within which an answer has its full worth.
+	TargetLatency time.Duration
 	// Priority is 0 for the requests that go first.
 	Priority int
 	// MaxAttempts bounds the upstreams that one request is sent to.
 	MaxAttempts int
-	// Parts share the route's requests in proportion to their weights.
-	Parts []RoutePart
+	// SplitTargets share the route's requests in proportion to their weights.
+	SplitTargets []SplitTarget
 }
 
-// RoutePart is one service's share of a route.
-type RoutePart struct {
+// SplitTarget is one service's share of a route.
+type SplitTarget struct {
 	Service string
 	Weight  float64
 }
@@ -49,8 +49,8 @@
 	SlowStart time.Duration
 	// SlowStartRate is how many requests a second a cold upstream tolerates; 0 if the settings do not say.
 	SlowStartRate float64
-	// Connections bounds the connections to one upstream from all hosts together.
-	Connections int
+	// MaxConnections bounds the connections to one upstream from all hosts together.
+	MaxConnections int
 }
 
 // CallerLimits bound what a caller may send and how long it may be idle.
@@ -64,29 +64,29 @@
 // Upstream is one life of a server; another start of it has another ID.
 type Upstream struct {
 	ID string
-	// Born is when its process started, in Unix milliseconds on its own clock; 0 if it does not say. An upstream
-	// may start again under its ID: ID and Born name one life of it.
-	Born    int64
-	Service string
-	Address string
-	Zone    string
+	// StartedAt is when its process started, in Unix milliseconds on its own clock; 0 if it does not say. An upstream
+	// may start again under its ID: ID and StartedAt name one life of it.
+	StartedAt int64
+	Service   string
+	Address   string
+	Zone      string
 	// Slots is how many requests it works on at once.
 	Slots int
 	// Leaving upstreams get no new work.
 	Leaving bool
-	// ClosedAt is from when on it gets nothing, since its availability zone is evacuated; 0 if it is not.
-	ClosedAt Instant
-	// Warmup is how much longer it was cold when it last said so: slower than usual, and ended by too many requests.
-	Warmup time.Duration
+	// EvacuateAt is from when on it gets nothing, since its availability zone is evacuated; 0 if it is not.
+	EvacuateAt Instant
+	// RemainingWarmup is how much longer it was cold when it last said so: slower than usual, and ended by too many requests.
+	RemainingWarmup time.Duration
 	// ColdUntil is when that is over, by this process's clock; 0 if it was not cold.
 	ColdUntil Instant
-	// ColdBounded says that it bears only so many requests a second while it is cold, of which this host may send
+	// HasColdLimit says that it bears only so many requests a second while it is cold, of which this host may send
 	// ColdPart.
-	ColdBounded bool
-	ColdPart    int
+	HasColdLimit bool
+	ColdQuota    int
 }
 
-// BoundedAt reports whether the upstream is cold at a moment and bears only so many requests a second.
-func (upstream *Upstream) BoundedAt(now Instant) bool {
-	return upstream.ColdBounded && now < upstream.ColdUntil
+// IsColdLimited reports whether the upstream is cold at a moment and bears only so many requests a second.
+func (upstream *Upstream) IsColdLimited(now Instant) bool {
+	return upstream.HasColdLimit && now < upstream.ColdUntil
 }
--- a/settings.go
+++ b/settings.go
@@ -6,20 +6,20 @@
 type EntrySettings struct {
 	Name string
 	Zone string
-	// Callers, Readiness and Inner are IP and port.
-	Callers   string
-	Readiness string
-	Inner     string
-	// Metrics is IP and port, or empty.
-	Metrics string
+	// CallerAddress, Readiness and Inner are IP and port.
+	CallerAddress    string
+	ReadinessAddress string
+	InternalAddress  string
+	// MetricsAddress is IP and port, or empty.
+	MetricsAddress string
 	// MemoryBytes is the size beyond which the process is killed.
 	MemoryBytes int64
-	// Processor is what the host may use, in cores; 0 if the platform does not say.
-	Processor float64
-	// Descriptors is how many sockets and files it may have.
-	Descriptors int
-	Bounds      Bounds
-	StoreURL    string
+	// Cores is what the host may use, in cores; 0 if the platform does not say.
+	Cores float64
+	// MaxDescriptors is how many sockets and files it may have.
+	MaxDescriptors int
+	Bounds         Bounds
+	StoreURL       string
 	// Heartbeat is how often upstreams renew their entries.
 	Heartbeat time.Duration
 }
@@ -28,14 +28,14 @@
 type Bounds struct {
 	// Drain is how long a leaving upstream may still get work.
 	Drain time.Duration
-	// InForce is within what accepted settings have to be in force.
-	InForce time.Duration
+	// MaxSettingsDelay is within what accepted settings have to be in force.
+	MaxSettingsDelay time.Duration `json:"InForce"`
 	// Evacuate is within what the upstreams of an evacuated availability zone have to get nothing more.
 	Evacuate time.Duration
 	// Grace is the time from the request to stop to the kill.
 	Grace time.Duration
-	// MaxHold is the longest hold that an upstream takes.
-	MaxHold time.Duration
+	// MaxLeaseDuration is the longest hold that an upstream takes.
+	MaxLeaseDuration time.Duration `json:"MaxHold"`
 	// RetryRatio is the share of a service's requests that may be sent once more.
 	RetryRatio float64
 	// RetrySlack is how many more may be, in each RetryWindow.
@@ -45,6 +45,6 @@
 	// it tolerates, and so many requests more.
 	SlowStartFactor float64
 	SlowStartSlack  float64
-	// Settled is how long the store has to be well before its silence says anything.
-	Settled time.Duration
+	// StoreRecoveryTime is how long the store has to be well before its silence says anything.
+	StoreRecoveryTime time.Duration `json:"Settled"`
 }
--- a/share/awake_test.go
+++ b/share/awake_test.go
@@ -21,8 +21,8 @@
 	// another owner.
 	It("does not take what has waited in its socket for fresh word", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		self := cherrykeel.Peer{Name: "host-1", Life: "a", Inner: fakes.FreeAddress()}
-		other := cherrykeel.Peer{Name: "host-2", Life: "b", Inner: fakes.FreeAddress()}
+		self := cherrykeel.Peer{Name: "host-1", Incarnation: "a", InternalAddress: fakes.FreeAddress()}
+		other := cherrykeel.Peer{Name: "host-2", Incarnation: "b", InternalAddress: fakes.FreeAddress()}
 		told := make(chan share.Told, 100)
 		state := &member{running: map[string]int{}}
 		mesh := share.New(self, clock, zap.NewNop(), state, func() {}, func() {}, func(share.Demand) {}, func(one share.Told) { told <- one })
@@ -31,7 +31,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
 		go mesh.Run(ctx)
-		socket, err := net.Dial("udp", self.Inner)
+		socket, err := net.Dial("udp", self.InternalAddress)
 		Expect(err).NotTo(HaveOccurred())
 		defer socket.Close()
 		// Each report is followed by a record, whose arrival shows that the report has been read.
--- a/share/bench_test.go
+++ b/share/bench_test.go
@@ -79,7 +79,7 @@
 	loads := newLoads()
 	loads.takeSum(sum, 1)
 	loads.takeSum(rest, 1)
-	plan := topo.Plan{Label: sum.Group, Head: sum.Host}
+	plan := topo.Plan{GroupLabel: sum.Group, Aggregator: sum.Host}
 	b.ReportAllocs()
 	for b.Loop() {
 		loads.total(plan, "front-2", 1)
--- a/share/demand.go
+++ b/share/demand.go
@@ -34,7 +34,7 @@
 func (mesh *Mesh) TellDemand(keeper string, work func(service string) map[string]time.Duration) {
 	now := mesh.clock.Now()
 	mesh.mutex.Lock()
-	if !mesh.plan.Full && now.Sub(mesh.demandAt) < demandSlowdown*demandEvery {
+	if !mesh.plan.FullMesh && now.Sub(mesh.demandAt) < demandSlowdown*demandEvery {
 		mesh.mutex.Unlock()
 		return
 	}
--- a/share/group_test.go
+++ b/share/group_test.go
@@ -17,7 +17,7 @@
 
 	BeforeEach(func() {
 		members = nil
-		for i := range topo.FullHosts + 4 {
+		for i := range topo.MaxFullMeshHosts + 4 {
 			member := newMember(fmt.Sprintf("host-%d", i), "a", fmt.Sprintf("zone-%d", i%2))
 			members = append(members, member)
 		}
@@ -47,15 +47,15 @@
 	It("are all told through two hosts of each other group", func() {
 		teller := members[0]
 		plan := topo.New(teller.peer.Name, peersOf(members), allHeard{})
-		Expect(plan.Relays).To(HaveLen(2))
+		Expect(plan.Forwarders).To(HaveLen(2))
 		for _, member := range members {
-			if member.peer.Name == plan.Relays[0] {
+			if member.peer.Name == plan.Forwarders[0] {
 				member.stop()
 			}
 		}
 		teller.mesh.Tell("spans", []cherrykeel.KeyedRecord{{Key: "table", Value: []byte("x"), Offset: 7}}, 6)
 		for _, member := range members[1:] {
-			if member.peer.Name == plan.Relays[0] {
+			if member.peer.Name == plan.Forwarders[0] {
 				continue
 			}
 			Eventually(func() int { member.mutex.Lock(); defer member.mutex.Unlock(); return len(member.told) }, generous).Should(BeNumerically(">=", 1))
@@ -78,7 +78,7 @@
 		}
 		for _, member := range members {
 			plan := topo.New(member.peer.Name, peersOf(members), allHeard{})
-			if plan.Head == member.peer.Name {
+			if plan.Aggregator == member.peer.Name {
 				lost[member.peer.Name] = true
 				member.stop()
 			}
@@ -101,11 +101,11 @@
 		}
 		for _, member := range members {
 			hears := func() int { return len(member.mesh.Fresh()) }
-			if plan.Watches(member.peer.Name) || member.peer.Name == keeper {
+			if plan.IsHub(member.peer.Name) || member.peer.Name == keeper {
 				Eventually(hears, generous).Should(Equal(len(members) - 1))
 				continue
 			}
-			Eventually(func() bool { _, heard := member.mesh.Silence(keeper); return heard }, generous).Should(BeTrue())
+			Eventually(func() bool { _, heard := member.mesh.TimeSinceReport(keeper); return heard }, generous).Should(BeTrue())
 			Expect(member.mesh.Watching()).To(BeZero())
 			Eventually(func() int {
 				return member.mesh.Rank(func(share.Report) bool { return true })
@@ -119,7 +119,7 @@
 		plan := topo.New("host-0", peersOf(members), allHeard{})
 		var rest []*member
 		for _, member := range members {
-			if plan.Watches(member.peer.Name) {
+			if plan.IsHub(member.peer.Name) {
 				member.stop()
 				continue
 			}
--- a/share/liveness.go
+++ b/share/liveness.go
@@ -38,16 +38,16 @@
 	now  cherrykeel.Instant
 }
 
-// Silent implements topo.View. A host that has not been heard stays silent until it is: it would else
+// IsUnreachable implements topo.View. A host that has not been heard stays silent until it is: it would else
 // be chosen again each second.
-func (liveness *liveness) Silent(name string) bool {
+func (liveness *liveness) IsUnreachable(name string) bool {
 	spoken := &liveness.mesh.spoken
 	since, expected := spoken.expected[name]
 	return expected && liveness.now.Sub(since) > staleAfter && liveness.now.Sub(spoken.at[name]) > staleAfter
 }
 
-// Storeless implements topo.View.
-func (liveness *liveness) Storeless(name string) bool {
+// IsStoreUnreachable implements topo.View.
+func (liveness *liveness) IsStoreUnreachable(name string) bool {
 	if name == liveness.mesh.self.Name {
 		return liveness.mesh.storeless
 	}
--- a/share/loads.go
+++ b/share/loads.go
@@ -41,12 +41,12 @@
 // keep forgets what hosts told that are gone, or told in an earlier life.
 func (loads *loads) keep(peers map[string]cherrykeel.Peer) {
 	for name, heard := range loads.hosts {
-		if peers[name].Life != heard.load.Life {
+		if peers[name].Incarnation != heard.load.Life {
 			delete(loads.hosts, name)
 		}
 	}
 	for label, heard := range loads.sums {
-		if peers[heard.sum.Host].Life != heard.sum.Life {
+		if peers[heard.sum.Host].Incarnation != heard.sum.Life {
 			delete(loads.sums, label)
 		}
 	}
@@ -90,7 +90,7 @@
 
 // sum adds up what this host's group does, this host included.
 func (loads *loads) sum(plan topo.Plan, self cherrykeel.Peer, now cherrykeel.Instant) Sum {
-	sum := Sum{Host: self.Name, Life: self.Life, Group: plan.Label, Counts: newCounts(), Included: map[string]uint64{}}
+	sum := Sum{Host: self.Name, Life: self.Incarnation, Group: plan.GroupLabel, Counts: newCounts(), Included: map[string]uint64{}}
 	for _, name := range plan.Group {
 		heard, known := loads.hosts[name]
 		if known && now.Sub(heard.at) <= staleAfter {
@@ -107,22 +107,22 @@
 // total adds up what all others do, as far as they told lately.
 func (loads *loads) total(plan topo.Plan, self string, now cherrykeel.Instant) Counts {
 	total := newCounts()
-	if plan.Full || plan.Head == self {
+	if plan.FullMesh || plan.Aggregator == self {
 		for name, heard := range loads.hosts {
-			if now.Sub(heard.at) <= staleAfter && (plan.Full || contains(plan.Group, name)) {
+			if now.Sub(heard.at) <= staleAfter && (plan.FullMesh || contains(plan.Group, name)) {
 				total.add(heard.load.Counts, 1)
 			}
 		}
 	}
-	if plan.Full {
+	if plan.FullMesh {
 		return total
 	}
-	if plan.Head == self {
+	if plan.Aggregator == self {
 		rest := loads.rest(plan, now)
 		total.add(rest, 1)
 		return total
 	}
-	own, rest := loads.sums[plan.Label], loads.sums[restOf(plan.Label)]
+	own, rest := loads.sums[plan.GroupLabel], loads.sums[restOf(plan.GroupLabel)]
 	// Hundreds of upstreams stand in both; grown one by one, the map took as long as all else here.
 	total.Running = make(map[string]int, len(own.sum.Running)+len(rest.sum.Running))
 	if own.fresh(now) {
@@ -139,7 +139,7 @@
 func (loads *loads) rest(plan topo.Plan, now cherrykeel.Instant) Counts {
 	rest := newCounts()
 	for label, heard := range loads.sums {
-		if label != plan.Label && !isRest(label) && now.Sub(heard.at) <= staleAfter {
+		if label != plan.GroupLabel && !isRest(label) && now.Sub(heard.at) <= staleAfter {
 			rest.add(heard.sum.Counts, 1)
 		}
 	}
--- a/share/mesh.go
+++ b/share/mesh.go
@@ -97,13 +97,13 @@
 		self: self, clock: clock, logger: logger, state: state, reported: reported, counted: counted, demand: demand, told: told,
 		peers: map[string]cherrykeel.Peer{}, resolved: map[string]*net.UDPAddr{},
 		heard: map[string]Heard{}, silent: map[string]bool{}, asked: map[string][]int{},
-		fleet: topo.NewFleet(self.Name, []cherrykeel.Peer{self}), plan: topo.Plan{Full: true}, watchingSince: clock.Now(), awakeAt: clock.Now(), spoken: newSpoken(), loads: newLoads(), workTold: map[string]toldWork{},
+		fleet: topo.NewFleet(self.Name, []cherrykeel.Peer{self}), plan: topo.Plan{FullMesh: true}, watchingSince: clock.Now(), awakeAt: clock.Now(), spoken: newSpoken(), loads: newLoads(), workTold: map[string]toldWork{},
 	}
 }
 
 // Listen opens the socket.
 func (mesh *Mesh) Listen() error {
-	address, err := net.ResolveUDPAddr("udp", mesh.self.Inner)
+	address, err := net.ResolveUDPAddr("udp", mesh.self.InternalAddress)
 	if err != nil {
 		return errors.WithStack(err)
 	}
@@ -121,7 +121,7 @@
 		if peer.Name == mesh.self.Name {
 			continue
 		}
-		address, err := net.ResolveUDPAddr("udp", peer.Inner)
+		address, err := net.ResolveUDPAddr("udp", peer.InternalAddress)
 		if err != nil {
 			events.Log(mesh.logger, events.RecordInvalid, zap.String("Host", peer.Name), zap.Error(err))
 			continue
@@ -130,7 +130,7 @@
 		mesh.resolved[peer.Name] = address
 	}
 	for name, heard := range mesh.heard {
-		if mesh.peers[name].Life != heard.Report.Life {
+		if mesh.peers[name].Incarnation != heard.Report.Life {
 			delete(mesh.heard, name)
 			mesh.spoken.forget(name)
 		}
@@ -159,10 +159,10 @@
 	if !mesh.watches(before) && mesh.watches(mesh.plan) {
 		mesh.watchingSince = now
 	}
-	if before.Label != mesh.plan.Label || before.Head != mesh.plan.Head {
+	if before.GroupLabel != mesh.plan.GroupLabel || before.Aggregator != mesh.plan.Aggregator {
 		events.Log(mesh.logger, events.GroupChanged,
-			zap.String("Group", mesh.plan.Label), zap.String("Head", mesh.plan.Head), zap.Int("Members", len(mesh.plan.Group)),
-			zap.Strings("Watchers", mesh.plan.Watchers), zap.Bool("Full", mesh.plan.Full))
+			zap.String("Group", mesh.plan.GroupLabel), zap.String("Head", mesh.plan.Aggregator), zap.Int("Members", len(mesh.plan.Group)),
+			zap.Strings("Watchers", mesh.plan.Hubs), zap.Bool("Full", mesh.plan.FullMesh))
 	}
 }
 
@@ -205,8 +205,8 @@
 	return mesh.Reports(staleAfter)
 }
 
-// Silence returns how long a host has not been heard; false if it never was in its present life.
-func (mesh *Mesh) Silence(name string) (time.Duration, bool) {
+// TimeSinceReport returns how long a host has not been heard; false if it never was in its present life.
+func (mesh *Mesh) TimeSinceReport(name string) (time.Duration, bool) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	heard, known := mesh.heard[name]
@@ -218,7 +218,7 @@
 
 // watches reports whether this host hears from all others under a plan.
 func (mesh *Mesh) watches(plan topo.Plan) bool {
-	return plan.Full || plan.Watches(mesh.self.Name)
+	return plan.FullMesh || plan.IsHub(mesh.self.Name)
 }
 
 // Watching returns how long this host has heard from all others; 0 while it does not.
@@ -236,10 +236,10 @@
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	now := mesh.clock.Now()
-	own := mesh.plan.Place(mesh.self.Name)
+	own := mesh.plan.Rank(mesh.self.Name)
 	rank := 0
 	for name, heard := range mesh.heard {
-		if now.Sub(heard.At) <= staleAfter && mesh.plan.Place(name) < own && counts(heard.Report) {
+		if now.Sub(heard.At) <= staleAfter && mesh.plan.Rank(name) < own && counts(heard.Report) {
 			rank++
 		}
 	}
@@ -250,11 +250,11 @@
 func (mesh *Mesh) Place() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	return mesh.plan.Place(mesh.self.Name)
+	return mesh.plan.Rank(mesh.self.Name)
 }
 
-// Known returns how many hosts there are, this one included.
-func (mesh *Mesh) Known() int {
+// HostCount returns how many hosts there are, this one included.
+func (mesh *Mesh) HostCount() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	return len(mesh.peers) + 1
--- a/share/send.go
+++ b/share/send.go
@@ -54,14 +54,14 @@
 }
 
 func (mesh *Mesh) sendReport(sender *sender, now cherrykeel.Instant) {
-	report := Report{Host: mesh.self.Name, Life: mesh.self.Life, Term: -1}
+	report := Report{Host: mesh.self.Name, Life: mesh.self.Incarnation, Term: -1}
 	mesh.state.Report(&report)
 	mesh.noteStore(report.StoreWell)
 	// Times are other ones in each report; that alone is no change to tell of.
 	ages, finals := report.Ages, report.Finals
 	report.Ages, report.Finals = nil, nil
 	pace := reportEvery
-	if !mesh.currentPlan().Full {
+	if !mesh.currentPlan().FullMesh {
 		pace *= reportSlowdown
 	}
 	if reflect.DeepEqual(report, sender.report) && now.Sub(sender.reportAt) < pace {
@@ -81,7 +81,7 @@
 	mesh.ended = true
 	names := mesh.names()
 	mesh.mutex.Unlock()
-	report := Report{Host: mesh.self.Name, Life: mesh.self.Life, Term: -1, Ended: true}
+	report := Report{Host: mesh.self.Name, Life: mesh.self.Incarnation, Term: -1, Ended: true}
 	mesh.state.Report(&report)
 	report.Sequence = mesh.nextSequence()
 	mesh.send(methodReport, report, names)
@@ -106,11 +106,11 @@
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	plan := mesh.plan
-	if plan.Full || plan.Watches(mesh.self.Name) || mesh.keeper == mesh.self.Name {
+	if plan.FullMesh || plan.IsHub(mesh.self.Name) || mesh.keeper == mesh.self.Name {
 		return mesh.names()
 	}
 	to := map[string]bool{mesh.keeper: true}
-	for _, name := range plan.Watchers {
+	for _, name := range plan.Hubs {
 		to[name] = true
 		mesh.spoken.expect(name, now)
 	}
@@ -123,7 +123,7 @@
 }
 
 func (mesh *Mesh) sendLoad(sender *sender, now cherrykeel.Instant) {
-	load := Load{Host: mesh.self.Name, Life: mesh.self.Life}
+	load := Load{Host: mesh.self.Name, Life: mesh.self.Incarnation}
 	pace := calmEvery
 	if mesh.state.Load(&load) {
 		pace = busyEvery
@@ -145,14 +145,14 @@
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	mesh.loads.sent(load, now)
-	if mesh.plan.Full {
+	if mesh.plan.FullMesh {
 		return mesh.names()
 	}
-	if mesh.plan.Head == mesh.self.Name {
+	if mesh.plan.Aggregator == mesh.self.Name {
 		return nil
 	}
-	mesh.spoken.expect(mesh.plan.Head, now)
-	return []string{mesh.plan.Head}
+	mesh.spoken.expect(mesh.plan.Aggregator, now)
+	return []string{mesh.plan.Aggregator}
 }
 
 // sendSum tells the members of this host's group what the group does, and less often what all other groups
@@ -160,14 +160,14 @@
 func (mesh *Mesh) sendSum(sender *sender, now cherrykeel.Instant) {
 	mesh.mutex.Lock()
 	plan := mesh.plan
-	if plan.Full || plan.Head != mesh.self.Name {
+	if plan.FullMesh || plan.Aggregator != mesh.self.Name {
 		mesh.mutex.Unlock()
 		return
 	}
 	sum := mesh.loads.sum(plan, mesh.self, now)
-	rest := Sum{Host: sum.Host, Life: sum.Life, Group: restOf(plan.Label), Counts: mesh.loads.rest(plan, now)}
+	rest := Sum{Host: sum.Host, Life: sum.Life, Group: restOf(plan.GroupLabel), Counts: mesh.loads.rest(plan, now)}
 	heads := map[string]bool{}
-	for _, name := range plan.Heads {
+	for _, name := range plan.Aggregators {
 		heads[name] = true
 		mesh.spoken.expect(name, now)
 	}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -69,7 +69,7 @@
 
 func newMemberWith(logger *zap.Logger, name, life, zone string) *member {
 	GinkgoHelper()
-	member := &member{peer: cherrykeel.Peer{Name: name, Life: life, Inner: fakes.FreeAddress(), Zone: zone}, running: map[string]int{}}
+	member := &member{peer: cherrykeel.Peer{Name: name, Incarnation: life, InternalAddress: fakes.FreeAddress(), Zone: zone}, running: map[string]int{}}
 	member.mesh = share.New(member.peer, cherrykeel.SystemClock(), logger, member, func() { member.changes.Add(1) }, func() { member.changes.Add(1) },
 		func(demand share.Demand) { member.set(func() { member.demands = append(member.demands, demand) }) },
 		func(told share.Told) { member.set(func() { member.told = append(member.told, told) }) })
@@ -100,8 +100,8 @@
 // allHeard is the view of a host that hears all others.
 type allHeard struct{}
 
-func (allHeard) Silent(string) bool    { return false }
-func (allHeard) Storeless(string) bool { return false }
+func (allHeard) IsUnreachable(string) bool      { return false }
+func (allHeard) IsStoreUnreachable(string) bool { return false }
 
 var _ = Describe("the hosts", func() {
 	var one, two *member
@@ -125,7 +125,7 @@
 		two.set(func() { delete(two.running, "u1") })
 		Eventually(running(one, "u1"), generous).Should(BeZero())
 		Expect(one.changes.Load()).NotTo(BeZero())
-		Expect(one.mesh.Known()).To(Equal(2))
+		Expect(one.mesh.HostCount()).To(Equal(2))
 	})
 
 	// A host dies with requests at an upstream. Counted for ever, they would keep the upstream's slots from
@@ -135,7 +135,7 @@
 		Eventually(running(one, "u1"), generous).Should(Equal(3))
 		two.stop()
 		Eventually(running(one, "u1"), generous).Should(BeZero())
-		silence, heard := one.mesh.Silence("host-2")
+		silence, heard := one.mesh.TimeSinceReport("host-2")
 		Expect(heard).To(BeTrue())
 		Expect(silence).To(BeNumerically(">", 0))
 	})
@@ -144,7 +144,7 @@
 	It("believe only the present life of a host", func() {
 		Eventually(func() int { return len(one.mesh.Fresh()) }, generous).Should(Equal(1))
 		next := two.peer
-		next.Life = "c"
+		next.Incarnation = "c"
 		one.mesh.SetPeers([]cherrykeel.Peer{one.peer, next})
 		Consistently(func() int { return len(one.mesh.Fresh()) }, "600ms").Should(BeZero())
 	})
@@ -183,7 +183,7 @@
 	})
 
 	It("go on after a message that cannot be read", func() {
-		socket, err := net.Dial("udp", one.peer.Inner)
+		socket, err := net.Dial("udp", one.peer.InternalAddress)
 		Expect(err).NotTo(HaveOccurred())
 		defer socket.Close()
 		for _, text := range []string{"", "{", `{"jsonrpc":"2.0","method":"Report"}`, `{"jsonrpc":"2.0","method":"Report","params":[1]}`, `{"jsonrpc":"2.0","method":"Other","params":{}}`} {
--- a/share/take.go
+++ b/share/take.go
@@ -81,7 +81,7 @@
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	peer, known := mesh.peers[report.Host]
-	if !known || peer.Life != report.Life {
+	if !known || peer.Incarnation != report.Life {
 		mesh.unknown = true
 		return false
 	}
@@ -114,7 +114,7 @@
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	peer, known := mesh.peers[load.Host]
-	if !known || peer.Life != load.Life {
+	if !known || peer.Incarnation != load.Life {
 		return false
 	}
 	return mesh.loads.take(load, mesh.clock.Now())
@@ -126,7 +126,7 @@
 	defer mesh.mutex.Unlock()
 	peer, known := mesh.peers[sum.Host]
 	now := mesh.clock.Now()
-	if !known || peer.Life != sum.Life || !mesh.loads.takeSum(sum, now) {
+	if !known || peer.Incarnation != sum.Life || !mesh.loads.takeSum(sum, now) {
 		return false
 	}
 	mesh.spoken.heard(sum.Host, now)
--- a/share/tell.go
+++ b/share/tell.go
@@ -34,10 +34,10 @@
 func (mesh *Mesh) tellTo() (direct, relays []string) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	if mesh.plan.Full {
+	if mesh.plan.FullMesh {
 		return mesh.names(), nil
 	}
-	return mesh.plan.Group, mesh.plan.Relays
+	return mesh.plan.Group, mesh.plan.Forwarders
 }
 
 // forward passes a message on to this host's group if it is asked to.
--- a/topo/bench_test.go
+++ b/topo/bench_test.go
@@ -24,5 +24,5 @@
 // everyone is a fleet in which nobody is silent.
 type everyone struct{}
 
-func (everyone) Silent(string) bool    { return false }
-func (everyone) Storeless(string) bool { return false }
+func (everyone) IsUnreachable(string) bool      { return false }
+func (everyone) IsStoreUnreachable(string) bool { return false }
--- a/topo/plan.go
+++ b/topo/plan.go
@@ -5,9 +5,9 @@
 )
 
 const (
-	// FullHosts is up to how many hosts each tells each other one: 12 send some 130 messages in the time in
+	// MaxFullMeshHosts is up to how many hosts each tells each other one: 12 send some 130 messages in the time in
 	// which 72 would send 5,100, and 72 did not play a quiet day to its end that way.
-	FullHosts = 12
+	MaxFullMeshHosts = 12
 	// groupHosts bounds a group. Its head sends one sum to each member about six times a second; 24 sums of
 	// 2 KB are 290 KB/s, a quarter of the smallest link seen, 10 Mbit/s.
 	groupHosts = 24
@@ -30,29 +30,29 @@
 
 // View is what a host knows of the others' state.
 type View interface {
-	// Silent reports whether a host should have been heard and has not.
-	Silent(name string) bool
-	// Storeless reports whether a host says that the store does not serve it.
-	Storeless(name string) bool
+	// IsUnreachable reports whether a host should have been heard and has not.
+	IsUnreachable(name string) bool
+	// IsStoreUnreachable reports whether a host says that the store does not serve it.
+	IsStoreUnreachable(name string) bool
 }
 
 // Plan says to whom one host sends.
 type Plan struct {
-	// Full means that each host tells each other one, and nothing else of the plan counts.
-	Full bool
+	// FullMesh means that each host tells each other one, and nothing else of the plan counts.
+	FullMesh bool
 	// Order has all hosts: those that can carry most first, the others by a hash.
 	Order []string
-	// Watchers hear the reports of all hosts and send theirs to all.
-	Watchers []string
+	// Hubs hear the reports of all hosts and send theirs to all.
+	Hubs []string
 	// Group has the hosts of this host's group, itself included, and Head sums up their loads.
-	Group []string
-	Head  string
-	// Heads are the heads of the other groups, as far as this host can tell.
-	Heads []string
-	// Relays are the hosts of the other groups that pass on to their groups what is told to all.
-	Relays []string
-	// Label names this host's group.
-	Label string
+	Group      []string
+	Aggregator string
+	// Aggregators are the heads of the other groups, as far as this host can tell.
+	Aggregators []string
+	// Forwarders are the hosts of the other groups that pass on to their groups what is told to all.
+	Forwarders []string
+	// GroupLabel names this host's group.
+	GroupLabel string
 
 	places map[string]int
 }
@@ -65,30 +65,30 @@
 // Plan returns the present plan by what is known of the hosts.
 func (fleet *Fleet) Plan(view View) Plan {
 	plan := Plan{
-		Full:  len(fleet.order) <= FullHosts,
-		Order: fleet.order, Label: fleet.label, Group: fleet.groups[fleet.label],
+		FullMesh: len(fleet.order) <= MaxFullMeshHosts,
+		Order:    fleet.order, GroupLabel: fleet.label, Group: fleet.groups[fleet.label],
 		places: fleet.places,
 	}
-	plan.Watchers = chooseWatchers(fleet.self, fleet.order, view)
+	plan.Hubs = chooseWatchers(fleet.self, fleet.order, view)
 	if len(plan.Group) > 0 {
-		plan.Head = first(fleet.self, plan.Group, view)
+		plan.Aggregator = first(fleet.self, plan.Group, view)
 	}
 	for _, label := range fleet.labels {
-		if label != plan.Label {
-			plan.Heads = append(plan.Heads, first(fleet.self, fleet.groups[label], view))
-			plan.Relays = append(plan.Relays, heard(fleet.groups[label], view)...)
+		if label != plan.GroupLabel {
+			plan.Aggregators = append(plan.Aggregators, first(fleet.self, fleet.groups[label], view))
+			plan.Forwarders = append(plan.Forwarders, heard(fleet.groups[label], view)...)
 		}
 	}
 	return plan
 }
 
-// Watches reports whether a host is a watcher.
-func (plan Plan) Watches(name string) bool {
-	return contains(plan.Watchers, name)
+// IsHub reports whether a host is a watcher.
+func (plan Plan) IsHub(name string) bool {
+	return contains(plan.Hubs, name)
 }
 
-// Place returns a host's place in the order, or the number of hosts if it is not there.
-func (plan Plan) Place(name string) int {
+// Rank returns a host's place in the order, or the number of hosts if it is not there.
+func (plan Plan) Rank(name string) int {
 	place, known := plan.places[name]
 	if !known {
 		return len(plan.Order)
@@ -105,11 +105,11 @@
 		if counted == watchers || len(chosen) == mostWatchers {
 			break
 		}
-		if name != self && view.Silent(name) {
+		if name != self && view.IsUnreachable(name) {
 			continue
 		}
 		chosen = append(chosen, name)
-		if !view.Storeless(name) {
+		if !view.IsStoreUnreachable(name) {
 			counted++
 		}
 	}
@@ -119,7 +119,7 @@
 // first returns the first host that is not silent, or the first if all are.
 func first(self string, names []string, view View) string {
 	for _, name := range names {
-		if name == self || !view.Silent(name) {
+		if name == self || !view.IsUnreachable(name) {
 			return name
 		}
 	}
@@ -130,7 +130,7 @@
 func heard(names []string, view View) []string {
 	var relays []string
 	for _, name := range names {
-		if len(relays) < relaysPerGroup && !view.Silent(name) {
+		if len(relays) < relaysPerGroup && !view.IsUnreachable(name) {
 			relays = append(relays, name)
 		}
 	}
@@ -151,6 +151,6 @@
 
 // SumTicks returns in how many ticks once a head tells the other heads its sum, and its group theirs.
 func (plan Plan) SumTicks() int {
-	ticks := (len(plan.Heads) + sumsPerTick - 1) / sumsPerTick
+	ticks := (len(plan.Aggregators) + sumsPerTick - 1) / sumsPerTick
 	return min(max(1, ticks), slowestSumTicks)
 }
--- a/topo/plan_test.go
+++ b/topo/plan_test.go
@@ -21,8 +21,8 @@
 	storeless map[string]bool
 }
 
-func (view view) Silent(name string) bool    { return view.silent[name] }
-func (view view) Storeless(name string) bool { return view.storeless[name] }
+func (view view) IsUnreachable(name string) bool      { return view.silent[name] }
+func (view view) IsStoreUnreachable(name string) bool { return view.storeless[name] }
 
 // fleet returns hosts in four zones, of which two a zone can carry five times as much as the others.
 func fleet(perZone int) []cherrykeel.Peer {
@@ -45,14 +45,14 @@
 		plan := topo.New(peer.Name, peers, view{})
 		sent := 0
 		switch {
-		case plan.Full:
+		case plan.FullMesh:
 			sent = 2 * (len(peers) - 1)
 		default:
-			sent = 1 + len(plan.Watchers)
-			if plan.Head == peer.Name {
-				sent += len(plan.Group) + len(plan.Heads)*(1+len(plan.Group))
+			sent = 1 + len(plan.Hubs)
+			if plan.Aggregator == peer.Name {
+				sent += len(plan.Group) + len(plan.Aggregators)*(1+len(plan.Group))
 			}
-			if plan.Watches(peer.Name) {
+			if plan.IsHub(peer.Name) {
 				sent += len(peers)
 			}
 		}
@@ -69,7 +69,7 @@
 		for _, peer := range peers {
 			plan := topo.New(peer.Name, peers, view{})
 			Expect(plan.Order).To(Equal(want.Order))
-			Expect(plan.Watchers).To(Equal(want.Watchers))
+			Expect(plan.Hubs).To(Equal(want.Hubs))
 			Expect(plan.Group).To(ContainElement(peer.Name))
 		}
 	})
@@ -77,16 +77,16 @@
 	It("gives duties to the hosts that can carry most", func() {
 		peers := fleet(18)
 		plan := topo.New("a-9", peers, view{})
-		Expect(plan.Head).To(BeElementOf("a-0", "a-1"))
-		Expect(plan.Heads).To(HaveLen(3))
-		for _, name := range append(plan.Watchers, plan.Heads...) {
+		Expect(plan.Aggregator).To(BeElementOf("a-0", "a-1"))
+		Expect(plan.Aggregators).To(HaveLen(3))
+		for _, name := range append(plan.Hubs, plan.Aggregators...) {
 			Expect(name).To(MatchRegexp(`-[01]$`))
 		}
 	})
 
 	It("keeps every host telling each other one while they are few", func() {
-		Expect(topo.New("a-0", fleet(3), view{}).Full).To(BeTrue())
-		Expect(topo.New("a-0", fleet(4), view{}).Full).To(BeFalse())
+		Expect(topo.New("a-0", fleet(3), view{}).FullMesh).To(BeTrue())
+		Expect(topo.New("a-0", fleet(4), view{}).FullMesh).To(BeFalse())
 	})
 
 	// Each host to each other one is 72 times 71 messages a round for loads, and as many for reports.
@@ -102,23 +102,23 @@
 	// the other groups' heads find it there.
 	It("replaces a head that is silent", func() {
 		peers := fleet(18)
-		head := topo.New("a-9", peers, view{}).Head
+		head := topo.New("a-9", peers, view{}).Aggregator
 		lost := view{silent: map[string]bool{head: true}}
-		next := topo.New("a-9", peers, lost).Head
+		next := topo.New("a-9", peers, lost).Aggregator
 		Expect(next).NotTo(Equal(head))
-		Expect(topo.New(next, peers, lost).Head).To(Equal(next))
-		Expect(topo.New("b-9", peers, lost).Heads).To(ContainElement(next))
+		Expect(topo.New(next, peers, lost).Aggregator).To(Equal(next))
+		Expect(topo.New("b-9", peers, lost).Aggregators).To(ContainElement(next))
 	})
 
 	It("replaces watchers that are silent", func() {
 		peers := fleet(18)
 		silent := map[string]bool{}
-		for _, name := range topo.New("a-9", peers, view{}).Watchers {
+		for _, name := range topo.New("a-9", peers, view{}).Hubs {
 			silent[name] = true
 		}
 		plan := topo.New("a-9", peers, view{silent: silent})
-		Expect(plan.Watchers).To(HaveLen(4))
-		for _, name := range plan.Watchers {
+		Expect(plan.Hubs).To(HaveLen(4))
+		for _, name := range plan.Hubs {
 			Expect(silent).NotTo(HaveKey(name))
 		}
 	})
@@ -128,11 +128,11 @@
 	It("adds watchers whom the store serves", func() {
 		peers := fleet(18)
 		storeless := map[string]bool{}
-		for _, name := range topo.New("a-9", peers, view{}).Watchers {
+		for _, name := range topo.New("a-9", peers, view{}).Hubs {
 			storeless[name] = true
 		}
 		plan := topo.New("a-9", peers, view{storeless: storeless})
-		Expect(plan.Watchers).To(HaveLen(8))
+		Expect(plan.Hubs).To(HaveLen(8))
 	})
 
 	// Guards against watchers that follow each other in an outage until everyone tells everyone.
@@ -142,14 +142,14 @@
 		for _, peer := range peers {
 			storeless[peer.Name] = true
 		}
-		Expect(topo.New("a-9", peers, view{storeless: storeless}).Watchers).To(HaveLen(12))
+		Expect(topo.New("a-9", peers, view{storeless: storeless}).Hubs).To(HaveLen(12))
 		gone := map[string]bool{}
 		for _, name := range topo.New("a-9", peers, view{}).Order[:40] {
 			gone[name] = true
 		}
 		plan := topo.New("a-9", peers, view{silent: gone, storeless: storeless})
-		Expect(plan.Watchers).To(HaveLen(12))
-		for _, name := range plan.Watchers {
+		Expect(plan.Hubs).To(HaveLen(12))
+		for _, name := range plan.Hubs {
 			Expect(name == "a-9" || !gone[name]).To(BeTrue(), name)
 		}
 	})
@@ -160,7 +160,7 @@
 		for _, peer := range peers {
 			plan := topo.New(peer.Name, peers, view{})
 			Expect(len(plan.Group)).To(BeNumerically("<=", 24))
-			seen[plan.Label] = true
+			seen[plan.GroupLabel] = true
 		}
 		Expect(seen).To(HaveLen(16))
 	})
@@ -169,7 +169,7 @@
 // Guards against sums among groups that grow with the square of the groups at the pace that few groups need.
 var _ = DescribeTable("how often a head tells the others its sum",
 	func(heads, ticks int) {
-		Expect(topo.Plan{Heads: make([]string, heads)}.SumTicks()).To(Equal(ticks))
+		Expect(topo.Plan{Aggregators: make([]string, heads)}.SumTicks()).To(Equal(ticks))
 	},
 	Entry("one group", 0, 1),
 	Entry("four groups", 3, 1),
--- a/views/view.go
+++ b/views/view.go
@@ -48,7 +48,7 @@
 func (view *View) Grant(grant cherrykeel.Grant, now cherrykeel.Instant) cherrykeel.Holding {
 	reason := ""
 	switch {
-	case grant.Boot != view.boot:
+	case grant.Incarnation != view.boot:
 		reason = "the grant is for another start of this host"
 	case grant.Fence.Less(view.fence):
 		reason = "the fence is older than the one held"
@@ -92,12 +92,12 @@
 // Holding says what the host may still send, or has sent without an answer yet.
 func (view *View) Holding(now cherrykeel.Instant) cherrykeel.Holding {
 	holding := cherrykeel.Holding{
-		Service: view.service,
-		Boot:    view.boot,
-		Now:     now.Sub(0),
-		Fence:   view.fence,
-		Until:   view.until.Sub(0),
-		Owners:  map[string][]int{},
+		Service:     view.service,
+		Incarnation: view.boot,
+		Now:         now.Sub(0),
+		Fence:       view.fence,
+		Until:       view.until.Sub(0),
+		Owners:      map[string][]int{},
 	}
 	for partition, owner := range view.owners {
 		if owner != "" {
--- a/watch/entries.go
+++ b/watch/entries.go
@@ -18,18 +18,18 @@
 		upstreams.noteInvalid(record, err)
 		return false
 	}
-	if upstream.Warmup > 0 {
-		upstream.ColdUntil = upstreams.clock.Now().Add(upstream.Warmup)
+	if upstream.RemainingWarmup > 0 {
+		upstream.ColdUntil = upstreams.clock.Now().Add(upstream.RemainingWarmup)
 	}
 	since := record.Offset
 	if known {
 		switch {
-		case upstream.Born < old.upstream.Born:
+		case upstream.StartedAt < old.upstream.StartedAt:
 			// A late word of an earlier life; what it says of leaving is not said of this one.
 			return false
-		case upstream.Born == old.upstream.Born && old.ended:
+		case upstream.StartedAt == old.upstream.StartedAt && old.ended:
 			return false
-		case upstream.Born == old.upstream.Born:
+		case upstream.StartedAt == old.upstream.StartedAt:
 			since, latest = old.since, old.latest
 		}
 	}
@@ -42,14 +42,14 @@
 	upstreams.untold = append(upstreams.untold, record)
 	events.Log(upstreams.logger, events.UpstreamSeen,
 		zap.String("Upstream", upstream.ID), zap.String("Service", upstream.Service), zap.String("Address", upstream.Address),
-		zap.Int64("Born", upstream.Born), zap.Bool("Leaving", upstream.Leaving), zap.Duration("Cold", upstream.Warmup), zap.Int64("Offset", record.Offset))
+		zap.Int64("Born", upstream.StartedAt), zap.Bool("Leaving", upstream.Leaving), zap.Duration("Cold", upstream.RemainingWarmup), zap.Int64("Offset", record.Offset))
 	return true
 }
 
 // sameToHosts reports whether an entry says nothing new that the other hosts have to know.
 func sameToHosts(old, next cherrykeel.Upstream) bool {
 	cold := next.ColdUntil > old.ColdUntil.Add(coldAgain)
-	return !cold && old.Leaving == next.Leaving && old.Address == next.Address && old.Born == next.Born
+	return !cold && old.Leaving == next.Leaving && old.Address == next.Address && old.StartedAt == next.StartedAt
 }
 
 // noteInvalid logs an entry that names no upstream, once for each record. What is known of its key stays: another
--- a/watch/follow.go
+++ b/watch/follow.go
@@ -199,7 +199,7 @@
 	if errors.Is(err, errInterrupted) {
 		return nil
 	}
-	if errors.Is(err, cherrykeel.ErrForgotten) {
+	if errors.Is(err, cherrykeel.ErrRecordsExpired) {
 		return follower.readNewest(ctx)
 	}
 	if err != nil {
--- a/watch/peers.go
+++ b/watch/peers.go
@@ -93,7 +93,7 @@
 	peers.peers[record.Key] = peer
 	peers.since[record.Key] = peers.clock.Now()
 	events.Log(peers.logger, events.PeerSeen,
-		zap.String("Host", peer.Name), zap.String("Life", peer.Life), zap.String("Address", peer.Inner), zap.Int64("Offset", record.Offset))
+		zap.String("Host", peer.Name), zap.String("Life", peer.Incarnation), zap.String("Address", peer.InternalAddress), zap.Int64("Offset", record.Offset))
 	return true
 }
 
@@ -105,11 +105,11 @@
 	if err != nil {
 		return peer, err
 	}
-	_, err = netip.ParseAddrPort(peer.Inner)
+	_, err = netip.ParseAddrPort(peer.InternalAddress)
 	if err != nil {
 		return peer, err
 	}
-	if peer.Name != record.Key || peer.Life == "" {
+	if peer.Name != record.Key || peer.Incarnation == "" {
 		return peer, errNoPeer
 	}
 	return peer, nil
@@ -131,7 +131,7 @@
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	peer, known := peers.peers[name]
-	return peer.Life, known
+	return peer.Incarnation, known
 }
 
 // Age returns how long ago a host's record was read.
--- a/watch/replaced_test.go
+++ b/watch/replaced_test.go
@@ -18,7 +18,7 @@
 	It("are told apart by their births too, if they say them, and not by which was read of last alone", func() {
 		born := map[string]int64{"earlier": 1000, "later": 9000}
 		decode := func(id string, value []byte) (cherrykeel.Upstream, error) {
-			return cherrykeel.Upstream{ID: id, Address: string(value), Born: born[id]}, nil
+			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: born[id]}, nil
 		}
 		view := watch.NewUpstreams(decode, cherrykeel.SystemClock(), zap.NewNop(), func() {}, func([]cherrykeel.KeyedRecord, int64) {})
 		view.SetHealth(func() time.Duration { return time.Hour })
@@ -35,7 +35,7 @@
 	It("is not replaced by it, though its clock is behind", func() {
 		born := map[string]int64{"earlier": 10000, "later": 8000}
 		decode := func(id string, value []byte) (cherrykeel.Upstream, error) {
-			return cherrykeel.Upstream{ID: id, Address: string(value), Born: born[id]}, nil
+			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: born[id]}, nil
 		}
 		view := watch.NewUpstreams(decode, cherrykeel.SystemClock(), zap.NewNop(), func() {}, func([]cherrykeel.KeyedRecord, int64) {})
 		view.SetHealth(func() time.Duration { return time.Hour })
--- a/watch/upstreams.go
+++ b/watch/upstreams.go
@@ -197,7 +197,7 @@
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	known, exists := upstreams.entries[id]
-	return exists && known.upstream.Born == born && known.upstream.Leaving
+	return exists && known.upstream.StartedAt == born && known.upstream.Leaving
 }
 
 // Refused returns how many entries named no upstream.
@@ -231,6 +231,6 @@
 	if entry.since <= other.since {
 		return false
 	}
-	told := entry.upstream.Born > 0 && other.upstream.Born > 0
-	return !entry.latest || !told || entry.upstream.Born > other.upstream.Born
+	told := entry.upstream.StartedAt > 0 && other.upstream.StartedAt > 0
+	return !entry.latest || !told || entry.upstream.StartedAt > other.upstream.StartedAt
 }
--- a/watch/upstreams_test.go
+++ b/watch/upstreams_test.go
@@ -107,7 +107,7 @@
 		Expect(names()).To(Equal([]string{"a"}))
 		Expect(view.Replaced("a", "")).To(BeFalse())
 		apply(`{"Born":100,"Leaving":true}`, 4)
-		Expect(view.Current()).To(Equal([]cherrykeel.Upstream{{ID: "a", Born: 200}}))
+		Expect(view.Current()).To(Equal([]cherrykeel.Upstream{{ID: "a", StartedAt: 200}}))
 	})
 
 	It("hold when another writer's entry stands in the place of one", func() {
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -66,7 +66,7 @@
 func nothing(ctx context.Context, from int64) (cherrykeel.KeyedBatch, error) {
 	select {
 	case <-ctx.Done():
-		return cherrykeel.KeyedBatch{}, errors.Wrap(cherrykeel.ErrStoreAway, ctx.Err().Error())
+		return cherrykeel.KeyedBatch{}, errors.Wrap(cherrykeel.ErrStoreUnavailable, ctx.Err().Error())
 	case <-time.After(5 * time.Millisecond):
 		return cherrykeel.KeyedBatch{Next: from}, nil
 	}
@@ -89,7 +89,7 @@
 		log.read = func(ctx context.Context, _ int64) (cherrykeel.KeyedBatch, error) {
 			hanging <- struct{}{}
 			<-ctx.Done()
-			return cherrykeel.KeyedBatch{}, errors.Wrap(cherrykeel.ErrStoreAway, "cut")
+			return cherrykeel.KeyedBatch{}, errors.Wrap(cherrykeel.ErrStoreUnavailable, "cut")
 		}
 		follower, updates := follow(log, watch.Schedule{Wait: time.Hour})
 		Eventually(updates, generous).Should(Receive())
@@ -156,7 +156,7 @@
 		var tries atomic.Int64
 		log.newest = func() (cherrykeel.KeyedBatch, error) {
 			tries.Add(1)
-			return cherrykeel.KeyedBatch{}, errors.WithStack(cherrykeel.ErrStoreAway)
+			return cherrykeel.KeyedBatch{}, errors.WithStack(cherrykeel.ErrStoreUnavailable)
 		}
 		follower, _ := follow(log, watch.Schedule{Patience: 100_000})
 		Eventually(tries.Load, generous).Should(Equal(int64(1)))
@@ -180,7 +180,7 @@
 		log.read = func(context.Context, int64) (cherrykeel.KeyedBatch, error) {
 			forgotten <- struct{}{}
 			time.Sleep(time.Millisecond)
-			return cherrykeel.KeyedBatch{}, errors.WithStack(cherrykeel.ErrForgotten)
+			return cherrykeel.KeyedBatch{}, errors.WithStack(cherrykeel.ErrRecordsExpired)
 		}
 		follower, updates := follow(log, watch.Schedule{})
 		Eventually(updates, generous).Should(Receive())
@@ -197,7 +197,7 @@
 			mutex.Lock()
 			defer mutex.Unlock()
 			if away {
-				return cherrykeel.KeyedBatch{}, errors.WithStack(cherrykeel.ErrStoreAway)
+				return cherrykeel.KeyedBatch{}, errors.WithStack(cherrykeel.ErrStoreUnavailable)
 			}
 			return cherrykeel.KeyedBatch{Next: 0}, nil
 		}
