--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -171,7 +171,7 @@
 		service.Upstreams = append(service.Upstreams, cherrykeel.UpstreamServer{Name: candidate.Name, Zone: candidate.Zone})
 	}
 	witness := lease.NewWitness(0)
-	witness.CaughtUp(0)
+	witness.RecordCaughtUp(0)
 	kept := keeper.New("host", "a/b", witness, place.New())
 	placement := place.New().Place(cherrykeel.Placement{}, partitions, slopeCandidates(), cherrykeel.Demand{}, partitions)
 	block := fold.Block{Term: 1, Keeper: "host", Witnesses: []string{"host"}, Sequence: 1, LeaseLength: 900 * time.Millisecond, Placement: placement}
@@ -179,16 +179,16 @@
 	grants, grantBytes, largest := 0, 0, 0
 	tick := func(int) {
 		now = now.Add(20 * time.Millisecond)
-		actions := kept.Tick(keeper.Input{Now: now, Block: block, Service: service, Hosts: []keeper.Host{{Name: "host"}}, Won: 1})
-		for _, name := range actions.Confirm {
-			kept.Confirmed(name, 1, now)
+		actions := kept.Tick(keeper.Input{Now: now, Block: block, Service: service, Hosts: []keeper.Host{{Name: "host"}}, ClaimedTerm: 1})
+		for _, name := range actions.RequestConfirmation {
+			kept.RecordConfirmation(name, 1, now)
 		}
 		for _, order := range actions.Orders {
 			data, _ := json.Marshal(order.Grant)
 			grants++
 			grantBytes += len(data)
 			largest = max(largest, len(data))
-			kept.Answered(order, answer(order, placement, now), now)
+			kept.RecordAnswer(order, answer(order, placement, now), now)
 		}
 	}
 	perCall(rounds, tick)
@@ -210,7 +210,7 @@
 
 // answer is what an upstream says that took an order.
 func answer(order lease.Order, placement cherrykeel.Placement, now cherrykeel.Instant) cherrykeel.Holding {
-	holding := cherrykeel.Holding{Incarnation: "boot", Now: now.Sub(0), Accepted: !order.Ask, Fence: order.Grant.Fence, Until: order.Grant.Until}
+	holding := cherrykeel.Holding{Incarnation: "boot", Now: now.Sub(0), Accepted: !order.Query, Fence: order.Grant.Fence, Until: order.Grant.Until}
 	for partition, owner := range placement.Owners {
 		if owner == order.Lessee {
 			holding.Partitions = append(holding.Partitions, partition)
--- a/edge/forward.go
+++ b/edge/forward.go
@@ -199,7 +199,7 @@
 		return
 	}
 	told := place.deadline.Sub(place.begun)
-	view.Abandon(upstream, place.viewed.Partition, place.viewed.Key, place.begun.Add(lease.Linger(told)))
+	view.Abandon(upstream, place.viewed.Partition, place.viewed.Key, place.begun.Add(lease.MaxProcessingTime(told)))
 }
 
 // pass writes the answer to the caller.
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -69,7 +69,7 @@
 // keeps reports whether this host is the keeper.
 func (host *Host) keeps() bool {
 	table, _, known := host.spans.Current()
-	return known && table.Keeper == host.self.Name && table.Life == host.self.Incarnation
+	return known && table.Keeper == host.self.Name && table.Incarnation == host.self.Incarnation
 }
 
 func (host *Host) settingsSchedule() watch.Schedule {
--- a/entry/world.go
+++ b/entry/world.go
@@ -90,6 +90,6 @@
 	table.host.topics.spans.Told([]cherrykeel.KeyedRecord{record})
 	after, _, _ := table.host.spans.Current()
 	if after.Version == offset {
-		table.host.tellSpans(after.Change(before), before.Version)
+		table.host.tellSpans(after.Diff(before), before.Version)
 	}
 }
--- a/grants/change.go
+++ b/grants/change.go
@@ -48,7 +48,7 @@
 	changed := keeper.table.IsCorrupt()
 	proposal := table.Clone()
 	for _, service := range keeper.world.KeyedServices() {
-		list, differs := table.Next(service.Name, keeper.facts(service.Name, next, balance, now))
+		list, differs := table.NextSpans(service.Name, keeper.facts(service.Name, next, balance, now))
 		if differs {
 			proposal.Services[service.Name] = list
 			changed = true
@@ -73,7 +73,7 @@
 	return false
 }
 
-func (keeper *Keeper) facts(service string, next int64, balance bool, now cherrykeel.Instant) spans.Facts {
+func (keeper *Keeper) facts(service string, next int64, balance bool, now cherrykeel.Instant) spans.Input {
 	demand := keeper.demandOf(service)
 	demand.Decay(now)
 	candidates := keeper.candidates(service, now)
@@ -81,14 +81,14 @@
 	if balance {
 		moves = max(movesAtOnce, len(candidates)/upstreamsPerMove)
 	}
-	return spans.Facts{
-		Offset:     next,
-		Candidates: candidates,
-		Demand:     demand,
-		Lost:       func(owner string) bool { return keeper.lost(owner, now) },
-		Free:       func(span cherrykeel.KeySpan) bool { return keeper.ledger.FreeAt(service, "", span) <= now },
-		Settled:    func(owned spans.Owned) bool { return keeper.settled(service, owned, now) },
-		Moves:      moves,
+	return spans.Input{
+		Offset:        next,
+		Candidates:    candidates,
+		Demand:        demand,
+		IsUnavailable: func(owner string) bool { return keeper.lost(owner, now) },
+		IsFree:        func(span cherrykeel.KeySpan) bool { return keeper.ledger.FreeAt(service, "", span) <= now },
+		IsSettled:     func(owned spans.Owned) bool { return keeper.settled(service, owned, now) },
+		MaxMoves:      moves,
 	}
 }
 
@@ -100,7 +100,7 @@
 // settled reports whether a span has been with its owner for long enough to be moved. A part of it that has
 // just been cut off has been there for as long as the whole.
 func (keeper *Keeper) settled(service string, owned spans.Owned, now cherrykeel.Instant) bool {
-	key := spans.Held{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}
+	key := spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}
 	state, known := keeper.grants[key]
 	if !known {
 		state, known = keeper.covering(key)
@@ -109,7 +109,7 @@
 }
 
 // covering returns the grant of a larger span from which the given one was cut.
-func (keeper *Keeper) covering(key spans.Held) (*grantState, bool) {
+func (keeper *Keeper) covering(key spans.GrantedSpan) (*grantState, bool) {
 	for other, state := range keeper.grants {
 		inside := other.Service == key.Service && other.Owner == key.Owner && other.Fence == key.Fence &&
 			other.Span != key.Span && other.Span.Covers(key.Span)
@@ -140,7 +140,7 @@
 		if upstream.Service != service || upstream.Leaving || upstream.EvacuateAt != 0 || keeper.lost(upstream.ID, now) {
 			continue
 		}
-		candidates = append(candidates, spans.Candidate{ID: upstream.ID, Address: upstream.Address, Born: upstream.StartedAt, Capacity: keeper.capacity(upstream, mean, now), Cold: upstream.IsColdLimited(now)})
+		candidates = append(candidates, spans.Candidate{ID: upstream.ID, Address: upstream.Address, StartedAt: upstream.StartedAt, Capacity: keeper.capacity(upstream, mean, now), Cold: upstream.IsColdLimited(now)})
 	}
 	return candidates
 }
@@ -159,7 +159,7 @@
 
 // release asks owners to give back the spans that the table says are moving.
 func (keeper *Keeper) release(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
-	wanted := map[spans.Held]bool{}
+	wanted := map[spans.GrantedSpan]bool{}
 	for service, list := range table.Services {
 		for _, owned := range list {
 			if !owned.Moving {
@@ -167,7 +167,7 @@
 			}
 			// Every grant of the span bears a fence at or below its own; the release is above them,
 			// so that none of them is taken after it.
-			key := spans.Held{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence + 1}
+			key := spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence + 1}
 			wanted[key] = true
 			state, under := keeper.releases[key]
 			if !under || state.again(now) {
@@ -183,12 +183,12 @@
 }
 
 // awaited reports whether a handover has still to be passed on with a grant.
-func (keeper *Keeper) awaited(table spans.Table, key spans.Held) bool {
+func (keeper *Keeper) awaited(table spans.Table, key spans.GrantedSpan) bool {
 	for _, owned := range table.Services[key.Service] {
 		if owned.First > key.Span.Last || owned.Last < key.Span.First {
 			continue
 		}
-		state, known := keeper.grants[spans.Held{Service: key.Service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}]
+		state, known := keeper.grants[spans.GrantedSpan{Service: key.Service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}]
 		if !known || !state.taken {
 			return true
 		}
@@ -196,11 +196,11 @@
 	return false
 }
 
-func (keeper *Keeper) releaseOne(ctx context.Context, key spans.Held, owned spans.Owned, now cherrykeel.Instant) {
+func (keeper *Keeper) releaseOne(ctx context.Context, key spans.GrantedSpan, owned spans.Owned, now cherrykeel.Instant) {
 	state := &releaseState{pending: true}
 	keeper.releases[key] = state
 	keeper.withdraw(key)
-	upstream := cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.Born}
+	upstream := cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.StartedAt}
 	hold := keeper.hold(key.Service, key.Owner, now)
 	events.Log(keeper.logger, events.SpanMoving,
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner), zap.Int("First", owned.First), zap.Int("Last", owned.Last),
@@ -225,7 +225,7 @@
 }
 
 // releaseIn sends a release, unless it has waited for long: its owner may have been granted the span again since.
-func (keeper *Keeper) releaseIn(ctx context.Context, waited time.Duration, upstream cherrykeel.Upstream, key spans.Held) (string, error) {
+func (keeper *Keeper) releaseIn(ctx context.Context, waited time.Duration, upstream cherrykeel.Upstream, key spans.GrantedSpan) (string, error) {
 	if waited > longestWait {
 		return "", errors.WithStack(errOverdue)
 	}
@@ -234,7 +234,7 @@
 
 // withdraw takes back the grants of a span that wait for a worker while the span is released. The release leaves at
 // once and raises the fence; a grant that left after it would be refused, as by another keeper's fence.
-func (keeper *Keeper) withdraw(release spans.Held) {
+func (keeper *Keeper) withdraw(release spans.GrantedSpan) {
 	for key, state := range keeper.grants {
 		same := key.Service == release.Service && key.Owner == release.Owner && key.Fence < release.Fence
 		if same && key.Span.Overlaps(release.Span) {
@@ -243,7 +243,7 @@
 	}
 }
 
-func (keeper *Keeper) released(key spans.Held, state *releaseState, handover string, err error, took, waited time.Duration) {
+func (keeper *Keeper) released(key spans.GrantedSpan, state *releaseState, handover string, err error, took, waited time.Duration) {
 	fields := []zap.Field{
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner), zap.Int("First", key.Span.First),
 		zap.Int("Last", key.Span.Last), zap.Duration("Took", took), zap.Duration("Waited", waited),
@@ -254,12 +254,12 @@
 	}
 	state.done = true
 	state.handover = handover
-	keeper.ledger.Freed(key)
+	keeper.ledger.RecordRelease(key)
 	events.Log(keeper.logger, events.SpanFreed, fields...)
 }
 
 // handover returns what the last owner gave for keys that another owner gets now.
-func (keeper *Keeper) handover(key spans.Held) string {
+func (keeper *Keeper) handover(key spans.GrantedSpan) string {
 	for released, state := range keeper.releases {
 		covers := released.Service == key.Service && released.Span.Covers(key.Span)
 		if covers && state.done && released.Fence <= key.Fence {
--- a/grants/claim.go
+++ b/grants/claim.go
@@ -63,7 +63,7 @@
 
 // vacancy returns why another host should have the duty, or nothing.
 func (keeper *Keeper) vacancy(table spans.Table, now cherrykeel.Instant) string {
-	if table.Life == "" {
+	if table.Incarnation == "" {
 		return "nobody has it"
 	}
 	if keeper.startedAnew(table, now) {
@@ -89,7 +89,7 @@
 // newer than what the host last announced names the newer process, whose announcement is on its way.
 func (keeper *Keeper) startedAnew(table spans.Table, now cherrykeel.Instant) bool {
 	life, age, known := keeper.world.PeerIncarnation(table.Keeper)
-	if !known || life == table.Life {
+	if !known || life == table.Incarnation {
 		return false
 	}
 	tableAge := now.Sub(keeper.seenAt)
@@ -121,7 +121,7 @@
 }
 
 func (keeper *Keeper) claim(ctx context.Context, table spans.Table, next int64, reason string) {
-	claimed := table.Claimed(keeper.self.Name, keeper.self.Incarnation, next)
+	claimed := table.ClaimedBy(keeper.self.Name, keeper.self.Incarnation, next)
 	keeper.claimed = claimOf{at: next, before: table.Term}
 	events.Log(keeper.logger, events.KeeperClaimed,
 		zap.String("Reason", reason), zap.String("Before", table.Keeper), zap.Int64("OldTerm", table.Term), zap.Int64("At", next))
@@ -165,7 +165,7 @@
 		return
 	}
 	left := table.Clone()
-	left.Life = ""
+	left.Incarnation = ""
 	value, err := left.Encode()
 	if err == nil {
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -217,8 +217,8 @@
 		return
 	}
 	lastArrival := keeper.knownAt.Add(evidenceAge + reportLate + arriveWithin)
-	until := spans.End(lastArrival, keeper.bounds().MaxLeaseDuration)
-	for _, owner := range keeper.ledger.Bound(until) {
+	until := spans.LatestLeaseEnd(lastArrival, keeper.bounds().MaxLeaseDuration)
+	for _, owner := range keeper.ledger.BoundUnknownLeases(until) {
 		keeper.contact(owner).holds(until)
 	}
 }
--- a/grants/departed.go
+++ b/grants/departed.go
@@ -77,7 +77,7 @@
 		if !all && !contact.departed {
 			continue
 		}
-		held := keeper.ledger.Held(id)
+		held := keeper.ledger.HeldUntil(id)
 		if held != spans.Never {
 			told.until[id] = max(held, now)
 		}
@@ -147,7 +147,7 @@
 			if !known {
 				until = spans.Never
 			}
-			keeper.ledger.May(spans.Held{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}, until)
+			keeper.ledger.RecordLease(spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}, until)
 			contact := keeper.contact(owned.Owner)
 			if known {
 				contact.holds(until)
--- a/grants/departed_test.go
+++ b/grants/departed_test.go
@@ -31,7 +31,7 @@
 
 	// resigned is a table whose keeper has given up, with u2's keys held for one second more.
 	resigned := func(finals *share.Finals) {
-		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-2", Life: "", Services: map[string][]spans.Owned{service: {
+		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-2", Incarnation: "", Services: map[string][]spans.Owned{service: {
 			{First: 0, Last: 29999, Owner: "u1", Address: "u1", Fence: 0}, {First: 30000, Last: cherrykeel.MaxKey, Owner: "u2", Address: "u2", Fence: 0},
 		}}}
 		store.next = 1
--- a/grants/fakes_test.go
+++ b/grants/fakes_test.go
@@ -163,7 +163,7 @@
 // claim writes a table of another host, as if it had claimed.
 func (store *fakeStore) claim(host string) {
 	store.set(func() {
-		store.table = store.table.Claimed(host, "life-"+host, store.next)
+		store.table = store.table.ClaimedBy(host, "life-"+host, store.next)
 		store.next++
 	})
 }
--- a/grants/grants_test.go
+++ b/grants/grants_test.go
@@ -95,7 +95,7 @@
 	// hold its keys until then. They go to another server only when the longest hold has passed; the servers
 	// that answer go on at once under the higher fence.
 	It("takes over owners that answer at once, and waits for those that do not", func() {
-		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-9", Life: "", Services: map[string][]spans.Owned{service: {
+		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-9", Incarnation: "", Services: map[string][]spans.Owned{service: {
 			{First: 0, Last: 29999, Owner: "u1", Address: "u1", Fence: 0}, {First: 30000, Last: cherrykeel.MaxKey, Owner: "u2", Address: "u2", Fence: 0},
 		}}}
 		store.next = 1
@@ -237,7 +237,7 @@
 		Eventually(granter.count("u1"), generous).Should(BeNumerically(">=", 1))
 		keeper.Resign(context.Background())
 		table, _, _ := store.Current()
-		Expect(table.Life).To(BeEmpty())
-		Consistently(func() string { table, _, _ := store.Current(); return table.Life }, "500ms").Should(BeEmpty())
+		Expect(table.Incarnation).To(BeEmpty())
+		Consistently(func() string { table, _, _ := store.Current(); return table.Incarnation }, "500ms").Should(BeEmpty())
 	})
 })
--- a/grants/hold_test.go
+++ b/grants/hold_test.go
@@ -77,7 +77,7 @@
 	// An upstream forgets its rested connections, so that the grants of two of its spans end at once. It lives
 	// and takes the next grants; called lost, it would be without its keys for 5 s.
 	It("are renewed for an upstream whose grants were reset in one moment", func() {
-		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-2", Life: "", Services: map[string][]spans.Owned{service: {
+		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-2", Incarnation: "", Services: map[string][]spans.Owned{service: {
 			{First: 0, Last: 29999, Owner: "u1", Address: "u1"},
 			{First: 30000, Last: 49999, Owner: "u2", Address: "u2"},
 			{First: 50000, Last: cherrykeel.MaxKey, Owner: "u2", Address: "u2"},
--- a/grants/keeper.go
+++ b/grants/keeper.go
@@ -102,8 +102,8 @@
 	work   map[string]map[string]workWord
 	// meanWorks are by service.
 	meanWorks map[string]meanWork
-	grants    map[spans.Held]*grantState
-	releases  map[spans.Held]*releaseState
+	grants    map[spans.GrantedSpan]*grantState
+	releases  map[spans.GrantedSpan]*releaseState
 	contacts  map[string]*contact
 	// knownAt is since when more than half of the hosts have known the term.
 	knownAt cherrykeel.Instant
@@ -158,8 +158,8 @@
 		granter: granter, bounds: bounds, workers: newWorkers(), meter: meter{scope: tally.NoopScope},
 		results: make(chan func(cherrykeel.Instant), 4*callsAtOnce), demands: make(chan share.Demand, callsAtOnce),
 		resign: make(chan chan struct{}, 1), finish: make(chan chan struct{}, 1),
-		term: -1, demand: map[string]*spans.Demand{}, work: map[string]map[string]workWord{}, meanWorks: map[string]meanWork{}, grants: map[spans.Held]*grantState{},
-		releases: map[spans.Held]*releaseState{}, contacts: map[string]*contact{}, seenTable: -1,
+		term: -1, demand: map[string]*spans.Demand{}, work: map[string]map[string]workWord{}, meanWorks: map[string]meanWork{}, grants: map[spans.GrantedSpan]*grantState{},
+		releases: map[spans.GrantedSpan]*releaseState{}, contacts: map[string]*contact{}, seenTable: -1,
 	}
 	for _, option := range options {
 		option(keeper)
@@ -235,7 +235,7 @@
 		keeper.seenTable = table.Version
 		keeper.seenAt = now
 	}
-	if table.Keeper != keeper.self.Name || table.Life != keeper.self.Incarnation {
+	if table.Keeper != keeper.self.Name || table.Incarnation != keeper.self.Incarnation {
 		keeper.stand(table)
 		keeper.remember(table)
 		keeper.consider(ctx, table, next, now)
@@ -249,7 +249,7 @@
 	keeper.bound(now)
 	keeper.noteStore(now)
 	keeper.greet()
-	keeper.ledger.Forget(now)
+	keeper.ledger.RemoveExpired(now)
 	keeper.publish(now, false)
 	keeper.change(ctx, table, next, now)
 	keeper.probe(ctx, table, now)
@@ -264,8 +264,8 @@
 	events.Log(keeper.logger, events.KeeperResigned, zap.Int64("Term", keeper.term), zap.String("Keeper", table.Keeper), zap.Int64("NewTerm", table.Term))
 	keeper.term = -1
 	keeper.told.Store(nil)
-	keeper.grants = map[spans.Held]*grantState{}
-	keeper.releases = map[spans.Held]*releaseState{}
+	keeper.grants = map[spans.GrantedSpan]*grantState{}
+	keeper.releases = map[spans.GrantedSpan]*releaseState{}
 	keeper.contacts = map[string]*contact{}
 	keeper.ledger = spans.Ledger{}
 }
@@ -278,8 +278,8 @@
 	}
 	keeper.term = table.Term
 	keeper.known = false
-	keeper.grants = map[spans.Held]*grantState{}
-	keeper.releases = map[spans.Held]*releaseState{}
+	keeper.grants = map[spans.GrantedSpan]*grantState{}
+	keeper.releases = map[spans.GrantedSpan]*releaseState{}
 	keeper.contacts = map[string]*contact{}
 	keeper.ledger = spans.Ledger{}
 	keeper.inherit(table, now)
--- a/grants/lives_test.go
+++ b/grants/lives_test.go
@@ -45,7 +45,7 @@
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		world, granter := &rebornWorld{born: 1}, &refusingGranter{}
 		keeper := newStepped("host-1", clock, nil, world, granter)
-		owned := spans.Owned{First: 0, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", Born: 1, Fence: 4}
+		owned := spans.Owned{First: 0, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", StartedAt: 1, Fence: 4}
 		renew := func() {
 			table := spans.Table{Version: 4, Term: 1, Services: map[string][]spans.Owned{"halls": {owned}}}
 			keeper.greet()
@@ -57,7 +57,7 @@
 		world.born = 2
 		renew()
 		renew()
-		owned.Born, owned.Fence = 2, 5
+		owned.StartedAt, owned.Fence = 2, 5
 		renew()
 		Expect(granter.second).To(Equal(1))
 	})
--- a/grants/order_test.go
+++ b/grants/order_test.go
@@ -44,14 +44,14 @@
 		clock   *fakes.Clock
 		granter *lateGranter
 		keeper  *Keeper
-		key     spans.Held
+		key     spans.GrantedSpan
 	)
 
 	BeforeEach(func() {
 		clock = fakes.NewClock(cherrykeel.Instant(time.Hour))
 		granter = &lateGranter{clock: clock, arrivals: make(chan cherrykeel.Instant, 1), release: make(chan struct{})}
 		keeper = newStepped("host-1", clock, nil, smallWorld{}, granter)
-		key = spans.Held{Service: service, Owner: owner, Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
+		key = spans.GrantedSpan{Service: service, Owner: owner, Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
 	})
 
 	// All workers are busy for 400 ms. The grant that waited for one reaches its upstream at the end of its time, and
@@ -66,7 +66,7 @@
 		close(busy)
 		var arrived cherrykeel.Instant
 		Eventually(granter.arrivals, "20s").Should(Receive(&arrived))
-		Expect(keeper.ledger.FreeAt(service, "", key.Span)).To(BeNumerically(">=", spans.End(arrived, keeper.shortHold())))
+		Expect(keeper.ledger.FreeAt(service, "", key.Span)).To(BeNumerically(">=", spans.LatestLeaseEnd(arrived, keeper.shortHold())))
 	})
 
 	// The workers are busy for longer than a grant may wait, so nothing is sent to the upstream. It lives; called
@@ -88,7 +88,7 @@
 	It("are not held up by releases that wait for running work", func() {
 		for first := range callsAtOnce {
 			owned := spans.Owned{First: first, Last: first, Owner: "u2", Fence: 1}
-			keeper.releaseOne(context.Background(), spans.Held{Service: service, Owner: "u2", Span: owned.Span(), Fence: 2}, owned, clock.Now())
+			keeper.releaseOne(context.Background(), spans.GrantedSpan{Service: service, Owner: "u2", Span: owned.Span(), Fence: 2}, owned, clock.Now())
 		}
 		keeper.send(context.Background(), key, &grantState{}, clock.Now())
 		Eventually(granter.arrivals, "5s").Should(Receive())
--- a/grants/renew.go
+++ b/grants/renew.go
@@ -117,13 +117,13 @@
 
 // renew grants each span of the table to its owner, again before its hold ends.
 func (keeper *Keeper) renew(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
-	wanted := map[spans.Held]bool{}
+	wanted := map[spans.GrantedSpan]bool{}
 	for service, list := range table.Services {
 		for _, owned := range list {
 			if owned.Owner == "" || owned.Moving {
 				continue
 			}
-			key := spans.Held{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}
+			key := spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}
 			wanted[key] = true
 			keeper.renewOne(ctx, key, owned, now)
 		}
@@ -139,7 +139,7 @@
 	}
 }
 
-func (keeper *Keeper) renewOne(ctx context.Context, key spans.Held, owned spans.Owned, now cherrykeel.Instant) {
+func (keeper *Keeper) renewOne(ctx context.Context, key spans.GrantedSpan, owned spans.Owned, now cherrykeel.Instant) {
 	state, exists := keeper.grants[key]
 	if !exists || state.withdrawn.Load() && !state.pending {
 		state = keeper.newGrant(key, owned)
@@ -159,8 +159,8 @@
 }
 
 // newGrant notes a grant that is to be sent.
-func (keeper *Keeper) newGrant(key spans.Held, owned spans.Owned) *grantState {
-	state := &grantState{upstream: cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.Born}, handover: keeper.handover(key)}
+func (keeper *Keeper) newGrant(key spans.GrantedSpan, owned spans.Owned) *grantState {
+	state := &grantState{upstream: cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.StartedAt}, handover: keeper.handover(key)}
 	whole, cut := keeper.covering(key)
 	if cut {
 		state.cut = true
@@ -182,7 +182,7 @@
 	if keeper.contact(upstream.ID).born > upstream.StartedAt {
 		return
 	}
-	keeper.ledger.Ended(upstream.ID)
+	keeper.ledger.RecordProcessEnd(upstream.ID)
 	keeper.contact(upstream.ID).end(now)
 	keeper.world.NotifyEnded(upstream.ID)
 }
@@ -207,7 +207,7 @@
 	if !keeper.world.IsReplaced(id, address) {
 		return false
 	}
-	keeper.ledger.Ended(id)
+	keeper.ledger.RecordProcessEnd(id)
 	keeper.contact(id).end(now)
 	return true
 }
--- a/grants/send.go
+++ b/grants/send.go
@@ -19,7 +19,7 @@
 	took   time.Duration
 }
 
-func (keeper *Keeper) send(ctx context.Context, key spans.Held, state *grantState, now cherrykeel.Instant) {
+func (keeper *Keeper) send(ctx context.Context, key spans.GrantedSpan, state *grantState, now cherrykeel.Instant) {
 	grant := cherrykeel.SpanGrant{
 		Span: key.Span, Fence: key.Fence, LeaseDuration: keeper.hold(key.Service, key.Owner, now), Handover: state.handover, SendBy: now.Add(callTimeout),
 	}
@@ -28,8 +28,8 @@
 	state.sentAt = now
 	// The grant's time counts from here, for the ledger and for the call: while the call had its whole time from when a
 	// worker took it, up to half a second later, an upstream could hold keys for that long after they were given on.
-	until := spans.End(now.Add(arriveWithin), grant.LeaseDuration)
-	call := keeper.ledger.Sent(key, until)
+	until := spans.LatestLeaseEnd(now.Add(arriveWithin), grant.LeaseDuration)
+	call := keeper.ledger.RecordSent(key, until)
 	keeper.contact(key.Owner).holds(until)
 	term := keeper.term
 	keeper.workers.grants.Submit(func() {
@@ -41,7 +41,7 @@
 				return
 			}
 			if concluded(outcome.err) {
-				keeper.ledger.Answered(call)
+				keeper.ledger.RecordAnswer(call)
 			}
 			keeper.granted(key, state, grant, outcome, now)
 		}
@@ -64,7 +64,7 @@
 }
 
 // granted notes what came of a grant.
-func (keeper *Keeper) granted(key spans.Held, state *grantState, grant cherrykeel.SpanGrant, outcome outcome, now cherrykeel.Instant) {
+func (keeper *Keeper) granted(key spans.GrantedSpan, state *grantState, grant cherrykeel.SpanGrant, outcome outcome, now cherrykeel.Instant) {
 	fields := []zap.Field{
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner),
 		zap.Int("First", key.Span.First), zap.Int("Last", key.Span.Last), zap.Int64("Fence", key.Fence),
@@ -91,9 +91,9 @@
 }
 
 // answered notes that an upstream has taken a grant.
-func (keeper *Keeper) answered(key spans.Held, state *grantState, grant cherrykeel.SpanGrant, fields []zap.Field, now cherrykeel.Instant) {
-	until := spans.End(now, grant.LeaseDuration)
-	keeper.ledger.May(key, until)
+func (keeper *Keeper) answered(key spans.GrantedSpan, state *grantState, grant cherrykeel.SpanGrant, fields []zap.Field, now cherrykeel.Instant) {
+	until := spans.LatestLeaseEnd(now, grant.LeaseDuration)
+	keeper.ledger.RecordLease(key, until)
 	contact := keeper.contact(key.Owner)
 	contact.holds(until)
 	contact.answered()
--- a/grants/settled_test.go
+++ b/grants/settled_test.go
@@ -16,11 +16,11 @@
 	// however busy, and again after each further cut.
 	It("is told of the rest of a cut span from the whole's grant", func() {
 		now := cherrykeel.Instant(time.Hour)
-		whole := spans.Held{Service: "s", Owner: "u", Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
-		keeper := &Keeper{grants: map[spans.Held]*grantState{whole: {taken: true, takenAt: now.Add(-settleTime)}}}
+		whole := spans.GrantedSpan{Service: "s", Owner: "u", Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
+		keeper := &Keeper{grants: map[spans.GrantedSpan]*grantState{whole: {taken: true, takenAt: now.Add(-settleTime)}}}
 		rest := spans.Owned{First: 40, Last: 99, Owner: "u", Fence: 4}
 		Expect(keeper.settled("s", rest, now)).To(BeTrue())
-		state := keeper.newGrant(spans.Held{Service: "s", Owner: "u", Span: rest.Span(), Fence: 4}, rest)
+		state := keeper.newGrant(spans.GrantedSpan{Service: "s", Owner: "u", Span: rest.Span(), Fence: 4}, rest)
 		keeper.noteTaken(state, now)
 		delete(keeper.grants, whole)
 		Expect(keeper.settled("s", rest, now)).To(BeTrue())
@@ -29,10 +29,10 @@
 
 	It("begins with the grant of a span that has another owner or fence than before", func() {
 		now := cherrykeel.Instant(time.Hour)
-		before := spans.Held{Service: "s", Owner: "u", Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
-		keeper := &Keeper{grants: map[spans.Held]*grantState{before: {taken: true, takenAt: now.Add(-settleTime)}}}
+		before := spans.GrantedSpan{Service: "s", Owner: "u", Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
+		keeper := &Keeper{grants: map[spans.GrantedSpan]*grantState{before: {taken: true, takenAt: now.Add(-settleTime)}}}
 		given := spans.Owned{First: 40, Last: 60, Owner: "other", Fence: 9}
-		state := keeper.newGrant(spans.Held{Service: "s", Owner: "other", Span: given.Span(), Fence: 9}, given)
+		state := keeper.newGrant(spans.GrantedSpan{Service: "s", Owner: "other", Span: given.Span(), Fence: 9}, given)
 		keeper.noteTaken(state, now)
 		Expect(keeper.settled("s", given, now)).To(BeFalse())
 		Expect(keeper.settled("s", given, now.Add(settleTime))).To(BeTrue())
--- a/grants/successor_test.go
+++ b/grants/successor_test.go
@@ -70,7 +70,7 @@
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		granter := &countingGranter{clock: clock, until: map[string]cherrykeel.Instant{}}
 		log := &openLog{values: make(chan []byte, 8)}
-		table := spans.Table{Version: 1, Term: 1, Keeper: "host-1", Life: "life", Services: map[string][]spans.Owned{
+		table := spans.Table{Version: 1, Term: 1, Keeper: "host-1", Incarnation: "life", Services: map[string][]spans.Owned{
 			service: {{First: 0, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", Fence: 1}},
 		}}
 		first := newStepped("host-1", clock, log, smallWorld{}, granter)
@@ -101,7 +101,7 @@
 		given, err := spans.Decode(written, 2)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(given.Services[service][0].Owner).To(Equal("u2"))
-		claimed := given.Claimed("host-2", "life", 3)
+		claimed := given.ClaimedBy("host-2", "life", 3)
 		second := newStepped("host-2", clock, log, smallWorld{}, granter)
 		second.enter(claimed, clock.Now())
 		second.renew(ctx, claimed, clock.Now())
--- a/grants/transfer.go
+++ b/grants/transfer.go
@@ -26,7 +26,7 @@
 	for service, list := range table.Services {
 		for _, before := range list {
 			transfer := openTransfer{service: service, owner: before.Owner, span: before.Span(), at: at}
-			if before.Owner == "" || proposal.SameOwner(service, before) || slices.Contains(keeper.transfers, transfer) {
+			if before.Owner == "" || proposal.HasSameOwner(service, before) || slices.Contains(keeper.transfers, transfer) {
 				continue
 			}
 			keeper.transfers = append(keeper.transfers, transfer)
@@ -51,7 +51,7 @@
 }
 
 // transferred reports whether an open write gives a key of the span from its owner to another.
-func (keeper *Keeper) transferred(key spans.Held) bool {
+func (keeper *Keeper) transferred(key spans.GrantedSpan) bool {
 	for _, transfer := range keeper.transfers {
 		same := transfer.service == key.Service && transfer.owner == key.Owner
 		if same && transfer.span.Overlaps(key.Span) {
--- a/host/duty.go
+++ b/host/duty.go
@@ -64,7 +64,7 @@
 func (duty *duty) caughtUp(begun cherrykeel.Instant) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	duty.witness.CaughtUp(begun)
+	duty.witness.RecordCaughtUp(begun)
 }
 
 // onState takes in a new state of the fold.
@@ -85,7 +85,7 @@
 
 func (duty *duty) learnAll(state *fold.State) {
 	for service, block := range state.Blocks {
-		duty.witness.Learn(service, block.Term)
+		duty.witness.RecordTerm(service, block.Term)
 	}
 }
 
@@ -126,7 +126,7 @@
 	defer duty.mutex.Unlock()
 	for service, kept := range duty.keepers {
 		current := duty.state.Blocks[service].Keeper == duty.host.config.Name
-		if kept.Holds() && current {
+		if kept.HoldsRole() && current {
 			return true
 		}
 	}
@@ -150,7 +150,7 @@
 		input := duty.input(service, hosts, gone)
 		actions := duty.decide(path, &input)
 		duty.carryOut(service, input, actions)
-		for _, witness := range actions.Confirm {
+		for _, witness := range actions.RequestConfirmation {
 			if confirms[witness] == nil {
 				confirms[witness] = map[string]int64{}
 			}
@@ -187,19 +187,19 @@
 func (duty *duty) input(service *cherrykeel.Service, hosts []keeper.Host, gone map[string]bool) keeper.Input {
 	host := duty.host
 	input := keeper.Input{
-		Now:      host.clock.Now(),
-		Service:  service,
-		Hosts:    hosts,
-		Gone:     gone,
-		Leaving:  host.stopping.Load(),
-		Draining: map[string]bool{},
-		Down:     map[string]bool{},
-		Refusing: map[string]bool{},
+		Now:          host.clock.Now(),
+		Service:      service,
+		Hosts:        hosts,
+		RemovedHosts: gone,
+		Leaving:      host.stopping.Load(),
+		Draining:     map[string]bool{},
+		Unreachable:  map[string]bool{},
+		Refusing:     map[string]bool{},
 	}
 	for _, server := range service.Upstreams {
 		input.Draining[server.Name] = host.Draining(service, server.Name)
 		input.Refusing[server.Name] = host.roster.refusing(service.Path, server.Name, input.Now)
-		input.Down[server.Name] = host.roster.down(service.Path, server.Name, input.Now)
+		input.Unreachable[server.Name] = host.roster.down(service.Path, server.Name, input.Now)
 	}
 	return input
 }
@@ -207,18 +207,18 @@
 func (duty *duty) decide(path string, input *keeper.Input) keeper.Actions {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	duty.witness.Ran(input.Now)
+	duty.witness.RecordRunning(input.Now)
 	input.Block = duty.state.Blocks[path]
 	if duty.claims[input.Block.ClaimID] {
-		input.Won = input.Block.Term
+		input.ClaimedTerm = input.Block.Term
 	}
 	kept := duty.keeper(path)
-	if kept.Holds() {
+	if kept.HoldsRole() {
 		input.Demand = duty.merger(input.Service).Demand(input.Now)
 	}
-	held := kept.Holds()
+	held := kept.HoldsRole()
 	actions := kept.Tick(*input)
-	duty.noteRole(path, held, kept.Holds(), input.Block.Term)
+	duty.noteRole(path, held, kept.HoldsRole(), input.Block.Term)
 	duty.noteLost(path, kept, input.Now)
 	return actions
 }
@@ -227,14 +227,14 @@
 func (duty *duty) noteLost(path string, kept *keeper.Keeper, now cherrykeel.Instant) {
 	report, _ := kept.Report(now)
 	lost := map[string]bool{}
-	for _, name := range report.Lost {
+	for _, name := range report.Unavailable {
 		lost[name] = true
 		if !duty.lost[path][name] {
 			events.Log(duty.host.logger, events.UpstreamLost, zap.String("Service", path), zap.String("Upstream", name))
 		}
 	}
 	for name := range duty.lost[path] {
-		if !lost[name] && kept.Holds() {
+		if !lost[name] && kept.HoldsRole() {
 			events.Log(duty.host.logger, events.UpstreamBack, zap.String("Service", path), zap.String("Upstream", name))
 		}
 	}
@@ -279,7 +279,7 @@
 	}
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	if duty.keeper(path).Holds() {
+	if duty.keeper(path).HoldsRole() {
 		duty.merger(table.Services()[path]).Hear(host, demand, duty.host.clock.Now())
 	}
 }
@@ -289,10 +289,10 @@
 	for _, order := range actions.Orders {
 		duty.submit(func() { duty.send(service, input.Block.LeaseLength, order) })
 	}
-	for _, teaching := range actions.Teach {
+	for _, teaching := range actions.TermNotices {
 		duty.submit(func() { duty.teach(service.Path, teaching) })
 	}
-	for _, name := range actions.AskSilence {
+	for _, name := range actions.RequestSilence {
 		duty.submit(func() { duty.askSilence(service.Path, name, input.Block.LeaseLength) })
 	}
 	if actions.Claim != nil {
--- a/host/inner.go
+++ b/host/inner.go
@@ -101,7 +101,7 @@
 	}
 	host.duty.mutex.Lock()
 	defer host.duty.mutex.Unlock()
-	asked := host.duty.witness.Asked(silence.Service)
+	asked := host.duty.witness.LastRequestAt(silence.Service)
 	return wire.SilenceReply{Silence: host.clock.Now().Sub(asked)}, nil
 }
 
--- a/host/orders.go
+++ b/host/orders.go
@@ -24,16 +24,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(orderShare*float64(leaseLength)))
 	defer cancel()
 	duty.mutex.Lock()
-	relayed := duty.keeper(service.Path).Relayed(order)
+	relayed := duty.keeper(service.Path).ShouldRelay(order)
 	duty.mutex.Unlock()
 	holding, err := duty.deliver(ctx, service, order, relayed)
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	if err != nil {
-		duty.keeper(service.Path).Failed(order)
+		duty.keeper(service.Path).RecordFailure(order)
 		return
 	}
-	duty.keeper(service.Path).Answered(order, holding, duty.host.clock.Now())
+	duty.keeper(service.Path).RecordAnswer(order, holding, duty.host.clock.Now())
 }
 
 func (duty *duty) deliver(ctx context.Context, service *cherrykeel.Service, order lease.Order, relayed bool) (cherrykeel.Holding, error) {
@@ -48,9 +48,9 @@
 	}
 	if relayed {
 		// This host alone may be the one that is cut off, so every other try goes through a peer.
-		return duty.deliverThroughPeer(ctx, wire.Relay{Address: address, Ask: order.Ask, Grant: grant})
+		return duty.deliverThroughPeer(ctx, wire.Relay{Address: address, Ask: order.Query, Grant: grant})
 	}
-	return duty.host.grantOrAsk(ctx, wire.Relay{Address: address, Ask: order.Ask, Grant: grant})
+	return duty.host.grantOrAsk(ctx, wire.Relay{Address: address, Ask: order.Query, Grant: grant})
 }
 
 func (host *Host) grantOrAsk(ctx context.Context, relay wire.Relay) (cherrykeel.Holding, error) {
@@ -62,14 +62,14 @@
 
 func (duty *duty) deliverView(ctx context.Context, order lease.Order, grant cherrykeel.Grant) (cherrykeel.Holding, error) {
 	if order.Lessee == duty.host.config.Name {
-		holding, known := duty.host.fleet.GrantView(order.Ask, grant)
+		holding, known := duty.host.fleet.GrantView(order.Query, grant)
 		if !known {
 			return holding, errNoAddress
 		}
 		return holding, nil
 	}
 	var holding cherrykeel.Holding
-	err := duty.host.call(ctx, order.Lessee, wire.MethodView, wire.View{Ask: order.Ask, Grant: grant}, &holding)
+	err := duty.host.call(ctx, order.Lessee, wire.MethodView, wire.View{Ask: order.Query, Grant: grant}, &holding)
 	return holding, err
 }
 
@@ -119,7 +119,7 @@
 		duty.mutex.Lock()
 		defer duty.mutex.Unlock()
 		for _, service := range duty.confirmable(terms, sent) {
-			duty.keeper(service).Confirmed(witness, terms[service], sent)
+			duty.keeper(service).RecordConfirmation(witness, terms[service], sent)
 		}
 		return
 	}
@@ -139,7 +139,7 @@
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	for _, service := range reply.Confirmed {
-		duty.keeper(service).Confirmed(witness, terms[service], sent)
+		duty.keeper(service).RecordConfirmation(witness, terms[service], sent)
 	}
 }
 
@@ -154,7 +154,7 @@
 	return confirmed
 }
 
-func (duty *duty) teach(service string, teaching keeper.Teaching) {
+func (duty *duty) teach(service string, teaching keeper.TermNotice) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
 	if teaching.Host == duty.host.config.Name {
@@ -168,13 +168,13 @@
 	}
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	duty.keeper(service).Taught(teaching, duty.host.clock.Now())
+	duty.keeper(service).RecordTermLearned(teaching, duty.host.clock.Now())
 }
 
 func (duty *duty) learn(service string, term int64) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	duty.witness.Learn(service, term)
+	duty.witness.RecordTerm(service, term)
 }
 
 func (duty *duty) askSilence(service, name string, leaseLength time.Duration) {
@@ -187,7 +187,7 @@
 	}
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	duty.keeper(service).HeardSilence(name, reply.Silence, leaseLength, duty.host.clock.Now())
+	duty.keeper(service).RecordSilence(name, reply.Silence, leaseLength, duty.host.clock.Now())
 }
 
 // spread sends a placement that the log lacks to every entry host.
--- a/host/slots.go
+++ b/host/slots.go
@@ -46,7 +46,7 @@
 	if len(names) == 0 {
 		return host.config.Name
 	}
-	return keeper.Ranked("slots "+service, names)[0]
+	return keeper.RankByHash("slots "+service, names)[0]
 }
 
 // rankStewards notes for which services this host has become steward.
--- a/host/watch.go
+++ b/host/watch.go
@@ -136,7 +136,7 @@
 
 func (host *Host) checkpointRank() int {
 	names := append(host.others(), host.config.Name)
-	for rank, name := range keeper.Ranked("checkpoint", names) {
+	for rank, name := range keeper.RankByHash("checkpoint", names) {
 		if name == host.config.Name {
 			return rank
 		}
--- a/keeper/bid.go
+++ b/keeper/bid.go
@@ -62,7 +62,7 @@
 		Term:        input.Block.Term,
 		LeaseLength: input.Service.LeaseLength,
 		Timeout:     timeoutOf(input.Service),
-		Witnesses:   Witnesses(bidder.service, bidder.self, input.Hosts),
+		Witnesses:   ChooseWitnesses(bidder.service, bidder.self, input.Hosts),
 	}
 }
 
@@ -74,7 +74,7 @@
 	}
 	if block.Keeper == bidder.self {
 		// A process that was started anew under its old name does not know what leases it gave.
-		return input.Won != block.Term, false
+		return input.ClaimedTerm != block.Term, false
 	}
 	if bidder.listed(input) {
 		return true, false
@@ -105,7 +105,7 @@
 	for _, name := range input.Block.Witnesses {
 		named = named || name == bidder.self
 	}
-	if !named || input.Now.Sub(witness.Asked(bidder.service)) < limit {
+	if !named || input.Now.Sub(witness.LastRequestAt(bidder.service)) < limit {
 		return false
 	}
 	votes := 1
@@ -117,7 +117,7 @@
 	}
 	if input.Now.Sub(bidder.askedAt) >= bidStep {
 		bidder.askedAt = input.Now
-		actions.AskSilence = without(input.Block.Witnesses, bidder.self)
+		actions.RequestSilence = without(input.Block.Witnesses, bidder.self)
 	}
 	return 2*votes > len(input.Block.Witnesses)
 }
@@ -144,7 +144,7 @@
 			names = append(names, host.Name)
 		}
 	}
-	for i, name := range Ranked(bidder.service, names) {
+	for i, name := range RankByHash(bidder.service, names) {
 		if name == bidder.self {
 			return i
 		}
@@ -152,8 +152,8 @@
 	return -1
 }
 
-// Ranked orders names by a hash of the service and the name, so that services spread over hosts.
-func Ranked(service string, names []string) []string {
+// RankByHash orders names by a hash of the service and the name, so that services spread over hosts.
+func RankByHash(service string, names []string) []string {
 	ranked := append([]string(nil), names...)
 	sort.Slice(ranked, func(i, j int) bool {
 		one, other := xxhash.Sum64String(service+" "+ranked[i]), xxhash.Sum64String(service+" "+ranked[j])
@@ -165,8 +165,8 @@
 	return ranked
 }
 
-// Witnesses names an odd number of hosts, at most five, spread over availability zones, the keeper among them.
-func Witnesses(service, self string, hosts []Host) []string {
+// ChooseWitnesses names an odd number of hosts, at most five, spread over availability zones, the keeper among them.
+func ChooseWitnesses(service, self string, hosts []Host) []string {
 	zones := map[string]string{}
 	names := []string{}
 	for _, host := range hosts {
@@ -177,7 +177,7 @@
 	}
 	chosen := []string{self}
 	used := map[string]int{zones[self]: 1}
-	rest := Ranked(service, names)
+	rest := RankByHash(service, names)
 	for len(chosen) < maxWitnesses && len(rest) > 0 {
 		best := 0
 		for i, name := range rest {
--- a/keeper/input.go
+++ b/keeper/input.go
@@ -20,27 +20,27 @@
 	Service *cherrykeel.Service
 	// Hosts are the entry hosts on the platform's list, this one included.
 	Hosts []Host
-	// Gone are hosts that have been off the list for long.
-	Gone map[string]bool
+	// RemovedHosts are hosts that have been off the list for long.
+	RemovedHosts map[string]bool
 	// Leaving says that this host is about to stop.
 	Leaving bool
 	// Draining are upstreams that must get no new work.
 	Draining map[string]bool
-	// Down are upstreams that most hosts cannot reach; it counts where leases do not tell.
-	Down map[string]bool
+	// Unreachable are upstreams that most hosts cannot reach; it counts where leases do not tell.
+	Unreachable map[string]bool
 	// Refusing are upstreams that have said themselves, of late, that they take no new work.
 	Refusing map[string]bool
 	Demand   cherrykeel.Demand
-	// Won is the term that this very process claimed, or 0.
-	Won int64
+	// ClaimedTerm is the term that this very process claimed, or 0.
+	ClaimedTerm int64
 }
 
-// Teaching asks a witness of an earlier term to learn the new one.
-type Teaching struct {
+// TermNotice asks a witness of an earlier term to learn the new one.
+type TermNotice struct {
 	Host string
-	// Earlier is the term whose witness the host was.
-	Earlier int64
-	Term    int64
+	// EarlierTerm is the term whose witness the host was.
+	EarlierTerm int64
+	Term        int64
 }
 
 // Overlay is a placement in force that the log does not hold yet.
@@ -54,13 +54,13 @@
 // Actions are what a decision wants done.
 type Actions struct {
 	Orders []lease.Order
-	// Confirm are witnesses to ask whether the term is still the newest.
-	Confirm []string
-	Teach   []Teaching
-	// AskSilence are fellow witnesses to ask how long the keeper has been silent.
-	AskSilence []string
-	Claim      *fold.Claim
-	Assign     *fold.Assign
+	// RequestConfirmation are witnesses to ask whether the term is still the newest.
+	RequestConfirmation []string
+	TermNotices         []TermNotice
+	// RequestSilence are fellow witnesses to ask how long the keeper has been silent.
+	RequestSilence []string
+	Claim          *fold.Claim
+	Assign         *fold.Assign
 	// Overlay is sent to all entry hosts.
 	Overlay *Overlay
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -33,8 +33,8 @@
 // Tick returns what to do now; it is called several times within a lease's length.
 func (keeper *Keeper) Tick(input Input) Actions {
 	var actions Actions
-	keeper.witness.Learn(keeper.service, input.Block.Term)
-	mine := input.Block.Keeper == keeper.self && input.Won == input.Block.Term && input.Won != 0
+	keeper.witness.RecordTerm(keeper.service, input.Block.Term)
+	mine := input.Block.Keeper == keeper.self && input.ClaimedTerm == input.Block.Term && input.ClaimedTerm != 0
 	if !mine {
 		keeper.term = nil
 		keeper.bidder.decide(input, keeper.witness, &actions)
@@ -47,46 +47,46 @@
 	return actions
 }
 
-// Holds reports whether this host holds the role, as far as it knows.
-func (keeper *Keeper) Holds() bool {
+// HoldsRole reports whether this host holds the role, as far as it knows.
+func (keeper *Keeper) HoldsRole() bool {
 	return keeper.term != nil
 }
 
-// Answered takes in a lessee's answer to an order of a term.
-func (keeper *Keeper) Answered(order lease.Order, holding cherrykeel.Holding, received cherrykeel.Instant) {
+// RecordAnswer takes in a lessee's answer to an order of a term.
+func (keeper *Keeper) RecordAnswer(order lease.Order, holding cherrykeel.Holding, received cherrykeel.Instant) {
 	if keeper.term != nil && keeper.term.issued(order) {
-		keeper.term.ledger.Answered(order, holding, received)
+		keeper.term.ledger.RecordAnswer(order, holding, received)
 	}
 }
 
-// Failed takes in that an order got no answer.
-func (keeper *Keeper) Failed(order lease.Order) {
+// RecordFailure takes in that an order got no answer.
+func (keeper *Keeper) RecordFailure(order lease.Order) {
 	if keeper.term != nil && keeper.term.issued(order) {
 		keeper.term.failed(order)
 	}
 }
 
-// Confirmed takes in that a witness confirmed the term, in answer to a question sent at an instant.
-func (keeper *Keeper) Confirmed(host string, term int64, sent cherrykeel.Instant) {
+// RecordConfirmation takes in that a witness confirmed the term, in answer to a question sent at an instant.
+func (keeper *Keeper) RecordConfirmation(host string, term int64, sent cherrykeel.Instant) {
 	if keeper.term != nil && keeper.term.number == term {
-		keeper.term.quorum.Confirm(host, sent)
+		keeper.term.quorum.RecordConfirmation(host, sent)
 	}
 }
 
-// Taught takes in that a witness has learned the term.
-func (keeper *Keeper) Taught(teaching Teaching, now cherrykeel.Instant) {
+// RecordTermLearned takes in that a witness has learned the term.
+func (keeper *Keeper) RecordTermLearned(teaching TermNotice, now cherrykeel.Instant) {
 	if keeper.term != nil && keeper.term.number == teaching.Term {
 		keeper.term.taught(teaching, now)
 	}
 }
 
-// HeardSilence takes in how long another witness has not been asked by the keeper.
-func (keeper *Keeper) HeardSilence(host string, silence, leaseLength time.Duration, now cherrykeel.Instant) {
+// RecordSilence takes in how long another witness has not been asked by the keeper.
+func (keeper *Keeper) RecordSilence(host string, silence, leaseLength time.Duration, now cherrykeel.Instant) {
 	keeper.bidder.heardSilence(host, silence, leaseLength, now)
 }
 
-// Relayed reports whether an order should go through another host, since the direct way has failed.
-func (keeper *Keeper) Relayed(order lease.Order) bool {
+// ShouldRelay reports whether an order should go through another host, since the direct way has failed.
+func (keeper *Keeper) ShouldRelay(order lease.Order) bool {
 	return keeper.term != nil && keeper.term.failures[order.Lessee]%2 == 1
 }
 
@@ -94,10 +94,10 @@
 type Report struct {
 	Term    int64
 	Settled bool
-	// Confirmed is how long ago a majority of witnesses last confirmed the term.
-	Confirmed time.Duration
-	// Lost are upstreams whose leases have ended for want of answers.
-	Lost []string
+	// ConfirmedAge is how long ago a majority of witnesses last confirmed the term.
+	ConfirmedAge time.Duration `json:"Confirmed"`
+	// Unavailable are upstreams whose leases have ended for want of answers.
+	Unavailable []string `json:"Lost"`
 	// Promoted counts partitions in force at another upstream than the log says.
 	Promoted int
 }
--- a/keeper/moved_test.go
+++ b/keeper/moved_test.go
@@ -75,10 +75,10 @@
 	now := cherrykeel.Instant(world.now)
 	service := world.service
 	actions := world.keeper.Tick(keeper.Input{
-		Now: now, Block: world.block, Service: &service, Hosts: []keeper.Host{{Name: self}}, Won: world.block.Term,
+		Now: now, Block: world.block, Service: &service, Hosts: []keeper.Host{{Name: self}}, ClaimedTerm: world.block.Term,
 	})
-	for range actions.Confirm {
-		world.keeper.Confirmed(self, world.block.Term, now)
+	for range actions.RequestConfirmation {
+		world.keeper.RecordConfirmation(self, world.block.Term, now)
 	}
 	for _, order := range actions.Orders {
 		world.deliver(order)
@@ -96,10 +96,10 @@
 		}
 		process := world.processes[upstream.Address]
 		holding := process.Holding(world.now)
-		if !order.Ask {
+		if !order.Query {
 			holding = process.Grant(order.Grant, world.now)
 		}
-		world.keeper.Answered(order, holding, cherrykeel.Instant(world.now))
+		world.keeper.RecordAnswer(order, holding, cherrykeel.Instant(world.now))
 	}
 }
 
--- a/keeper/place.go
+++ b/keeper/place.go
@@ -33,9 +33,9 @@
 		return true
 	}
 	if !input.Service.ChecksFences {
-		return input.Down[upstream]
+		return input.Unreachable[upstream]
 	}
-	return term.ledger.Lost(upstream, input.Now)
+	return term.ledger.IsUnavailable(upstream, input.Now)
 }
 
 func (term *term) patience(upstream string) time.Duration {
@@ -73,7 +73,7 @@
 	defer func() { term.promoted = moved(input.Block.Placement, term.current(input)) }()
 	candidates := term.candidates(input)
 	current := term.current(input)
-	term.ledger.Want(current)
+	term.ledger.SetTarget(current)
 	if len(candidates) == 0 {
 		return
 	}
@@ -82,7 +82,7 @@
 		return
 	}
 	next, needed := term.next(input, current, candidates)
-	settling := len(input.Block.Earlier) > 0 && term.ledger.Settled(input.Now)
+	settling := len(input.Block.Earlier) > 0 && term.ledger.IsSettled(input.Now)
 	if !needed && !settling && term.overlay == nil {
 		return
 	}
@@ -101,7 +101,7 @@
 		Successors: input.Block.Placement.Successors,
 		HotKeys:    input.Block.Placement.HotKeys,
 	}
-	for _, tenure := range term.ledger.Holders(input.Now) {
+	for _, tenure := range term.ledger.HeldAssignments(input.Now) {
 		for upstream, set := range tenure.Partitions {
 			if _, listed := term.addresses[upstream]; !listed {
 				// A process that is no upstream any more loses what it holds when its lease ends.
@@ -131,7 +131,7 @@
 // next returns the placement that should follow, and whether it differs.
 func (term *term) next(input Input, current cherrykeel.Placement, candidates []cherrykeel.Candidate) (cherrykeel.Placement, bool) {
 	budget := 0
-	balancing := input.Now.Sub(term.balancedAt) >= balanceEvery && term.ledger.Settled(input.Now)
+	balancing := input.Now.Sub(term.balancedAt) >= balanceEvery && term.ledger.IsSettled(input.Now)
 	if balancing || term.balancedAt == 0 {
 		term.balancedAt = input.Now
 		budget = max(1, int(moveShare*float64(input.Service.Partitions)))
@@ -207,7 +207,7 @@
 	if !samePlacement(promoted, term.current(input)) {
 		term.overlay = &promoted
 		term.overlayAt = 0
-		term.ledger.Want(promoted)
+		term.ledger.SetTarget(promoted)
 	}
 	due := term.overlayAt == 0 || input.Now.Sub(term.overlayAt) >= overlayAgain
 	if term.overlay != nil && due {
--- a/keeper/term.go
+++ b/keeper/term.go
@@ -64,7 +64,7 @@
 	service := input.Service
 	options := []lease.Option{}
 	if !service.ChecksFences {
-		options = append(options, lease.ToHosts(boundOf(input.Block.Timeout, service)))
+		options = append(options, lease.LeaseToHosts(boundOf(input.Block.Timeout, service)))
 	}
 	term := &term{
 		number:    input.Block.Term,
@@ -86,19 +86,19 @@
 
 // issued reports whether an order was made in this term.
 func (term *term) issued(order lease.Order) bool {
-	return order.Ask || order.Grant.Fence.Term == term.number
+	return order.Query || order.Grant.Fence.Term == term.number
 }
 
 func (term *term) failed(order lease.Order) {
 	term.failures[order.Lessee]++
-	term.ledger.Failed(order)
+	term.ledger.RecordFailure(order)
 }
 
 func (term *term) tick(input Input, actions *Actions) {
 	term.teach(input, actions)
 	term.free(input)
 	term.watchAddresses(input)
-	term.ledger.Lessees(term.lessees(input))
+	term.ledger.SetLessees(term.lessees(input))
 	term.watchUpstreams(input)
 	term.place(input, actions)
 	term.renew(input, actions)
@@ -110,7 +110,7 @@
 	for _, server := range input.Service.Upstreams {
 		address, known := term.addresses[server.Name]
 		if known && address != server.Address && input.Service.ChecksFences {
-			term.ledger.Moved(server.Name)
+			term.ledger.RecordAddressChange(server.Name)
 		}
 		term.addresses[server.Name] = server.Address
 	}
@@ -141,20 +141,20 @@
 			if earlier.taught[host] != 0 {
 				continue
 			}
-			if input.Gone[host] {
+			if input.RemovedHosts[host] {
 				// A host that the platform has taken off the list for long is destroyed,
 				// or was paused so long that it abstains when it wakes.
 				earlier.taught[host] = input.Now
 				continue
 			}
-			actions.Teach = append(actions.Teach, Teaching{Host: host, Earlier: earlier.Term, Term: term.number})
+			actions.TermNotices = append(actions.TermNotices, TermNotice{Host: host, EarlierTerm: earlier.Term, Term: term.number})
 		}
 	}
 }
 
-func (term *term) taught(teaching Teaching, now cherrykeel.Instant) {
+func (term *term) taught(teaching TermNotice, now cherrykeel.Instant) {
 	for _, earlier := range term.earlier {
-		if earlier.Term == teaching.Earlier && earlier.taught[teaching.Host] == 0 {
+		if earlier.Term == teaching.EarlierTerm && earlier.taught[teaching.Host] == 0 {
 			earlier.taught[teaching.Host] = now
 		}
 	}
@@ -172,13 +172,13 @@
 		if learned == 0 {
 			return
 		}
-		longest := lease.Longest(earlier.LeaseLength)
+		longest := lease.WithMaxDrift(earlier.LeaseLength)
 		if bound := boundOf(earlier.Timeout, input.Service); bound > 0 {
-			longest += lease.Longest(lease.Linger(bound))
+			longest += lease.WithMaxDrift(lease.MaxProcessingTime(bound))
 		}
 		freeAt = max(freeAt, learned.Add(longest))
 	}
-	term.ledger.Free(freeAt)
+	term.ledger.SetFreeAt(freeAt)
 }
 
 // boundOf returns the bound on the requests of a term: the claim's, not that of the settings, which may have
@@ -217,7 +217,7 @@
 // renew asks the witnesses and sends the leases.
 func (term *term) renew(input Input, actions *Actions) {
 	every := time.Duration(renewShare * float64(input.Block.LeaseLength))
-	settled := term.ledger.Settled(input.Now)
+	settled := term.ledger.IsSettled(input.Now)
 	if settled && term.renewedAt != 0 && input.Now.Sub(term.renewedAt) < every {
 		return
 	}
@@ -225,9 +225,9 @@
 		// While something changes hands, the witnesses are asked at every tick: what a lost
 		// upstream held is free only once they have confirmed the term after its lease's end.
 		term.renewedAt = input.Now
-		actions.Confirm = input.Block.Witnesses
+		actions.RequestConfirmation = input.Block.Witnesses
 	}
-	actions.Orders = term.ledger.Orders(input.Now, term.quorum.At())
+	actions.Orders = term.ledger.NextOrders(input.Now, term.quorum.ConfirmedAt())
 }
 
 // refreshWitnesses claims the term anew when witnesses have left, or requests may take another time than the
@@ -235,12 +235,12 @@
 // renewed without them.
 func (term *term) refreshWitnesses(input Input, actions *Actions) {
 	missing := term.missingWitnesses(input)
-	better := Witnesses(term.service, term.self, input.Hosts)
+	better := ChooseWitnesses(term.service, term.self, input.Hosts)
 	grown := len(better) > len(input.Block.Witnesses)
 	stuck := 2*missing > len(input.Block.Witnesses)
 	wanted := missing > 0 || grown || timeoutOf(input.Service) != input.Block.Timeout
 	recent := term.reclaimAt != 0 && input.Now.Sub(term.reclaimAt) < listPatience
-	if !wanted || recent || input.Leaving || !stuck && !term.ledger.Settled(input.Now) {
+	if !wanted || recent || input.Leaving || !stuck && !term.ledger.IsSettled(input.Now) {
 		return
 	}
 	term.reclaimAt = input.Now
@@ -268,11 +268,11 @@
 }
 
 func (term *term) report(now cherrykeel.Instant) Report {
-	report := Report{Term: term.number, Settled: term.ledger.Settled(now), Confirmed: now.Sub(term.quorum.At())}
+	report := Report{Term: term.number, Settled: term.ledger.IsSettled(now), ConfirmedAge: now.Sub(term.quorum.ConfirmedAt())}
 	for name := range term.lost {
-		report.Lost = append(report.Lost, name)
+		report.Unavailable = append(report.Unavailable, name)
 	}
-	sort.Strings(report.Lost)
+	sort.Strings(report.Unavailable)
 	report.Promoted = term.promoted
 	return report
 }
--- a/lease/allowed.go
+++ b/lease/allowed.go
@@ -5,19 +5,19 @@
 )
 
 // target is what a lessee should hold in the end.
-func (ledger *Ledger) target(name string) Tenure {
+func (ledger *Ledger) target(name string) Assignment {
 	if ledger.toHosts {
 		return ledger.wanted
 	}
-	return ledger.wanted.Only(name, ledger.partitionOf)
+	return ledger.wanted.ForUpstream(name, ledger.partitionOf)
 }
 
 // allowed is the part of the target that no other lessee may still hold for another upstream.
-func (ledger *Ledger) allowed(name string, lessee *lessee) Tenure {
+func (ledger *Ledger) allowed(name string, lessee *lessee) Assignment {
 	target := ledger.target(name)
 	held := lessee.held()
 	unknown := ledger.anybodyUnknown()
-	next := NewTenure()
+	next := NewAssignment()
 	for upstream, wanted := range target.Partitions {
 		// What a lessee says it holds may be what it only works on, since before its lease ended. So that
 		// word lets it keep what somebody unknown may hold, but not what another is known to hold.
@@ -84,7 +84,7 @@
 	return false
 }
 
-func (tenure Tenure) keyElsewhere(owner, key string, partition int) bool {
+func (tenure Assignment) keyElsewhere(owner, key string, partition int) bool {
 	if hot, held := tenure.HotKeys[key]; held && hot != owner {
 		return true
 	}
@@ -100,7 +100,7 @@
 }
 
 // exceptCoolingKeys leaves out keys that go back to their partitions but may still be held alone by another upstream.
-func (ledger *Ledger) exceptCoolingKeys(next Tenure) {
+func (ledger *Ledger) exceptCoolingKeys(next Assignment) {
 	for _, lessee := range ledger.lessees {
 		for _, possession := range lessee.possible {
 			for key, owner := range possession.tenure.HotKeys {
@@ -114,7 +114,7 @@
 }
 
 // givesTo reports whether the partition is the owner's or nobody's in the tenure.
-func (tenure Tenure) givesTo(owner string, partition int) bool {
+func (tenure Assignment) givesTo(owner string, partition int) bool {
 	for upstream := range tenure.Partitions {
 		if upstream != owner && tenure.has(upstream, partition) {
 			return false
--- a/lease/answers.go
+++ b/lease/answers.go
@@ -7,8 +7,8 @@
 	"cherrykeel"
 )
 
-// Answered takes in a lessee's answer to an order; an answer that comes after Failed is passed over.
-func (ledger *Ledger) Answered(order Order, holding cherrykeel.Holding, received cherrykeel.Instant) {
+// RecordAnswer takes in a lessee's answer to an order; an answer that comes after Failed is passed over.
+func (ledger *Ledger) RecordAnswer(order Order, holding cherrykeel.Holding, received cherrykeel.Instant) {
 	lessee, exists := ledger.lessees[order.Lessee]
 	if !exists || lessee.outstanding != order.serial {
 		return
@@ -33,7 +33,7 @@
 	}
 	// A lessee that accepts a grant has that grant's fence; with another one, it accepted another grant, and
 	// may take this one later.
-	if !order.Ask && holding.Accepted && holding.Fence == order.Grant.Fence {
+	if !order.Query && holding.Accepted && holding.Fence == order.Grant.Fence {
 		lessee.accept(order, tenureOfHolding(order.Lessee, holding))
 	}
 }
@@ -52,10 +52,10 @@
 	lessee.possible = nil
 }
 
-// Moved forgets a lessee that is at another address now, and so is another process. Unlike one that has
+// RecordAddressChange forgets a lessee that is at another address now, and so is another process. Unlike one that has
 // started anew, that proves nothing of the process before: what it may hold stays its own, under a name that
 // no upstream has, until its lease has ended.
-func (ledger *Ledger) Moved(name string) {
+func (ledger *Ledger) RecordAddressChange(name string) {
 	moved, exists := ledger.lessees[name]
 	if !exists {
 		return
@@ -94,7 +94,7 @@
 }
 
 // accept drops the possessions that the accepted grant has replaced.
-func (lessee *lessee) accept(order Order, said Tenure) {
+func (lessee *lessee) accept(order Order, said Assignment) {
 	kept := []possession{{sequence: order.Grant.Fence.Sequence, tenure: said}}
 	for _, possession := range lessee.possible {
 		if possession.sequence > order.Grant.Fence.Sequence {
@@ -105,8 +105,8 @@
 	lessee.fenced = true
 }
 
-// Failed takes in that no answer came to an order; the lessee may have taken it all the same.
-func (ledger *Ledger) Failed(order Order) {
+// RecordFailure takes in that no answer came to an order; the lessee may have taken it all the same.
+func (ledger *Ledger) RecordFailure(order Order) {
 	lessee, exists := ledger.lessees[order.Lessee]
 	if exists && lessee.outstanding == order.serial {
 		lessee.outstanding = 0
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -34,12 +34,12 @@
 // carry delivers an order at a time and its answer at once.
 func (world world) carry(ledger *lease.Ledger, order lease.Order, at time.Duration) cherrykeel.Holding {
 	holding := world.deliver(order, at)
-	ledger.Answered(order, holding, cherrykeel.Instant(at))
+	ledger.RecordAnswer(order, holding, cherrykeel.Instant(at))
 	return holding
 }
 
 func (world world) deliver(order lease.Order, at time.Duration) cherrykeel.Holding {
-	if order.Ask {
+	if order.Query {
 		return world[order.Lessee].Holding(at)
 	}
 	return world[order.Lessee].Grant(order.Grant, at)
@@ -49,19 +49,19 @@
 func (world world) settle(ledger *lease.Ledger, from time.Duration) time.Duration {
 	at := from
 	for range 10 {
-		for _, order := range ledger.Orders(cherrykeel.Instant(at), cherrykeel.Instant(at)) {
+		for _, order := range ledger.NextOrders(cherrykeel.Instant(at), cherrykeel.Instant(at)) {
 			world.carry(ledger, order, at)
 		}
 		at += time.Millisecond
 	}
-	Expect(ledger.Settled(cherrykeel.Instant(at))).To(BeTrue())
+	Expect(ledger.IsSettled(cherrykeel.Instant(at))).To(BeTrue())
 	return at
 }
 
 func newLedger(term int64, owners ...string) *lease.Ledger {
 	ledger := lease.NewLedger(service, term, length, partitionOf)
-	ledger.Lessees([]string{"a", "b"})
-	ledger.Want(cherrykeel.Placement{Owners: owners})
+	ledger.SetLessees([]string{"a", "b"})
+	ledger.SetTarget(cherrykeel.Placement{Owners: owners})
 	return ledger
 }
 
@@ -80,9 +80,9 @@
 		// for 30 s, and then arrives: its end is on the upstream's own clock and has passed.
 		world := newWorld()
 		ledger := newLedger(1, "a", "a", "a", "a")
-		ledger.Free(0)
+		ledger.SetFreeAt(0)
 		at := world.settle(ledger, time.Second)
-		renewal := find(ledger.Orders(cherrykeel.Instant(at), cherrykeel.Instant(at)), "a")
+		renewal := find(ledger.NextOrders(cherrykeel.Instant(at), cherrykeel.Instant(at)), "a")
 		world.deliver(*renewal, at+30*time.Second)
 		Expect(world["a"].Owns(at+30*time.Second, 0, "")).To(BeFalse())
 	})
@@ -92,11 +92,11 @@
 		// second time, while it still has time to run: the fence is older, so a refuses it.
 		world := newWorld()
 		ledger := newLedger(1, "a", "a", "b", "b")
-		ledger.Free(0)
+		ledger.SetFreeAt(0)
 		at := time.Second
 		var first lease.Order
 		for range 3 {
-			for _, order := range ledger.Orders(cherrykeel.Instant(at), cherrykeel.Instant(at)) {
+			for _, order := range ledger.NextOrders(cherrykeel.Instant(at), cherrykeel.Instant(at)) {
 				if order.Lessee == "a" && len(order.Grant.Partitions) > 0 {
 					first = order
 				}
@@ -104,7 +104,7 @@
 			}
 			at += time.Millisecond
 		}
-		ledger.Want(cherrykeel.Placement{Owners: []string{"b", "a", "b", "b"}})
+		ledger.SetTarget(cherrykeel.Placement{Owners: []string{"b", "a", "b", "b"}})
 		at = world.settle(ledger, at)
 		Expect(first.Grant.Until).To(BeNumerically(">", at), "the old grant could still run")
 		holding := world["a"].Grant(first.Grant, at)
@@ -119,15 +119,15 @@
 		// alone, it would give a's keys to b, which the new one has not fenced yet.
 		world := newWorld()
 		old := newLedger(1, "a", "a", "b", "b")
-		old.Free(0)
+		old.SetFreeAt(0)
 		at := world.settle(old, time.Second)
-		old.Want(cherrykeel.Placement{Owners: []string{"b", "b", "b", "b"}})
+		old.SetTarget(cherrykeel.Placement{Owners: []string{"b", "b", "b", "b"}})
 
 		adopting := newLedger(2, "a", "a", "b", "b")
-		adopting.Free(cherrykeel.Instant(at + 2*length))
+		adopting.SetFreeAt(cherrykeel.Instant(at + 2*length))
 		for range 2 {
 			now := cherrykeel.Instant(at + 600*time.Millisecond)
-			order := find(adopting.Orders(now, now), "a")
+			order := find(adopting.NextOrders(now, now), "a")
 			world.carry(adopting, *order, at+600*time.Millisecond)
 		}
 
@@ -135,7 +135,7 @@
 		Expect(world["a"].Owns(late, 0, "")).To(BeTrue())
 		confirmed := cherrykeel.Instant(at + 500*time.Millisecond)
 		for range 3 {
-			order := find(old.Orders(cherrykeel.Instant(late), confirmed), "b")
+			order := find(old.NextOrders(cherrykeel.Instant(late), confirmed), "b")
 			if order != nil {
 				world.carry(old, *order, late)
 			}
@@ -146,16 +146,16 @@
 	It("of a key that cools goes back to its partition only when its last owner has let go", func() {
 		world := newWorld()
 		ledger := newLedger(1, "a", "a", "b", "b")
-		ledger.Free(0)
+		ledger.SetFreeAt(0)
 		at := world.settle(ledger, time.Second)
 		hot := "key" // in partition 3, which b holds
-		ledger.Want(cherrykeel.Placement{Owners: []string{"a", "a", "b", "b"}, HotKeys: map[string]string{hot: "a"}})
+		ledger.SetTarget(cherrykeel.Placement{Owners: []string{"a", "a", "b", "b"}, HotKeys: map[string]string{hot: "a"}})
 		at = world.settle(ledger, at+20*time.Millisecond)
 		Expect(world["a"].Owns(at, 3, hot)).To(BeTrue())
 		Expect(world["b"].Owns(at, 3, hot)).To(BeFalse())
 
-		ledger.Want(cherrykeel.Placement{Owners: []string{"a", "a", "b", "b"}})
-		orders := ledger.Orders(cherrykeel.Instant(at), cherrykeel.Instant(at))
+		ledger.SetTarget(cherrykeel.Placement{Owners: []string{"a", "a", "b", "b"}})
+		orders := ledger.NextOrders(cherrykeel.Instant(at), cherrykeel.Instant(at))
 		world.carry(ledger, *find(orders, "b"), at)
 		Expect(world["b"].Owns(at, 3, hot)).To(BeFalse(), "a has not answered yet")
 		world.carry(ledger, *find(orders, "a"), at)
@@ -167,19 +167,19 @@
 var _ = Describe("a witness", func() {
 	It("abstains until it has caught up with the log after it started", func() {
 		witness := lease.NewWitness(100)
-		witness.Learn(service, 7)
+		witness.RecordTerm(service, 7)
 		Expect(witness.Confirm(service, 7, 110)).To(BeFalse())
-		witness.CaughtUp(50)
+		witness.RecordCaughtUp(50)
 		Expect(witness.Confirm(service, 7, 120)).To(BeFalse(), "that read began before it started")
-		witness.CaughtUp(130)
+		witness.RecordCaughtUp(130)
 		Expect(witness.Confirm(service, 7, 140)).To(BeTrue())
 		Expect(witness.Confirm(service, 6, 150)).To(BeFalse())
 	})
 
 	It("abstains again after a pause in which a successor may have counted it as gone", func() {
 		witness := lease.NewWitness(0)
-		witness.Learn(service, 7)
-		witness.CaughtUp(0)
+		witness.RecordTerm(service, 7)
+		witness.RecordCaughtUp(0)
 		Expect(witness.Confirm(service, 7, 10)).To(BeTrue())
 		Expect(witness.Confirm(service, 7, cherrykeel.Instant(5*time.Second))).To(BeFalse())
 	})
@@ -188,12 +188,12 @@
 var _ = Describe("a quorum", func() {
 	It("is as fresh as the majority's oldest confirmation", func() {
 		quorum := lease.NewQuorum([]string{"x", "y", "z"})
-		quorum.Confirm("x", 30)
-		Expect(quorum.At()).To(BeZero())
-		quorum.Confirm("y", 20)
-		quorum.Confirm("stranger", 90)
-		Expect(quorum.At()).To(Equal(cherrykeel.Instant(20)))
-		quorum.Confirm("z", 25)
-		Expect(quorum.At()).To(Equal(cherrykeel.Instant(25)))
+		quorum.RecordConfirmation("x", 30)
+		Expect(quorum.ConfirmedAt()).To(BeZero())
+		quorum.RecordConfirmation("y", 20)
+		quorum.RecordConfirmation("stranger", 90)
+		Expect(quorum.ConfirmedAt()).To(Equal(cherrykeel.Instant(20)))
+		quorum.RecordConfirmation("z", 25)
+		Expect(quorum.ConfirmedAt()).To(Equal(cherrykeel.Instant(25)))
 	})
 })
--- a/lease/ledger.go
+++ b/lease/ledger.go
@@ -15,8 +15,8 @@
 // Order is a message that the ledger wants sent; its answer is passed to Answered, its loss to Failed.
 type Order struct {
 	Lessee string
-	// Ask asks for the holding without a grant.
-	Ask    bool
+	// Query asks for the holding without a grant.
+	Query  bool
 	Grant  cherrykeel.Grant
 	serial int64
 }
@@ -24,7 +24,7 @@
 // possession is what a lessee holds if it took the grant with that sequence.
 type possession struct {
 	sequence int64
-	tenure   Tenure
+	tenure   Assignment
 	// anything stands for a grant that extended what the lessee held, before it said what that was.
 	anything bool
 }
@@ -66,7 +66,7 @@
 	serial int64
 	// freeAt is when every lease of earlier terms has ended; nobody gains anything before.
 	freeAt  cherrykeel.Instant
-	wanted  Tenure
+	wanted  Assignment
 	lessees map[string]*lessee
 	// ghosts counts the processes that were kept when they ceased to be lessees.
 	ghosts  int
@@ -76,14 +76,14 @@
 // transitTime is how long a request may be on its way; its upstream counts the time for it from its arrival.
 const transitTime = 250 * time.Millisecond
 
-// Linger bounds how long after a request was sent an upstream may work on it, by the sender's clock; timeout is
+// MaxProcessingTime bounds how long after a request was sent an upstream may work on it, by the sender's clock; timeout is
 // what the request told the upstream, whose own clock may be slow.
-func Linger(timeout time.Duration) time.Duration {
-	return transitTime + Longest(timeout)
+func MaxProcessingTime(timeout time.Duration) time.Duration {
+	return transitTime + WithMaxDrift(timeout)
 }
 
-// Longest bounds the time on any clock in which a duration passes on another one.
-func Longest(duration time.Duration) time.Duration {
+// WithMaxDrift bounds the time on any clock in which a duration passes on another one.
+func WithMaxDrift(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration) * (1 + DefaultDrift))
 }
 
@@ -97,13 +97,13 @@
 	}
 }
 
-// ToHosts makes entry hosts the lessees, for upstreams that do not check fences. Such an upstream may work on
+// LeaseToHosts makes entry hosts the lessees, for upstreams that do not check fences. Such an upstream may work on
 // a request for up to timeout after it was sent, also when the host that sent it has lost its lease.
-func ToHosts(timeout time.Duration) Option {
+func LeaseToHosts(timeout time.Duration) Option {
 	return func(ledger *Ledger) {
 		ledger.toHosts = true
 		ledger.timeout = timeout
-		ledger.linger = Longest(Linger(timeout))
+		ledger.linger = WithMaxDrift(MaxProcessingTime(timeout))
 	}
 }
 
@@ -116,7 +116,7 @@
 		drift:       DefaultDrift,
 		partitionOf: partitionOf,
 		freeAt:      Never,
-		wanted:      NewTenure(),
+		wanted:      NewAssignment(),
 		lessees:     map[string]*lessee{},
 	}
 	for _, option := range options {
@@ -125,8 +125,8 @@
 	return ledger
 }
 
-// Free tells when the leases of all earlier terms have ended.
-func (ledger *Ledger) Free(at cherrykeel.Instant) {
+// SetFreeAt tells when the leases of all earlier terms have ended.
+func (ledger *Ledger) SetFreeAt(at cherrykeel.Instant) {
 	ledger.freeAt = at
 }
 
@@ -135,13 +135,13 @@
 	return ledger.freeAt
 }
 
-// Want sets what the upstreams should own; the ledger gets there safely.
-func (ledger *Ledger) Want(placement cherrykeel.Placement) {
-	ledger.wanted = TenureOf(placement)
+// SetTarget sets what the upstreams should own; the ledger gets there safely.
+func (ledger *Ledger) SetTarget(placement cherrykeel.Placement) {
+	ledger.wanted = AssignmentOf(placement)
 }
 
-// Lessees sets who gets leases; one that is left out is not renewed and is forgotten when its lease has ended.
-func (ledger *Ledger) Lessees(names []string) {
+// SetLessees sets who gets leases; one that is left out is not renewed and is forgotten when its lease has ended.
+func (ledger *Ledger) SetLessees(names []string) {
 	for _, lessee := range ledger.lessees {
 		lessee.removed = true
 	}
@@ -155,13 +155,13 @@
 	}
 }
 
-// Deposed reports whether a lessee has shown a newer term.
-func (ledger *Ledger) Deposed() bool {
+// IsDeposed reports whether a lessee has shown a newer term.
+func (ledger *Ledger) IsDeposed() bool {
 	return ledger.deposed
 }
 
-// Bound returns the latest end of any lease given in this term.
-func (ledger *Ledger) Bound() cherrykeel.Instant {
+// LatestLeaseEnd returns the latest end of any lease given in this term.
+func (ledger *Ledger) LatestLeaseEnd() cherrykeel.Instant {
 	bound := cherrykeel.Instant(0)
 	for _, lessee := range ledger.lessees {
 		bound = max(bound, lessee.bound)
@@ -169,8 +169,8 @@
 	return bound
 }
 
-// Lost reports whether a lessee has not answered for longer than a lease, so that its lease has ended.
-func (ledger *Ledger) Lost(name string, now cherrykeel.Instant) bool {
+// IsUnavailable reports whether a lessee has not answered for longer than a lease, so that its lease has ended.
+func (ledger *Ledger) IsUnavailable(name string, now cherrykeel.Instant) bool {
 	lessee, exists := ledger.lessees[name]
 	if !exists || lessee.addedAt == 0 {
 		return false
@@ -179,8 +179,8 @@
 	return now >= heard.Add(ledger.length) && now >= lessee.bound
 }
 
-// ReadAt returns when a lessee last answered, or 0.
-func (ledger *Ledger) ReadAt(name string) cherrykeel.Instant {
+// LastAnswerAt returns when a lessee last answered, or 0.
+func (ledger *Ledger) LastAnswerAt(name string) cherrykeel.Instant {
 	lessee, exists := ledger.lessees[name]
 	if !exists {
 		return 0
@@ -188,9 +188,9 @@
 	return lessee.readAt
 }
 
-// Holders returns, for each lessee that has answered and whose lease runs, what it said it holds.
-func (ledger *Ledger) Holders(now cherrykeel.Instant) map[string]Tenure {
-	holders := map[string]Tenure{}
+// HeldAssignments returns, for each lessee that has answered and whose lease runs, what it said it holds.
+func (ledger *Ledger) HeldAssignments(now cherrykeel.Instant) map[string]Assignment {
+	holders := map[string]Assignment{}
 	for name, lessee := range ledger.lessees {
 		if lessee.fenced && now < lessee.bound && len(lessee.possible) > 0 {
 			holders[name] = lessee.possible[0].tenure
@@ -199,8 +199,8 @@
 	return holders
 }
 
-// Settled reports whether every lessee that answers holds just what it should, and nobody else should hold anything.
-func (ledger *Ledger) Settled(now cherrykeel.Instant) bool {
+// IsSettled reports whether every lessee that answers holds just what it should, and nobody else should hold anything.
+func (ledger *Ledger) IsSettled(now cherrykeel.Instant) bool {
 	if now < ledger.freeAt {
 		return false
 	}
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -7,9 +7,9 @@
 	"cherrykeel"
 )
 
-// Orders returns what to send now. Leases run for the ledger's length from the older of
+// NextOrders returns what to send now. Leases run for the ledger's length from the older of
 // confirmed, when a majority of witnesses knew of no newer term, and the lessee's last answer.
-func (ledger *Ledger) Orders(now, confirmed cherrykeel.Instant) []Order {
+func (ledger *Ledger) NextOrders(now, confirmed cherrykeel.Instant) []Order {
 	if ledger.deposed {
 		return nil
 	}
@@ -62,7 +62,7 @@
 
 func (ledger *Ledger) order(name string, lessee *lessee, now, confirmed cherrykeel.Instant) (Order, bool) {
 	if !lessee.known || now >= lessee.readAt.Add(ledger.length) {
-		return Order{Lessee: name, Ask: true}, true
+		return Order{Lessee: name, Query: true}, true
 	}
 	end := min(confirmed, lessee.readAt).Add(ledger.length)
 	if end <= now || ledger.freeAt == Never {
@@ -110,13 +110,13 @@
 }
 
 // held is what a lessee last said it holds, or nothing if that has lapsed.
-func (lessee *lessee) held() Tenure {
+func (lessee *lessee) held() Assignment {
 	if len(lessee.possible) == 0 || lessee.possible[0].anything {
-		return NewTenure()
+		return NewAssignment()
 	}
 	return lessee.possible[0].tenure
 }
 
-func (lessee *lessee) holdsJust(tenure Tenure) bool {
+func (lessee *lessee) holdsJust(tenure Assignment) bool {
 	return lessee.fenced && len(lessee.possible) == 1 && !lessee.possible[0].anything && lessee.possible[0].tenure.equal(tenure)
 }
--- a/lease/proof_test.go
+++ b/lease/proof_test.go
@@ -12,7 +12,7 @@
 
 // orderTo returns the order to a, which is under way, after b has had its own.
 func (world world) orderTo(ledger *lease.Ledger, at time.Duration) *lease.Order {
-	orders := ledger.Orders(cherrykeel.Instant(at), cherrykeel.Instant(at))
+	orders := ledger.NextOrders(cherrykeel.Instant(at), cherrykeel.Instant(at))
 	if order := find(orders, "b"); order != nil {
 		world.carry(ledger, *order, at)
 	}
@@ -24,7 +24,7 @@
 	for range 4 {
 		at += time.Millisecond
 		if order := world.orderTo(ledger, at); order != nil {
-			ledger.Failed(*order)
+			ledger.RecordFailure(*order)
 		}
 	}
 	return at
@@ -40,7 +40,7 @@
 	BeforeEach(func() {
 		world = newWorld()
 		ledger = newLedger(1, "a", "a", "", "b")
-		ledger.Free(0)
+		ledger.SetFreeAt(0)
 		at = world.settle(ledger, time.Second)
 	})
 
@@ -51,12 +51,12 @@
 		earlier := world.carry(ledger, *renewal, at)
 		Expect(earlier.Accepted).To(BeTrue())
 		at += time.Millisecond
-		ledger.Want(cherrykeel.Placement{Owners: []string{"a", "a", "a", "b"}})
+		ledger.SetTarget(cherrykeel.Placement{Owners: []string{"a", "a", "a", "b"}})
 		grant := world.orderTo(ledger, at)
 		Expect(grant.Grant.Partitions).To(ContainElement(2))
-		ledger.Answered(*grant, answer(*grant, earlier), cherrykeel.Instant(at))
+		ledger.RecordAnswer(*grant, answer(*grant, earlier), cherrykeel.Instant(at))
 
-		ledger.Want(cherrykeel.Placement{Owners: []string{"a", "a", "b", "b"}})
+		ledger.SetTarget(cherrykeel.Placement{Owners: []string{"a", "a", "b", "b"}})
 		at = world.withoutA(ledger, at)
 		world.deliver(*grant, at)
 	}
@@ -89,16 +89,16 @@
 	It("does not make the keeper forget what its successor holds", func() {
 		world := newWorld()
 		ledger := newLedger(1, "a", "a", "b", "b")
-		ledger.Free(0)
+		ledger.SetFreeAt(0)
 		at := world.settle(ledger, time.Second)
 		replaced := world["a"].Holding(at)
 		world["a"] = newWorld()["b"]
 		at = world.settle(ledger, at+time.Millisecond)
 		Expect(world["a"].Owns(at, 0, "")).To(BeTrue())
 
-		ledger.Want(cherrykeel.Placement{Owners: []string{"b", "b", "b", "b"}})
+		ledger.SetTarget(cherrykeel.Placement{Owners: []string{"b", "b", "b", "b"}})
 		order := world.orderTo(ledger, at)
-		ledger.Answered(*order, replaced, cherrykeel.Instant(at))
+		ledger.RecordAnswer(*order, replaced, cherrykeel.Instant(at))
 		at = world.withoutA(ledger, at)
 		Expect(world["a"].Owns(at, 0, "")).To(BeTrue())
 		Expect(world["b"].Owns(at, 0, "")).To(BeFalse())
@@ -112,28 +112,28 @@
 	DescribeTable("is not its own again before the next owner has let go", func(cold, hot cherrykeel.Placement, partition int, key string) {
 		world := newWorld()
 		ledger := newLedger(1, "a", "a", "b", "b")
-		ledger.Free(0)
-		ledger.Want(hot)
+		ledger.SetFreeAt(0)
+		ledger.SetTarget(hot)
 		at := world.settle(ledger, time.Second)
 		Expect(world["a"].Owns(at, partition, key)).To(BeTrue())
 
-		ledger.Want(cold)
+		ledger.SetTarget(cold)
 		at += 2 * length
 		at = world.withoutA(ledger, at)
 		Expect(world["b"].Owns(at, partition, key)).To(BeTrue())
 
-		ledger.Want(hot)
+		ledger.SetTarget(hot)
 		for range 6 {
 			at += time.Millisecond
-			for _, order := range ledger.Orders(cherrykeel.Instant(at), cherrykeel.Instant(at)) {
+			for _, order := range ledger.NextOrders(cherrykeel.Instant(at), cherrykeel.Instant(at)) {
 				if order.Lessee == "b" {
-					ledger.Failed(order)
+					ledger.RecordFailure(order)
 					continue
 				}
 				holding := world.deliver(order, at)
 				holding.Partitions = append(holding.Partitions, partition)
 				holding.HotKeys = append(holding.HotKeys, key)
-				ledger.Answered(order, holding, cherrykeel.Instant(at))
+				ledger.RecordAnswer(order, holding, cherrykeel.Instant(at))
 			}
 		}
 		Expect(world["b"].Owns(at, partition, key)).To(BeTrue())
--- a/lease/tenure.go
+++ b/lease/tenure.go
@@ -9,10 +9,10 @@
 	"cherrykeel"
 )
 
-// Tenure says which upstream may act for which partitions and hot keys.
+// Assignment says which upstream may act for which partitions and hot keys.
 // A grant to an upstream names only itself; a grant to an entry host, for
 // upstreams that do not check fences, names all of them.
-type Tenure struct {
+type Assignment struct {
 	Partitions map[string]*bitset.BitSet
 	// HotKeys maps keys that are held apart from their partitions to upstreams.
 	HotKeys map[string]string
@@ -20,14 +20,14 @@
 	ExceptKeys map[string]bool
 }
 
-// NewTenure returns a tenure of nothing.
-func NewTenure() Tenure {
-	return Tenure{Partitions: map[string]*bitset.BitSet{}, HotKeys: map[string]string{}, ExceptKeys: map[string]bool{}}
+// NewAssignment returns a tenure of nothing.
+func NewAssignment() Assignment {
+	return Assignment{Partitions: map[string]*bitset.BitSet{}, HotKeys: map[string]string{}, ExceptKeys: map[string]bool{}}
 }
 
-// TenureOf returns what a placement gives to all upstreams together.
-func TenureOf(placement cherrykeel.Placement) Tenure {
-	tenure := NewTenure()
+// AssignmentOf returns what a placement gives to all upstreams together.
+func AssignmentOf(placement cherrykeel.Placement) Assignment {
+	tenure := NewAssignment()
 	for partition, owner := range placement.Owners {
 		if owner != "" {
 			tenure.add(owner, partition)
@@ -40,9 +40,9 @@
 	return tenure
 }
 
-// Only returns the part that belongs to one upstream.
-func (tenure Tenure) Only(upstream string, partitionOf func(string) int) Tenure {
-	part := NewTenure()
+// ForUpstream returns the part that belongs to one upstream.
+func (tenure Assignment) ForUpstream(upstream string, partitionOf func(string) int) Assignment {
+	part := NewAssignment()
 	own, exists := tenure.Partitions[upstream]
 	if exists {
 		part.Partitions[upstream] = own.Clone()
@@ -61,8 +61,8 @@
 }
 
 // renamed returns the tenure with another name in the place of an upstream's.
-func (tenure Tenure) renamed(upstream, name string) Tenure {
-	renamed := Tenure{
+func (tenure Assignment) renamed(upstream, name string) Assignment {
+	renamed := Assignment{
 		Partitions: maps.Clone(tenure.Partitions),
 		HotKeys:    maps.Clone(tenure.HotKeys),
 		ExceptKeys: tenure.ExceptKeys,
@@ -79,7 +79,7 @@
 	return renamed
 }
 
-func (tenure Tenure) add(upstream string, partition int) {
+func (tenure Assignment) add(upstream string, partition int) {
 	set, exists := tenure.Partitions[upstream]
 	if !exists {
 		set = &bitset.BitSet{}
@@ -88,7 +88,7 @@
 	set.Set(uint(partition))
 }
 
-func (tenure Tenure) partitions(upstream string) *bitset.BitSet {
+func (tenure Assignment) partitions(upstream string) *bitset.BitSet {
 	set, exists := tenure.Partitions[upstream]
 	if !exists {
 		return &bitset.BitSet{}
@@ -96,16 +96,16 @@
 	return set
 }
 
-func (tenure Tenure) has(upstream string, partition int) bool {
+func (tenure Assignment) has(upstream string, partition int) bool {
 	set, exists := tenure.Partitions[upstream]
 	return exists && set.Test(uint(partition))
 }
 
-func (tenure Tenure) empty() bool {
-	return tenure.equal(NewTenure())
+func (tenure Assignment) empty() bool {
+	return tenure.equal(NewAssignment())
 }
 
-func (tenure Tenure) equal(other Tenure) bool {
+func (tenure Assignment) equal(other Assignment) bool {
 	if len(tenure.HotKeys) != len(other.HotKeys) || len(tenure.ExceptKeys) != len(other.ExceptKeys) {
 		return false
 	}
@@ -122,7 +122,7 @@
 	return tenure.covers(other) && other.covers(tenure)
 }
 
-func (tenure Tenure) covers(other Tenure) bool {
+func (tenure Assignment) covers(other Assignment) bool {
 	for upstream, set := range other.Partitions {
 		own, exists := tenure.Partitions[upstream]
 		if set.None() {
@@ -136,7 +136,7 @@
 }
 
 // fill writes the tenure into a grant; to an upstream only its own part has partitions.
-func (tenure Tenure) fill(grant *cherrykeel.Grant, lessee string, toHost bool) {
+func (tenure Assignment) fill(grant *cherrykeel.Grant, lessee string, toHost bool) {
 	for key, owner := range tenure.HotKeys {
 		if toHost {
 			key = owner + " " + key
@@ -170,8 +170,8 @@
 }
 
 // tenureOfHolding reads what a lessee says it holds.
-func tenureOfHolding(lessee string, holding cherrykeel.Holding) Tenure {
-	tenure := NewTenure()
+func tenureOfHolding(lessee string, holding cherrykeel.Holding) Assignment {
+	tenure := NewAssignment()
 	for _, partition := range holding.Partitions {
 		tenure.add(lessee, partition)
 	}
--- a/lease/witness.go
+++ b/lease/witness.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// Ran records that the host is running, not paused; it is called many times a second.
+// RecordRunning records that the host is running, not paused; it is called many times a second.
 // After a long pause the witness abstains again: a successor may have counted it as gone.
-func (witness *Witness) Ran(now cherrykeel.Instant) {
+func (witness *Witness) RecordRunning(now cherrykeel.Instant) {
 	if now.Sub(witness.lastRan) > maxPause {
 		witness.ready = false
 		witness.started = now
@@ -42,26 +42,26 @@
 	witness.lastRan = now
 }
 
-// CaughtUp records that a read of the log, begun at an instant, found nothing that was not learned.
-func (witness *Witness) CaughtUp(begun cherrykeel.Instant) {
+// RecordCaughtUp records that a read of the log, begun at an instant, found nothing that was not learned.
+func (witness *Witness) RecordCaughtUp(begun cherrykeel.Instant) {
 	if begun >= witness.started {
 		witness.ready = true
 	}
 }
 
-// Ready reports whether the witness confirms at all.
-func (witness *Witness) Ready() bool {
+// IsReady reports whether the witness confirms at all.
+func (witness *Witness) IsReady() bool {
 	return witness.ready
 }
 
-// Learn records a term; a lower one is never confirmed again.
-func (witness *Witness) Learn(service string, term int64) {
+// RecordTerm records a term; a lower one is never confirmed again.
+func (witness *Witness) RecordTerm(service string, term int64) {
 	witness.terms[service] = max(witness.terms[service], term)
 }
 
 // Confirm answers a keeper that asks whether its term is the newest.
 func (witness *Witness) Confirm(service string, term int64, now cherrykeel.Instant) bool {
-	witness.Ran(now)
+	witness.RecordRunning(now)
 	known := witness.terms[service]
 	if term >= known {
 		witness.asked[service] = now
@@ -69,8 +69,8 @@
 	return witness.ready && known == term
 }
 
-// Asked returns when the keeper of a service last asked, or the witness's start.
-func (witness *Witness) Asked(service string) cherrykeel.Instant {
+// LastRequestAt returns when the keeper of a service last asked, or the witness's start.
+func (witness *Witness) LastRequestAt(service string) cherrykeel.Instant {
 	return max(witness.asked[service], witness.started)
 }
 
@@ -88,15 +88,15 @@
 	return quorum
 }
 
-// Confirm records that a witness answered a question that was sent at an instant.
-func (quorum *Quorum) Confirm(witness string, sent cherrykeel.Instant) {
+// RecordConfirmation records that a witness answered a question that was sent at an instant.
+func (quorum *Quorum) RecordConfirmation(witness string, sent cherrykeel.Instant) {
 	if last, named := quorum.confirmed[witness]; named {
 		quorum.confirmed[witness] = max(last, sent)
 	}
 }
 
-// At returns the latest instant at which a majority had confirmed, or 0.
-func (quorum *Quorum) At() cherrykeel.Instant {
+// ConfirmedAt returns the latest instant at which a majority had confirmed, or 0.
+func (quorum *Quorum) ConfirmedAt() cherrykeel.Instant {
 	return majorityInstant(quorum.confirmed)
 }
 
--- a/lease/work_test.go
+++ b/lease/work_test.go
@@ -37,13 +37,13 @@
 // round delivers what a ledger orders at a time, and the answers.
 func (hosts hosts) round(ledger *lease.Ledger, at time.Duration) {
 	now := cherrykeel.Instant(at)
-	for _, order := range ledger.Orders(now, now) {
+	for _, order := range ledger.NextOrders(now, now) {
 		view := hosts[order.Lessee]
 		holding := view.Holding(now)
-		if !order.Ask {
+		if !order.Query {
 			holding = view.Grant(order.Grant, now)
 		}
-		ledger.Answered(order, holding, now)
+		ledger.RecordAnswer(order, holding, now)
 	}
 }
 
@@ -70,10 +70,10 @@
 }
 
 func newHostLedger(placement cherrykeel.Placement) *lease.Ledger {
-	ledger := lease.NewLedger(service, 1, length, partitionOf, lease.ToHosts(time.Second))
-	ledger.Lessees([]string{"h1", "h2"})
-	ledger.Want(placement)
-	ledger.Free(0)
+	ledger := lease.NewLedger(service, 1, length, partitionOf, lease.LeaseToHosts(time.Second))
+	ledger.SetLessees([]string{"h1", "h2"})
+	ledger.SetTarget(placement)
+	ledger.SetFreeAt(0)
 	return ledger
 }
 
@@ -93,7 +93,7 @@
 		Expect(allowed).To(BeTrue())
 		Expect(sent).To(Equal(last))
 
-		ledger.Want(after)
+		ledger.SetTarget(after)
 		at = hosts.rounds(ledger, at)
 		Expect(hosts.sendsTo(at, hotPartition, hotKey)).NotTo(ContainElement(next), "the request still runs at %s", last)
 	},
@@ -106,14 +106,14 @@
 	DescribeTable("stays with its last owner while that works on it", func(before, after cherrykeel.Placement, last, next string) {
 		upstreams := newUpstreams()
 		ledger := lease.NewLedger(service, 1, longLease, partitionOf)
-		ledger.Lessees([]string{"a", "b"})
-		ledger.Want(before)
-		ledger.Free(0)
+		ledger.SetLessees([]string{"a", "b"})
+		ledger.SetTarget(before)
+		ledger.SetFreeAt(0)
 		upstreams.rounds(ledger)
 		Expect(upstreams.holding(last).mayRun(hotPartition, hotKey)).To(BeTrue())
 		finish := upstreams.begin(last, hotPartition, hotKey)
 
-		ledger.Want(after)
+		ledger.SetTarget(after)
 		upstreams.rounds(ledger)
 		Expect(upstreams.holding(next).mayRun(hotPartition, hotKey)).To(BeFalse(), "the request still runs at %s", last)
 		finish()
@@ -168,12 +168,12 @@
 // rounds delivers a ledger's orders, and the answers, until it has carried its changes through as far as it may.
 func (upstreams upstreams) rounds(ledger *lease.Ledger) {
 	for range 6 {
-		for _, order := range ledger.Orders(1, 1) {
-			if order.Ask {
-				ledger.Answered(order, upstreams.holding(order.Lessee).Holding, 1)
+		for _, order := range ledger.NextOrders(1, 1) {
+			if order.Query {
+				ledger.RecordAnswer(order, upstreams.holding(order.Lessee).Holding, 1)
 				continue
 			}
-			ledger.Answered(order, upstreams.grant(order.Lessee, order.Grant), 1)
+			ledger.RecordAnswer(order, upstreams.grant(order.Lessee, order.Grant), 1)
 		}
 	}
 }
--- a/opctl/print.go
+++ b/opctl/print.go
@@ -188,7 +188,7 @@
 	}
 	lost, promoted := "", ""
 	if service.Report != nil {
-		lost = strings.Join(service.Report.Lost, " ")
+		lost = strings.Join(service.Report.Unavailable, " ")
 		promoted = strconv.Itoa(service.Report.Promoted)
 	}
 	return []string{
--- a/spans/bench_test.go
+++ b/spans/bench_test.go
@@ -25,9 +25,9 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				demand.Decay(at(6*time.Second + time.Duration(i)*25*time.Microsecond))
-				table.Next(service, spans.Facts{
-					Offset: 9, Candidates: all, Demand: demand, Moves: moves,
-					Lost: func(string) bool { return false }, Free: func(cherrykeel.KeySpan) bool { return false }, Settled: func(spans.Owned) bool { return true },
+				table.NextSpans(service, spans.Input{
+					Offset: 9, Candidates: all, Demand: demand, MaxMoves: moves,
+					IsUnavailable: func(string) bool { return false }, IsFree: func(cherrykeel.KeySpan) bool { return false }, IsSettled: func(spans.Owned) bool { return true },
 				})
 			}
 		})
--- a/spans/change.go
+++ b/spans/change.go
@@ -1,8 +1,8 @@
 package spans
 
-// Change returns the table with only those spans that the one before does not have. With 111 upstreams the
+// Diff returns the table with only those spans that the one before does not have. With 111 upstreams the
 // whole table is some 30 KB, which each of 71 hosts got with each move.
-func (table Table) Change(before Table) Table {
+func (table Table) Diff(before Table) Table {
 	change := table
 	change.Services = map[string][]Owned{}
 	for service, list := range table.Services {
@@ -19,9 +19,9 @@
 	return change
 }
 
-// Changed returns the table that a change leads to. The spans of a table have no gaps, so whatever the
+// Apply returns the table that a change leads to. The spans of a table have no gaps, so whatever the
 // change overlaps is replaced by it, and all else stays.
-func (table Table) Changed(change Table) Table {
+func (table Table) Apply(change Table) Table {
 	changed := change
 	changed.Services = map[string][]Owned{}
 	for service, list := range table.Services {
--- a/spans/change_test.go
+++ b/spans/change_test.go
@@ -40,7 +40,7 @@
 				}
 				after.Merge("keys")
 			}
-			Expect(before.Changed(after.Change(before))).To(Equal(after))
+			Expect(before.Apply(after.Diff(before))).To(Equal(after))
 		}
 	})
 
@@ -48,12 +48,12 @@
 		before := spans.Table{Services: map[string][]spans.Owned{"keys": {{First: 0, Last: 9, Owner: "a"}, {First: 10, Last: cherrykeel.MaxKey, Owner: "b"}}}}
 		after := before.Clone()
 		after.Services["keys"][0].Moving = true
-		Expect(after.Change(before).Services["keys"]).To(Equal([]spans.Owned{{First: 0, Last: 9, Owner: "a", Moving: true}}))
+		Expect(after.Diff(before).Services["keys"]).To(Equal([]spans.Owned{{First: 0, Last: 9, Owner: "a", Moving: true}}))
 	})
 
 	It("takes in a service that is new", func() {
 		after := spans.Table{Version: 3, Services: map[string][]spans.Owned{"keys": {{Last: cherrykeel.MaxKey, Owner: "a"}}}}
 		before := spans.Table{Version: -1}
-		Expect(before.Changed(after.Change(before))).To(Equal(after))
+		Expect(before.Apply(after.Diff(before))).To(Equal(after))
 	})
 })
--- a/spans/drift_test.go
+++ b/spans/drift_test.go
@@ -15,7 +15,7 @@
 	// as 10.2 s, the keys are free 4 ms before the upstream lets go of them.
 	It("is when the slowest clock has measured it", func() {
 		const hold = 10 * time.Second
-		ended := spans.End(0, hold)
+		ended := spans.LatestLeaseEnd(0, hold)
 		measured := time.Duration(ended) * 98 / 100
 		Expect(measured).To(BeNumerically(">=", hold))
 		Expect(ended).To(BeNumerically("<", cherrykeel.Instant(hold+hold/40)))
--- a/spans/hot_test.go
+++ b/spans/hot_test.go
@@ -52,7 +52,7 @@
 				return random.IntN(cherrykeel.MaxKey + 1)
 			}
 		})
-		moves := spans.Plan(list, all, demand, 4)
+		moves := spans.PlanMoves(list, all, demand, 4)
 		Expect(moves).NotTo(BeEmpty())
 		for _, move := range moves {
 			Expect(move.From).NotTo(Equal("u2"))
@@ -85,11 +85,11 @@
 				return 45001 + random.IntN(20000)
 			}
 		})
-		next, changed := spans.Table{Services: map[string][]spans.Owned{service: list}}.Next(service, spans.Facts{
+		next, changed := spans.Table{Services: map[string][]spans.Owned{service: list}}.NextSpans(service, spans.Input{
 			Offset: 100, Candidates: all, Demand: demand,
-			Lost:    func(string) bool { return true },
-			Free:    func(cherrykeel.KeySpan) bool { return true },
-			Settled: func(spans.Owned) bool { return true },
+			IsUnavailable: func(string) bool { return true },
+			IsFree:        func(cherrykeel.KeySpan) bool { return true },
+			IsSettled:     func(spans.Owned) bool { return true },
 		})
 		Expect(changed).To(BeTrue())
 		expectWhole(next)
--- a/spans/ledger.go
+++ b/spans/ledger.go
@@ -13,8 +13,8 @@
 // Never is an end that has not been bounded yet.
 const Never = cherrykeel.Instant(1 << 62)
 
-// Held is a span that an upstream was granted under a fence.
-type Held struct {
+// GrantedSpan is a span that an upstream was granted under a fence.
+type GrantedSpan struct {
 	Service string
 	Owner   string
 	Span    cherrykeel.KeySpan
@@ -23,7 +23,7 @@
 
 // hold is a span that an upstream may hold until a time.
 type hold struct {
-	Held
+	GrantedSpan
 	until cherrykeel.Instant
 	// call is the grant that was sent and not answered, or 0. It may be carried out after later ones.
 	call int64
@@ -36,44 +36,44 @@
 	calls int64
 }
 
-// End returns when a hold that arrives by the given time has surely ended: an upstream's clock that runs slow shows
+// LatestLeaseEnd returns when a hold that arrives by the given time has surely ended: an upstream's clock that runs slow shows
 // its length that much later.
-func End(arrived cherrykeel.Instant, length time.Duration) cherrykeel.Instant {
+func LatestLeaseEnd(arrived cherrykeel.Instant, length time.Duration) cherrykeel.Instant {
 	return arrived.Add(time.Duration(math.Ceil(float64(length) / (1 - driftShare))))
 }
 
-// May notes that an upstream may hold a span until a time, besides what it may hold already.
+// RecordLease notes that an upstream may hold a span until a time, besides what it may hold already.
 //
 // A grant that was answered ends no earlier one that reaches further: the same call again renews a grant, and
 // nothing says that it can shorten it. Upstreams that had been granted 10 s while the store was away went by that
 // after a grant of 2.5 s, and their keys had been given on: two upstreams worked on one key for up to 7 s. Only a
 // release, the end of the process, or the end of the longest hold frees keys.
-func (ledger *Ledger) May(held Held, until cherrykeel.Instant) {
+func (ledger *Ledger) RecordLease(held GrantedSpan, until cherrykeel.Instant) {
 	kept := ledger.holds[:0]
 	for _, old := range ledger.holds {
-		if old.call != 0 || old.until > until || !held.covers(old.Held) {
+		if old.call != 0 || old.until > until || !held.covers(old.GrantedSpan) {
 			kept = append(kept, old)
 		}
 	}
-	ledger.holds = append(kept, hold{Held: held, until: until})
+	ledger.holds = append(kept, hold{GrantedSpan: held, until: until})
 }
 
 // covers reports whether whoever holds this holds the other too, and no release frees this one alone.
-func (held Held) covers(other Held) bool {
+func (held GrantedSpan) covers(other GrantedSpan) bool {
 	same := held.Service == other.Service && held.Owner == other.Owner
 	return same && other.Fence <= held.Fence && held.Span.Covers(other.Span)
 }
 
-// Sent notes a grant that is under way, and returns its number. Until it is answered it may be carried out at
+// RecordSent notes a grant that is under way, and returns its number. Until it is answered it may be carried out at
 // any time up to until, also after a later one of the same fence that was answered.
-func (ledger *Ledger) Sent(held Held, until cherrykeel.Instant) int64 {
+func (ledger *Ledger) RecordSent(held GrantedSpan, until cherrykeel.Instant) int64 {
 	ledger.calls++
-	ledger.holds = append(ledger.holds, hold{Held: held, until: until, call: ledger.calls})
+	ledger.holds = append(ledger.holds, hold{GrantedSpan: held, until: until, call: ledger.calls})
 	return ledger.calls
 }
 
-// Answered notes that a grant was carried out or refused, and will not be carried out later.
-func (ledger *Ledger) Answered(call int64) {
+// RecordAnswer notes that a grant was carried out or refused, and will not be carried out later.
+func (ledger *Ledger) RecordAnswer(call int64) {
 	kept := ledger.holds[:0]
 	for _, old := range ledger.holds {
 		if old.call != call {
@@ -83,9 +83,9 @@
 	ledger.holds = kept
 }
 
-// Freed notes that a release was answered: by no grant of a lower fence does the upstream hold the span, nor take it.
+// RecordRelease notes that a release was answered: by no grant of a lower fence does the upstream hold the span, nor take it.
 // Of a grant under a higher fence, which came after the release was sent, its answer says nothing.
-func (ledger *Ledger) Freed(release Held) {
+func (ledger *Ledger) RecordRelease(release GrantedSpan) {
 	ledger.cut(release.Span, func(old hold) bool {
 		return old.Service == release.Service && old.Owner == release.Owner && old.Fence < release.Fence
 	})
@@ -104,8 +104,8 @@
 	ledger.holds = kept
 }
 
-// Ended notes that an upstream's process is gone and holds nothing.
-func (ledger *Ledger) Ended(owner string) {
+// RecordProcessEnd notes that an upstream's process is gone and holds nothing.
+func (ledger *Ledger) RecordProcessEnd(owner string) {
 	kept := ledger.holds[:0]
 	for _, old := range ledger.holds {
 		if old.Owner != owner {
@@ -115,8 +115,8 @@
 	ledger.holds = kept
 }
 
-// Bound gives an end to the holds that had none, which a keeper before may have granted, and returns their owners.
-func (ledger *Ledger) Bound(until cherrykeel.Instant) []string {
+// BoundUnknownLeases gives an end to the holds that had none, which a keeper before may have granted, and returns their owners.
+func (ledger *Ledger) BoundUnknownLeases(until cherrykeel.Instant) []string {
 	var owners []string
 	for i := range ledger.holds {
 		if ledger.holds[i].until == Never {
@@ -139,8 +139,8 @@
 	return free
 }
 
-// Held returns until when an upstream may hold any of its spans.
-func (ledger *Ledger) Held(owner string) cherrykeel.Instant {
+// HeldUntil returns until when an upstream may hold any of its spans.
+func (ledger *Ledger) HeldUntil(owner string) cherrykeel.Instant {
 	var until cherrykeel.Instant
 	for _, old := range ledger.holds {
 		if old.Owner == owner {
@@ -150,8 +150,8 @@
 	return until
 }
 
-// Forget drops what has ended.
-func (ledger *Ledger) Forget(now cherrykeel.Instant) {
+// RemoveExpired drops what has ended.
+func (ledger *Ledger) RemoveExpired(now cherrykeel.Instant) {
 	kept := ledger.holds[:0]
 	for _, old := range ledger.holds {
 		if old.until > now {
--- a/spans/ledger_model_test.go
+++ b/spans/ledger_model_test.go
@@ -70,8 +70,8 @@
 }
 
 // held is the span as the ledger knows it.
-func (order modelOrder) held() spans.Held {
-	return spans.Held{Service: service, Owner: order.owner, Span: order.span, Fence: order.fence}
+func (order modelOrder) held() spans.GrantedSpan {
+	return spans.GrantedSpan{Service: service, Owner: order.owner, Span: order.span, Fence: order.fence}
 }
 
 func (order modelOrder) String() string {
--- a/spans/ledger_orders_test.go
+++ b/spans/ledger_orders_test.go
@@ -36,7 +36,7 @@
 		return
 	}
 	grant.hold = rapid.SampledFrom([]time.Duration{shortestHold, longestHold}).Draw(model.t, "hold")
-	grant.call = keeper.ledger.Sent(grant.held(), spans.End(model.now.Add(grantLimit), grant.hold))
+	grant.call = keeper.ledger.RecordSent(grant.held(), spans.LatestLeaseEnd(model.now.Add(grantLimit), grant.hold))
 	keeper.pending[grant.modelOrder] = true
 	fate := model.drawFate(grantLimit)
 	model.log("%s for %s is sent: %+v", grant, grant.hold, fate)
@@ -46,7 +46,7 @@
 func (model *model) carryGrant(keeper *modelKeeper, grant modelGrant, fate modelFate) {
 	model.after(grantLimit, func() { delete(keeper.pending, grant.modelOrder) })
 	if fate.unsent {
-		model.after(fate.travels, func() { keeper.ledger.Answered(grant.call) })
+		model.after(fate.travels, func() { keeper.ledger.RecordAnswer(grant.call) })
 	}
 	if fate.unsent || fate.lost {
 		return
@@ -85,7 +85,7 @@
 	if arrived < model.now && until > model.now {
 		model.reached[reachedLate]++
 	}
-	if upstream.until[grant.span.First] > spans.End(arrived, grant.hold) {
+	if upstream.until[grant.span.First] > spans.LatestLeaseEnd(arrived, grant.hold) {
 		model.reached[reachedShorter]++
 	}
 }
@@ -99,9 +99,9 @@
 			model.reached[reachedAfter]++
 		}
 	}
-	keeper.ledger.Answered(grant.call)
+	keeper.ledger.RecordAnswer(grant.call)
 	if taken {
-		keeper.ledger.May(grant.held(), spans.End(model.now, grant.hold))
+		keeper.ledger.RecordLease(grant.held(), spans.LatestLeaseEnd(model.now, grant.hold))
 	}
 }
 
@@ -158,7 +158,7 @@
 	if !keeper.awaits(order) {
 		model.reached[reachedStale]++
 	}
-	keeper.ledger.Freed(order.held())
+	keeper.ledger.RecordRelease(order.held())
 	if keeper == model.keeper && rapid.Bool().Draw(model.t, "atOnce") {
 		model.give()
 	}
--- a/spans/ledger_site_test.go
+++ b/spans/ledger_site_test.go
@@ -196,9 +196,9 @@
 // tick does what a keeper does before each look at the table.
 func (model *model) tick() {
 	if model.now >= model.keeper.boundAt {
-		model.keeper.ledger.Bound(model.keeper.bound)
+		model.keeper.ledger.BoundUnknownLeases(model.keeper.bound)
 	}
-	model.keeper.ledger.Forget(model.now)
+	model.keeper.ledger.RemoveExpired(model.now)
 }
 
 // check finds two upstreams on one key.
--- a/spans/ledger_stale_test.go
+++ b/spans/ledger_stale_test.go
@@ -15,14 +15,14 @@
 	// frees what was granted after it: other upstreams get the keys at once, and two work on one key.
 	It("frees nothing that was granted after the release was sent", func() {
 		var ledger spans.Ledger
-		ledger.May(held("a", span(0, 99)), at(2*time.Second))
+		ledger.RecordLease(held("a", span(0, 99)), at(2*time.Second))
 		// The release is sent here, which the ledger is not told of.
-		ledger.Forget(at(2 * time.Second))
-		again := spans.Held{Service: service, Owner: "a", Span: span(0, 99), Fence: 5}
-		call := ledger.Sent(again, at(5*time.Second))
-		ledger.Answered(call)
-		ledger.May(again, at(4600*time.Millisecond))
-		ledger.Freed(released("a", span(0, 99)))
+		ledger.RemoveExpired(at(2 * time.Second))
+		again := spans.GrantedSpan{Service: service, Owner: "a", Span: span(0, 99), Fence: 5}
+		call := ledger.RecordSent(again, at(5*time.Second))
+		ledger.RecordAnswer(call)
+		ledger.RecordLease(again, at(4600*time.Millisecond))
+		ledger.RecordRelease(released("a", span(0, 99)))
 		Expect(ledger.FreeAt(service, "b", span(0, 99))).To(Equal(at(4600 * time.Millisecond)))
 	})
 })
--- a/spans/ledger_steps_test.go
+++ b/spans/ledger_steps_test.go
@@ -101,7 +101,7 @@
 		model.reached[reachedReturn]++
 	}
 	model.log("%d-%d of %s is to be of %s", owned.First, owned.Last, owned.Owner, taker.id)
-	owned.Owner, owned.Born, owned.Moving, owned.Fence = taker.id, taker.born, false, model.next()
+	owned.Owner, owned.StartedAt, owned.Moving, owned.Fence = taker.id, taker.born, false, model.next()
 	model.write(owned)
 }
 
@@ -148,7 +148,7 @@
 		return
 	}
 	left, right := &list[i], &list[i+1]
-	if left.Owner != right.Owner || left.Born != right.Born || left.Moving || right.Moving {
+	if left.Owner != right.Owner || left.StartedAt != right.StartedAt || left.Moving || right.Moving {
 		return
 	}
 	if left.Fence != right.Fence {
@@ -194,9 +194,9 @@
 		replace(table, before.given)
 	}
 	model.before = before
-	model.keeper = newModelKeeper(table.Claimed("host", "life", model.next()))
+	model.keeper = newModelKeeper(table.ClaimedBy("host", "life", model.next()))
 	model.keeper.boundAt = known
-	model.keeper.bound = spans.End(known.Add(evidenceAge+grantLimit), longestHold)
+	model.keeper.bound = spans.LatestLeaseEnd(known.Add(evidenceAge+grantLimit), longestHold)
 	model.inherit(before, orderly)
 	if !orderly {
 		model.after(before.stopsAt.Sub(model.now)-1, model.renewOld)
@@ -208,11 +208,11 @@
 func (model *model) inherit(before *modelKeeper, orderly bool) {
 	for _, owned := range model.keeper.table.Services[service] {
 		until := spans.Never
-		held := before.ledger.Held(owned.Owner)
+		held := before.ledger.HeldUntil(owned.Owner)
 		if orderly && held != spans.Never {
 			until = max(held, model.now)
 		}
-		model.keeper.ledger.May(spans.Held{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}, until)
+		model.keeper.ledger.RecordLease(spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}, until)
 	}
 }
 
@@ -243,8 +243,8 @@
 // notice tells the keeper of processes that have ended, and of the next lives of others.
 func (model *model) notice() {
 	for _, upstream := range model.upstreams {
-		if upstream.gone && model.keeper.ledger.Held(upstream.id) > model.now {
-			model.keeper.ledger.Ended(upstream.id)
+		if upstream.gone && model.keeper.ledger.HeldUntil(upstream.id) > model.now {
+			model.keeper.ledger.RecordProcessEnd(upstream.id)
 			model.reached[reachedEnd]++
 		}
 	}
@@ -260,10 +260,10 @@
 // revive gives a span to the next life of its owner under a higher fence, as spans.Table.Next does.
 func (model *model) revive(owned *spans.Owned, fence int64) {
 	upstream := model.upstream(owned.Owner)
-	if upstream.dead || upstream.born == owned.Born {
+	if upstream.dead || upstream.born == owned.StartedAt {
 		return
 	}
-	owned.Born, owned.Moving, owned.Fence = upstream.born, false, fence
+	owned.StartedAt, owned.Moving, owned.Fence = upstream.born, false, fence
 	model.reached[reachedLife]++
 	model.log("%d-%d is of the next life of %s under %d", owned.First, owned.Last, owned.Owner, fence)
 }
--- a/spans/lives_test.go
+++ b/spans/lives_test.go
@@ -13,25 +13,25 @@
 	// life has passed; the new life itself may, at once, under a fence that the earlier one never had.
 	It("gets its keys anew under a higher fence, while they are not free for others", func() {
 		all := candidates(1, 1)
-		all[0].Born = 200
-		all[1].Born = 50
+		all[0].StartedAt = 200
+		all[1].StartedAt = 50
 		table := spans.Table{Services: map[string][]spans.Owned{service: {
-			{First: 0, Last: 29999, Owner: "u0", Address: "10.0.0.0:80", Born: 100, Fence: 3, Moving: true},
-			{First: 30000, Last: cherrykeel.MaxKey, Owner: "u1", Address: "10.0.0.1:80", Born: 50, Fence: 4},
+			{First: 0, Last: 29999, Owner: "u0", Address: "10.0.0.0:80", StartedAt: 100, Fence: 3, Moving: true},
+			{First: 30000, Last: cherrykeel.MaxKey, Owner: "u1", Address: "10.0.0.1:80", StartedAt: 50, Fence: 4},
 		}}}
-		next, changed := table.Next(service, spans.Facts{
+		next, changed := table.NextSpans(service, spans.Input{
 			Offset: 9, Candidates: all, Demand: spans.NewDemand(0),
-			Lost: func(string) bool { return false }, Free: func(cherrykeel.KeySpan) bool { return false }, Settled: func(spans.Owned) bool { return false },
+			IsUnavailable: func(string) bool { return false }, IsFree: func(cherrykeel.KeySpan) bool { return false }, IsSettled: func(spans.Owned) bool { return false },
 		})
 		Expect(changed).To(BeTrue())
 		Expect(next).To(Equal([]spans.Owned{
-			{First: 0, Last: 29999, Owner: "u0", Address: "10.0.0.0:80", Born: 200, Fence: 9},
-			{First: 30000, Last: cherrykeel.MaxKey, Owner: "u1", Address: "10.0.0.1:80", Born: 50, Fence: 4},
+			{First: 0, Last: 29999, Owner: "u0", Address: "10.0.0.0:80", StartedAt: 200, Fence: 9},
+			{First: 30000, Last: cherrykeel.MaxKey, Owner: "u1", Address: "10.0.0.1:80", StartedAt: 50, Fence: 4},
 		}))
 	})
 
 	It("keeps its life in what is told of the table", func() {
-		table := spans.Table{Term: 1, Services: map[string][]spans.Owned{service: {{First: 0, Last: cherrykeel.MaxKey, Owner: "u0", Born: 7, Fence: 3}}}}
+		table := spans.Table{Term: 1, Services: map[string][]spans.Owned{service: {{First: 0, Last: cherrykeel.MaxKey, Owner: "u0", StartedAt: 7, Fence: 3}}}}
 		value, err := table.Encode()
 		Expect(err).NotTo(HaveOccurred())
 		read, err := spans.Decode(value, 5)
--- a/spans/next.go
+++ b/spans/next.go
@@ -14,28 +14,28 @@
 	maxPieces  = 4
 )
 
-// Facts is what the next table of a service rests on.
-type Facts struct {
+// Input is what the next table of a service rests on.
+type Input struct {
 	// Offset is where the next table will stand; it becomes the fence of what changes hands.
 	Offset int64
 	// Candidates are the upstreams that may own keys.
 	Candidates []Candidate
 	Demand     *Demand
-	// Lost reports whether an upstream cannot be asked to give its keys back.
-	Lost func(owner string) bool
-	// Free reports whether no upstream may hold any key of the span.
-	Free func(span cherrykeel.KeySpan) bool
-	// Settled reports whether a span has been with its owner for long enough to be joined or moved again.
-	Settled func(owned Owned) bool
-	// Moves bounds the spans that may be taken for balance now.
-	Moves int
+	// IsUnavailable reports whether an upstream cannot be asked to give its keys back.
+	IsUnavailable func(owner string) bool
+	// IsFree reports whether no upstream may hold any key of the span.
+	IsFree func(span cherrykeel.KeySpan) bool
+	// IsSettled reports whether a span has been with its owner for long enough to be joined or moved again.
+	IsSettled func(owned Owned) bool
+	// MaxMoves bounds the spans that may be taken for balance now.
+	MaxMoves int
 }
 
-// Next returns the table's next list of spans for a service, and whether it differs.
+// NextSpans returns the table's next list of spans for a service, and whether it differs.
 //
 // Owners that leave are asked to give back what they have; what nobody holds is given to new owners;
 // and spans are taken from upstreams with more load than others.
-func (table Table) Next(service string, facts Facts) ([]Owned, bool) {
+func (table Table) NextSpans(service string, facts Input) ([]Owned, bool) {
 	list := table.Services[service]
 	if len(facts.Candidates) == 0 {
 		return list, false
@@ -50,7 +50,7 @@
 	return step.list, step.changed
 }
 
-func dealt(facts Facts) []Owned {
+func dealt(facts Input) []Owned {
 	list := Divide(facts.Candidates, facts.Demand)
 	for i := range list {
 		list[i].Fence = facts.Offset
@@ -59,7 +59,7 @@
 }
 
 type step struct {
-	facts Facts
+	facts Input
 	list  []Owned
 	fit   map[string]Candidate
 	// known is the load by owner, once it was asked for: most looks change nothing and need none.
@@ -67,7 +67,7 @@
 	changed bool
 }
 
-func newStep(list []Owned, facts Facts) *step {
+func newStep(list []Owned, facts Input) *step {
 	step := &step{facts: facts, list: list, fit: make(map[string]Candidate, len(facts.Candidates))}
 	for _, candidate := range facts.Candidates {
 		step.fit[candidate.ID] = candidate
@@ -91,16 +91,16 @@
 	var list []Owned
 	for _, owned := range step.list {
 		owner, fit := step.fit[owned.Owner]
-		if fit && owner.Born != owned.Born {
+		if fit && owner.StartedAt != owned.StartedAt {
 			owned = step.reborn(owned, owner)
 		}
 		switch {
 		case fit && !owned.Moving:
 			list = append(list, owned)
-		case step.facts.Free(owned.Span()):
+		case step.facts.IsFree(owned.Span()):
 			list = append(list, step.give(owned)...)
 			step.changed = true
-		case !owned.Moving && !step.facts.Lost(owned.Owner):
+		case !owned.Moving && !step.facts.IsUnavailable(owned.Owner):
 			owned.Moving = true
 			list = append(list, owned)
 			step.changed = true
@@ -115,7 +115,7 @@
 // fence, whatever the earlier life may have held; another upstream would have to wait until that has surely ended.
 func (step *step) reborn(owned Owned, owner Candidate) Owned {
 	owned.Address = owner.Address
-	owned.Born = owner.Born
+	owned.StartedAt = owner.StartedAt
 	owned.Moving = false
 	owned.Fence = step.facts.Offset
 	step.changed = true
@@ -137,7 +137,7 @@
 		load := step.facts.Demand.Load(pieces[i])
 		taker := step.leastUsed(owned, load)
 		step.load()[taker.ID] += load
-		given[i] = Owned{First: pieces[i].First, Last: pieces[i].Last, Owner: taker.ID, Address: taker.Address, Born: taker.Born, Fence: step.facts.Offset}
+		given[i] = Owned{First: pieces[i].First, Last: pieces[i].Last, Owner: taker.ID, Address: taker.Address, StartedAt: taker.StartedAt, Fence: step.facts.Offset}
 	}
 	return given
 }
@@ -227,16 +227,16 @@
 			moving++
 		}
 	}
-	if step.facts.Moves <= moving {
+	if step.facts.MaxMoves <= moving {
 		return
 	}
-	for _, move := range Plan(step.list, step.facts.Candidates, step.facts.Demand, step.facts.Moves-moving) {
+	for _, move := range PlanMoves(step.list, step.facts.Candidates, step.facts.Demand, step.facts.MaxMoves-moving) {
 		table := Table{Services: map[string][]Owned{"": step.list}}
 		table.Split("", move.Span)
 		step.list = table.Services[""]
 		for i := range step.list {
 			owned := &step.list[i]
-			if owned.Span() == move.Span && owned.Owner == move.From && step.facts.Settled(*owned) {
+			if owned.Span() == move.Span && owned.Owner == move.From && step.facts.IsSettled(*owned) {
 				owned.Moving = true
 				step.changed = true
 			}
@@ -268,5 +268,5 @@
 	if left.Owner != right.Owner || left.Moving || right.Moving {
 		return false
 	}
-	return left.Fence == right.Fence || step.facts.Settled(left) && step.facts.Settled(right)
+	return left.Fence == right.Fence || step.facts.IsSettled(left) && step.facts.IsSettled(right)
 }
--- a/spans/plan.go
+++ b/spans/plan.go
@@ -10,8 +10,8 @@
 type Candidate struct {
 	ID      string
 	Address string
-	// Born tells the upstream's lives apart.
-	Born int64
+	// StartedAt tells the upstream's lives apart.
+	StartedAt int64
 	// Capacity is what it can do in a second, in requests.
 	Capacity float64
 	// Cold upstreams get no keys while others may have them.
@@ -84,14 +84,14 @@
 		if last < first {
 			continue
 		}
-		list = append(list, Owned{First: first, Last: last, Owner: candidate.ID, Address: candidate.Address, Born: candidate.Born})
+		list = append(list, Owned{First: first, Last: last, Owner: candidate.ID, Address: candidate.Address, StartedAt: candidate.StartedAt})
 		first = last + 1
 	}
 	return list
 }
 
-// Plan returns up to limit moves that take keys from the most used upstreams to the least used.
-func Plan(list []Owned, candidates []Candidate, demand *Demand, limit int) []Move {
+// PlanMoves returns up to limit moves that take keys from the most used upstreams to the least used.
+func PlanMoves(list []Owned, candidates []Candidate, demand *Demand, limit int) []Move {
 	planner := newPlanner(list, candidates, demand)
 	var moves []Move
 	for len(moves) < limit {
--- a/spans/plan_test.go
+++ b/spans/plan_test.go
@@ -49,11 +49,11 @@
 func settle(table spans.Table, all []spans.Candidate, demand *spans.Demand) []spans.Owned {
 	list := table.Services[service]
 	for offset := int64(100); offset < 140; offset++ {
-		next, changed := spans.Table{Services: map[string][]spans.Owned{service: list}}.Next(service, spans.Facts{
-			Offset: offset, Candidates: all, Demand: demand, Moves: 4,
-			Lost:    func(string) bool { return false },
-			Free:    func(span cherrykeel.KeySpan) bool { return moving(list, span) },
-			Settled: func(spans.Owned) bool { return true },
+		next, changed := spans.Table{Services: map[string][]spans.Owned{service: list}}.NextSpans(service, spans.Input{
+			Offset: offset, Candidates: all, Demand: demand, MaxMoves: 4,
+			IsUnavailable: func(string) bool { return false },
+			IsFree:        func(span cherrykeel.KeySpan) bool { return moving(list, span) },
+			IsSettled:     func(spans.Owned) bool { return true },
 		})
 		if !changed {
 			break
@@ -150,11 +150,11 @@
 			if worst < 1.2 {
 				break
 			}
-			list, _ = spans.Table{Services: map[string][]spans.Owned{service: list}}.Next(service, spans.Facts{
-				Offset: int64(rounds + 1), Candidates: all, Demand: demand, Moves: len(all) / 16,
-				Lost:    func(string) bool { return false },
-				Free:    func(span cherrykeel.KeySpan) bool { return moving(list, span) && rounds-since[span] >= takes(span) },
-				Settled: func(spans.Owned) bool { return true },
+			list, _ = spans.Table{Services: map[string][]spans.Owned{service: list}}.NextSpans(service, spans.Input{
+				Offset: int64(rounds + 1), Candidates: all, Demand: demand, MaxMoves: len(all) / 16,
+				IsUnavailable: func(string) bool { return false },
+				IsFree:        func(span cherrykeel.KeySpan) bool { return moving(list, span) && rounds-since[span] >= takes(span) },
+				IsSettled:     func(spans.Owned) bool { return true },
 			})
 			for _, owned := range list {
 				_, known := since[owned.Span()]
@@ -181,7 +181,7 @@
 		moves := 0
 		for range 20 {
 			demand := steady(315, func() int { return random.IntN(cherrykeel.MaxKey + 1) })
-			moves += len(spans.Plan(list, all, demand, 8))
+			moves += len(spans.PlanMoves(list, all, demand, 8))
 		}
 		Expect(moves).To(BeNumerically("<=", 30))
 	})
@@ -242,7 +242,7 @@
 		random := rand.New(rand.NewPCG(3, 4))
 		demand := steady(200, func() int { return random.IntN(cherrykeel.MaxKey + 1) })
 		all := candidates(50, 50, 50, 50)
-		Expect(spans.Plan(spans.Divide(all, demand), all, demand, 4)).To(BeEmpty())
+		Expect(spans.PlanMoves(spans.Divide(all, demand), all, demand, 4)).To(BeEmpty())
 	})
 
 	// An upstream leaves. Its keys may go to another only once it has given them back, or cannot hold
@@ -251,21 +251,21 @@
 		all := candidates(50, 50)
 		demand := spans.NewDemand(0)
 		table := spans.Table{Services: map[string][]spans.Owned{service: spans.Divide(all, demand)}}
-		facts := spans.Facts{
+		facts := spans.Input{
 			Offset: 9, Candidates: all[:1], Demand: demand,
-			Lost: func(string) bool { return false }, Free: func(cherrykeel.KeySpan) bool { return false },
-			Settled: func(spans.Owned) bool { return true },
+			IsUnavailable: func(string) bool { return false }, IsFree: func(cherrykeel.KeySpan) bool { return false },
+			IsSettled: func(spans.Owned) bool { return true },
 		}
-		asked, changed := table.Next(service, facts)
+		asked, changed := table.NextSpans(service, facts)
 		Expect(changed).To(BeTrue())
 		Expect(asked[1].Moving).To(BeTrue())
 		Expect(asked[1].Owner).To(Equal("u1"))
 		table.Services[service] = asked
-		_, changed = table.Next(service, facts)
+		_, changed = table.NextSpans(service, facts)
 		Expect(changed).To(BeFalse())
 		facts.Offset = 10
-		facts.Free = func(span cherrykeel.KeySpan) bool { return span == asked[1].Span() }
-		given, changed := table.Next(service, facts)
+		facts.IsFree = func(span cherrykeel.KeySpan) bool { return span == asked[1].Span() }
+		given, changed := table.NextSpans(service, facts)
 		Expect(changed).To(BeTrue())
 		expectWhole(given)
 		for _, owned := range given {
@@ -278,10 +278,10 @@
 		all := candidates(50, 50)
 		demand := spans.NewDemand(0)
 		table := spans.Table{Services: map[string][]spans.Owned{service: spans.Divide(all, demand)}}
-		_, changed := table.Next(service, spans.Facts{
+		_, changed := table.NextSpans(service, spans.Input{
 			Offset: 9, Candidates: all[:1], Demand: demand,
-			Lost: func(string) bool { return true }, Free: func(cherrykeel.KeySpan) bool { return false },
-			Settled: func(spans.Owned) bool { return true },
+			IsUnavailable: func(string) bool { return true }, IsFree: func(cherrykeel.KeySpan) bool { return false },
+			IsSettled: func(spans.Owned) bool { return true },
 		})
 		Expect(changed).To(BeFalse())
 	})
@@ -290,7 +290,7 @@
 		table := spans.Table{Version: 4, Term: 1, Services: map[string][]spans.Owned{service: {
 			{First: 0, Last: 9, Owner: "a", Fence: 3, Moving: true}, {First: 10, Last: cherrykeel.MaxKey, Owner: "b", Fence: 4},
 		}}}
-		claimed := table.Claimed("host-2", "life", 5)
+		claimed := table.ClaimedBy("host-2", "life", 5)
 		for _, owned := range claimed.Services[service] {
 			Expect(owned.Fence).To(Equal(int64(5)))
 			Expect(owned.Moving).To(BeFalse())
@@ -333,14 +333,14 @@
 	// Guards against keys that move to an upstream which a request too many ends.
 	It("are given no keys for balance, and none that are free", func() {
 		list := []spans.Owned{{First: 0, Last: 199, Owner: "a"}, {First: 200, Last: 399, Owner: "a"}, {First: 400, Last: cherrykeel.MaxKey, Owner: "b"}}
-		for _, move := range spans.Plan(list, candidates, hot(), 8) {
+		for _, move := range spans.PlanMoves(list, candidates, hot(), 8) {
 			Expect(move.To).To(Equal("b"))
 		}
 		table := spans.Table{Services: map[string][]spans.Owned{service: {{First: 0, Last: cherrykeel.MaxKey, Owner: "gone"}}}}
-		next, changed := table.Next(service, spans.Facts{
+		next, changed := table.NextSpans(service, spans.Input{
 			Offset: 9, Candidates: candidates, Demand: hot(),
-			Lost: func(string) bool { return false }, Free: func(cherrykeel.KeySpan) bool { return true },
-			Settled: func(spans.Owned) bool { return true },
+			IsUnavailable: func(string) bool { return false }, IsFree: func(cherrykeel.KeySpan) bool { return true },
+			IsSettled: func(spans.Owned) bool { return true },
 		})
 		Expect(changed).To(BeTrue())
 		for _, owned := range next {
@@ -350,10 +350,10 @@
 
 	It("are given keys if there are no others", func() {
 		table := spans.Table{Services: map[string][]spans.Owned{service: {{First: 0, Last: cherrykeel.MaxKey, Owner: "gone"}}}}
-		next, _ := table.Next(service, spans.Facts{
+		next, _ := table.NextSpans(service, spans.Input{
 			Offset: 9, Candidates: candidates[2:], Demand: hot(),
-			Lost: func(string) bool { return false }, Free: func(cherrykeel.KeySpan) bool { return true },
-			Settled: func(spans.Owned) bool { return true },
+			IsUnavailable: func(string) bool { return false }, IsFree: func(cherrykeel.KeySpan) bool { return true },
+			IsSettled: func(spans.Owned) bool { return true },
 		})
 		Expect(next[0].Owner).To(Equal("cold"))
 	})
--- a/spans/spread_test.go
+++ b/spans/spread_test.go
@@ -37,14 +37,14 @@
 				demand.Add(key, 1)
 			}
 		}
-		next, _ := spans.Table{Services: map[string][]spans.Owned{service: list}}.Next(service, spans.Facts{
-			Offset: int64(round), Candidates: all, Demand: demand, Moves: 14,
-			Lost: func(string) bool { return false },
-			Free: func(span cherrykeel.KeySpan) bool {
+		next, _ := spans.Table{Services: map[string][]spans.Owned{service: list}}.NextSpans(service, spans.Input{
+			Offset: int64(round), Candidates: all, Demand: demand, MaxMoves: 14,
+			IsUnavailable: func(string) bool { return false },
+			IsFree: func(span cherrykeel.KeySpan) bool {
 				since, moving := movingSince[span]
 				return moving && round-since >= busy
 			},
-			Settled: func(owned spans.Owned) bool {
+			IsSettled: func(owned spans.Owned) bool {
 				since, known := takenSince[owned.Span()]
 				return !known || round-since >= 4
 			},
--- a/spans/suite_test.go
+++ b/spans/suite_test.go
@@ -23,12 +23,12 @@
 }
 
 // held is what an upstream was granted, and released what a release of it names.
-func held(owner string, span cherrykeel.KeySpan) spans.Held {
-	return spans.Held{Service: service, Owner: owner, Span: span, Fence: 1}
+func held(owner string, span cherrykeel.KeySpan) spans.GrantedSpan {
+	return spans.GrantedSpan{Service: service, Owner: owner, Span: span, Fence: 1}
 }
 
-func released(owner string, span cherrykeel.KeySpan) spans.Held {
-	return spans.Held{Service: service, Owner: owner, Span: span, Fence: 2}
+func released(owner string, span cherrykeel.KeySpan) spans.GrantedSpan {
+	return spans.GrantedSpan{Service: service, Owner: owner, Span: span, Fence: 2}
 }
 
 func span(first, last int) cherrykeel.KeySpan {
@@ -41,9 +41,9 @@
 	// works on it, and two servers would change one hall's calendar.
 	It("bounds what others granted and not what it granted itself", func() {
 		var ledger spans.Ledger
-		ledger.May(held("a", span(0, 99)), spans.Never)
-		ledger.May(held("a", span(0, 49)), at(20*time.Second))
-		ledger.Bound(at(12 * time.Second))
+		ledger.RecordLease(held("a", span(0, 99)), spans.Never)
+		ledger.RecordLease(held("a", span(0, 49)), at(20*time.Second))
+		ledger.BoundUnknownLeases(at(12 * time.Second))
 		Expect(ledger.FreeAt(service, "", span(0, 49))).To(Equal(at(20 * time.Second)))
 		Expect(ledger.FreeAt(service, "", span(50, 99))).To(Equal(at(12 * time.Second)))
 	})
@@ -53,12 +53,12 @@
 	// had passed, and two upstreams worked on them for seconds.
 	It("keeps the longer end though a shorter grant was answered after it", func() {
 		var ledger spans.Ledger
-		ledger.May(held("a", span(0, 99)), at(12*time.Second))
-		ledger.May(held("a", span(0, 99)), at(6*time.Second))
+		ledger.RecordLease(held("a", span(0, 99)), at(12*time.Second))
+		ledger.RecordLease(held("a", span(0, 99)), at(6*time.Second))
 		Expect(ledger.FreeAt(service, "b", span(0, 99))).To(Equal(at(12 * time.Second)))
-		ledger.May(held("a", span(0, 99)), at(14*time.Second))
+		ledger.RecordLease(held("a", span(0, 99)), at(14*time.Second))
 		Expect(ledger.FreeAt(service, "b", span(0, 99))).To(Equal(at(14 * time.Second)))
-		ledger.Freed(released("a", span(0, 49)))
+		ledger.RecordRelease(released("a", span(0, 49)))
 		Expect(ledger.FreeAt(service, "b", span(0, 49))).To(BeZero(), "a release ends both")
 		Expect(ledger.FreeAt(service, "b", span(50, 99))).To(Equal(at(14 * time.Second)))
 	})
@@ -67,8 +67,8 @@
 	// also when an earlier, shorter one was answered.
 	It("keeps the latest end of unanswered grants", func() {
 		var ledger spans.Ledger
-		ledger.May(held("a", span(0, 99)), at(2*time.Second))
-		ledger.May(held("a", span(0, 99)), at(10*time.Second))
+		ledger.RecordLease(held("a", span(0, 99)), at(2*time.Second))
+		ledger.RecordLease(held("a", span(0, 99)), at(10*time.Second))
 		Expect(ledger.FreeAt(service, "b", span(10, 10))).To(Equal(at(10 * time.Second)))
 		Expect(ledger.FreeAt(service, "a", span(10, 10))).To(BeZero())
 	})
@@ -80,35 +80,35 @@
 		var ledger spans.Ledger
 		all := cherrykeel.KeySpan{First: 0, Last: 99}
 		part := cherrykeel.KeySpan{First: 50, Last: 99}
-		long := ledger.Sent(held("a", all), at(10*time.Second))
-		short := ledger.Sent(held("a", part), at(4*time.Second))
-		ledger.Answered(short)
-		ledger.May(held("a", part), at(3*time.Second))
+		long := ledger.RecordSent(held("a", all), at(10*time.Second))
+		short := ledger.RecordSent(held("a", part), at(4*time.Second))
+		ledger.RecordAnswer(short)
+		ledger.RecordLease(held("a", part), at(3*time.Second))
 		Expect(ledger.FreeAt(service, "", part)).To(Equal(at(10 * time.Second)))
-		ledger.Answered(long)
+		ledger.RecordAnswer(long)
 		Expect(ledger.FreeAt(service, "", part)).To(Equal(at(3 * time.Second)))
-		ledger.Sent(held("a", part), at(10*time.Second))
-		ledger.Freed(released("a", part))
+		ledger.RecordSent(held("a", part), at(10*time.Second))
+		ledger.RecordRelease(released("a", part))
 		Expect(ledger.FreeAt(service, "", part)).To(BeZero(), "a release raises the fence above all that was sent")
 	})
 
 	It("frees a part of a span", func() {
 		var ledger spans.Ledger
-		ledger.May(held("a", span(0, 99)), at(5*time.Second))
-		ledger.Freed(released("a", span(40, 59)))
+		ledger.RecordLease(held("a", span(0, 99)), at(5*time.Second))
+		ledger.RecordRelease(released("a", span(40, 59)))
 		Expect(ledger.FreeAt(service, "", span(40, 59))).To(BeZero())
 		Expect(ledger.FreeAt(service, "", span(39, 39))).To(Equal(at(5 * time.Second)))
 		Expect(ledger.FreeAt(service, "", span(60, 60))).To(Equal(at(5 * time.Second)))
 	})
 
 	It("counts 2% for a slow clock", func() {
-		Expect(spans.End(at(time.Second), 9800*time.Millisecond)).To(Equal(at(11 * time.Second)))
+		Expect(spans.LatestLeaseEnd(at(time.Second), 9800*time.Millisecond)).To(Equal(at(11 * time.Second)))
 	})
 
 	It("forgets an upstream whose process has ended", func() {
 		var ledger spans.Ledger
-		ledger.May(held("a", span(0, 99)), at(5*time.Second))
-		ledger.Ended("a")
+		ledger.RecordLease(held("a", span(0, 99)), at(5*time.Second))
+		ledger.RecordProcessEnd("a")
 		Expect(ledger.FreeAt(service, "", span(0, 99))).To(BeZero())
 	})
 })
--- a/spans/table.go
+++ b/spans/table.go
@@ -16,8 +16,8 @@
 	// Owner is an upstream's ID; empty means that nobody has held the span.
 	Owner   string
 	Address string
-	// Born tells the owner's life, if it says when it was born.
-	Born int64 `json:",omitempty"`
+	// StartedAt tells the owner's life, if it says when it was born.
+	StartedAt int64 `json:"Born,omitempty"`
 	// Fence is the offset of the record that gave the span to its owner, or of a later claim.
 	Fence int64
 	// Moving spans get no new requests: their owner is asked to give them back.
@@ -36,30 +36,30 @@
 	// Term is the offset of the keeper's claim.
 	Term int64
 	// Keeper is a host's name and Life its process; an empty Life means that it resigned.
-	Keeper string
-	Life   string
+	Keeper      string
+	Incarnation string `json:"Life"`
 	// Services has the spans of each keyed service in order of their keys, without gaps.
 	Services map[string][]Owned
 }
 
-// ErrTable means that a record is no table of spans.
-var ErrTable = errors.New("the record is no table of spans")
+// ErrMalformedTable means that a record is no table of spans.
+var ErrMalformedTable = errors.New("the record is no table of spans")
 
 // Decode reads a record, which may be another writer's, or a change of a table.
 func Decode(value []byte, offset int64) (Table, error) {
 	table := Table{Version: offset, Term: -1}
 	err := json.Unmarshal(value, &table)
 	if err != nil {
-		return table, errors.Wrap(ErrTable, err.Error())
+		return table, errors.Wrap(ErrMalformedTable, err.Error())
 	}
 	if table.Term < 0 {
-		return table, errors.Wrapf(ErrTable, "term %d", table.Term)
+		return table, errors.Wrapf(ErrMalformedTable, "term %d", table.Term)
 	}
 	for service, list := range table.Services {
 		next := 0
 		for _, owned := range list {
 			if owned.First < next || owned.Last < owned.First || owned.Last > cherrykeel.MaxKey || owned.Owner == "" {
-				return table, errors.Wrapf(ErrTable, "spans of %q", service)
+				return table, errors.Wrapf(ErrMalformedTable, "spans of %q", service)
 			}
 			next = owned.Last + 1
 		}
@@ -82,8 +82,8 @@
 	return list[i], true
 }
 
-// SameOwner reports whether all of a span that another table names has the same owner in this one.
-func (table Table) SameOwner(service string, before Owned) bool {
+// HasSameOwner reports whether all of a span that another table names has the same owner in this one.
+func (table Table) HasSameOwner(service string, before Owned) bool {
 	for _, owned := range table.Services[service] {
 		if owned.Span().Overlaps(before.Span()) && owned.Owner != before.Owner {
 			return false
@@ -102,14 +102,14 @@
 	return clone
 }
 
-// Claimed returns the table as a new keeper writes it at an offset: the same owners, all under the new
+// ClaimedBy returns the table as a new keeper writes it at an offset: the same owners, all under the new
 // fence, so that grants of the keeper before are refused wherever the new one has been heard.
-func (table Table) Claimed(keeper, life string, offset int64) Table {
+func (table Table) ClaimedBy(keeper, life string, offset int64) Table {
 	claimed := table.Clone()
 	claimed.Version = offset
 	claimed.Term = offset
 	claimed.Keeper = keeper
-	claimed.Life = life
+	claimed.Incarnation = life
 	for _, list := range claimed.Services {
 		for i := range list {
 			list[i].Fence = offset
--- a/trial/host.go
+++ b/trial/host.go
@@ -49,7 +49,7 @@
 
 func (world *World) awaitHandover(host *Host) {
 	world.at(&host.Process, tickPause, func() {
-		if host.Keeper.Holds() {
+		if host.Keeper.HoldsRole() {
 			world.awaitHandover(host)
 			return
 		}
@@ -66,18 +66,18 @@
 
 func (world *World) decide(host *Host) {
 	input := world.input(host)
-	host.Witness.Ran(input.Now)
+	host.Witness.RecordRunning(input.Now)
 	actions := host.Keeper.Tick(input)
 	for _, order := range actions.Orders {
 		world.order(host, order)
 	}
-	for _, name := range actions.Confirm {
+	for _, name := range actions.RequestConfirmation {
 		world.confirm(host, name, input.Block.Term)
 	}
-	for _, teaching := range actions.Teach {
+	for _, teaching := range actions.TermNotices {
 		world.teach(host, teaching)
 	}
-	for _, name := range actions.AskSilence {
+	for _, name := range actions.RequestSilence {
 		world.askSilence(host, name, input.Block.LeaseLength)
 	}
 	if actions.Claim != nil {
@@ -123,22 +123,22 @@
 
 func (world *World) input(host *Host) keeper.Input {
 	input := keeper.Input{
-		Now:      world.local(&host.Process),
-		Block:    host.State.Blocks[Service],
-		Service:  world.settings(host),
-		Gone:     map[string]bool{},
-		Leaving:  host.Leaving,
-		Draining: map[string]bool{},
-		Down:     map[string]bool{},
-		Demand:   world.Demand,
+		Now:          world.local(&host.Process),
+		Block:        host.State.Blocks[Service],
+		Service:      world.settings(host),
+		RemovedHosts: map[string]bool{},
+		Leaving:      host.Leaving,
+		Draining:     map[string]bool{},
+		Unreachable:  map[string]bool{},
+		Demand:       world.Demand,
 	}
 	if host.claims[input.Block.ClaimID] {
-		input.Won = input.Block.Term
+		input.ClaimedTerm = input.Block.Term
 	}
 	for _, other := range world.Hosts {
 		switch {
 		case other.Dead && world.now-other.diedAt > listLag:
-			input.Gone[other.Name] = world.now-other.diedAt > 10*time.Second+listLag
+			input.RemovedHosts[other.Name] = world.now-other.diedAt > 10*time.Second+listLag
 		default:
 			leaving := other.Leaving && (other == host || world.now-other.leftAt > listLag)
 			input.Hosts = append(input.Hosts, keeper.Host{Name: other.Name, Zone: other.Zone, Leaving: leaving})
@@ -146,7 +146,7 @@
 	}
 	for _, upstream := range world.Upstreams {
 		input.Draining[upstream.Name] = upstream.Draining
-		input.Down[upstream.Name] = upstream.Dead && world.now-upstream.failedAt > noticed
+		input.Unreachable[upstream.Name] = upstream.Dead && world.now-upstream.failedAt > noticed
 	}
 	return input
 }
@@ -170,7 +170,7 @@
 }
 
 func (world *World) order(host *Host, order lease.Order) {
-	world.at(&host.Process, orderTimeout, func() { host.Keeper.Failed(order) })
+	world.at(&host.Process, orderTimeout, func() { host.Keeper.RecordFailure(order) })
 	lessee, take := world.lessee(order)
 	if lessee == nil {
 		return
@@ -178,7 +178,7 @@
 	world.send(&host.Process, lessee, func() {
 		holding := take()
 		world.send(lessee, &host.Process, func() {
-			host.Keeper.Answered(order, holding, world.local(&host.Process))
+			host.Keeper.RecordAnswer(order, holding, world.local(&host.Process))
 		})
 	})
 }
@@ -193,7 +193,7 @@
 		return nil, nil
 	}
 	return &host.Process, func() cherrykeel.Holding {
-		if order.Ask {
+		if order.Query {
 			return host.View.Holding(world.local(&host.Process))
 		}
 		return host.View.Grant(order.Grant, world.local(&host.Process))
@@ -203,7 +203,7 @@
 // take gives an order to an upstream, with the safeguard in place that the options leave.
 func (world *World) take(upstream *Upstream, order lease.Order) cherrykeel.Holding {
 	now := world.LocalTime(upstream)
-	if order.Ask {
+	if order.Query {
 		return upstream.Ownership.Holding(now)
 	}
 	grant := order.Grant
@@ -231,30 +231,30 @@
 	}
 	if witness == host {
 		if answer() {
-			host.Keeper.Confirmed(name, term, sent)
+			host.Keeper.RecordConfirmation(name, term, sent)
 		}
 		return
 	}
 	world.send(&host.Process, &witness.Process, func() {
 		if answer() {
-			world.send(&witness.Process, &host.Process, func() { host.Keeper.Confirmed(name, term, sent) })
+			world.send(&witness.Process, &host.Process, func() { host.Keeper.RecordConfirmation(name, term, sent) })
 		}
 	})
 }
 
-func (world *World) teach(host *Host, teaching keeper.Teaching) {
+func (world *World) teach(host *Host, teaching keeper.TermNotice) {
 	witness := world.host(teaching.Host)
 	if witness == nil {
 		return
 	}
-	learned := func() { host.Keeper.Taught(teaching, world.local(&host.Process)) }
+	learned := func() { host.Keeper.RecordTermLearned(teaching, world.local(&host.Process)) }
 	if witness == host {
-		witness.Witness.Learn(Service, teaching.Term)
+		witness.Witness.RecordTerm(Service, teaching.Term)
 		learned()
 		return
 	}
 	world.send(&host.Process, &witness.Process, func() {
-		witness.Witness.Learn(Service, teaching.Term)
+		witness.Witness.RecordTerm(Service, teaching.Term)
 		world.send(&witness.Process, &host.Process, learned)
 	})
 }
@@ -265,9 +265,9 @@
 		return
 	}
 	world.send(&host.Process, &witness.Process, func() {
-		silence := world.local(&witness.Process).Sub(witness.Witness.Asked(Service))
+		silence := world.local(&witness.Process).Sub(witness.Witness.LastRequestAt(Service))
 		world.send(&witness.Process, &host.Process, func() {
-			host.Keeper.HeardSilence(name, silence, leaseLength, world.local(&host.Process))
+			host.Keeper.RecordSilence(name, silence, leaseLength, world.local(&host.Process))
 		})
 	})
 }
@@ -303,7 +303,7 @@
 	world.at(&host.Process, world.Options.Latency+delay, func() {
 		if !lost && !world.LogOut && !host.CutFromLog {
 			world.foldUpTo(host, known)
-			host.Witness.CaughtUp(begun)
+			host.Witness.RecordCaughtUp(begun)
 		}
 		world.readLog(host)
 	})
@@ -316,5 +316,5 @@
 			panic(err)
 		}
 	}
-	host.Witness.Learn(Service, host.State.Blocks[Service].Term)
+	host.Witness.RecordTerm(Service, host.State.Blocks[Service].Term)
 }
--- a/trial/work.go
+++ b/trial/work.go
@@ -221,7 +221,7 @@
 	}
 	request.left = true
 	work := request.work
-	until := request.begun.Add(lease.Linger(request.timeout))
+	until := request.begun.Add(lease.MaxProcessingTime(request.timeout))
 	request.host.View.Abandon(work.upstream.Name, work.partition, work.key, until)
 	request.carry(request.host.Name, work.upstream.Name, &work.upstream.Process, func() {
 		if work.ownership != nil && !work.ended {
--- a/trial/world.go
+++ b/trial/world.go
@@ -314,7 +314,7 @@
 // KeeperHost returns the host that holds the role, or nil.
 func (world *World) KeeperHost() *Host {
 	for _, host := range world.Hosts {
-		if !host.Dead && host.Keeper.Holds() && host.State.Blocks[Service].Keeper == host.Name {
+		if !host.Dead && host.Keeper.HoldsRole() && host.State.Blocks[Service].Keeper == host.Name {
 			return host
 		}
 	}
--- a/watch/table.go
+++ b/watch/table.go
@@ -79,7 +79,7 @@
 	}
 	view.change()
 	if !update.Told {
-		view.tell(table.Change(before), before.Version)
+		view.tell(table.Diff(before), before.Version)
 	}
 }
 
@@ -95,7 +95,7 @@
 		view.mutex.Unlock()
 		return false
 	}
-	table := view.table.Changed(change)
+	table := view.table.Apply(change)
 	view.refresh(table)
 	view.table = table
 	view.mutex.Unlock()
