--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -38,14 +38,14 @@
 					Priority: rapid.IntRange(1, 9).Draw(t, "priority"),
 					Arrived:  now,
 					Deadline: now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "left")) * time.Millisecond),
-					Wake: func(admitted bool) {
+					Notify: func(admitted bool) {
 						woken[number]++
 						if admitted {
 							inFlight++
 						}
 					},
 				}
-				if queue.Offer(ticket, now) == admit.Admitted {
+				if queue.Submit(ticket, now) == admit.Admitted {
 					inFlight++
 				}
 				if inFlight != queue.InFlight() || inFlight > limit {
@@ -64,7 +64,7 @@
 		queue := admit.NewQueue(1, 200)
 		var order []string
 		offer := func(name string, priority int, at cherrykeel.Instant) {
-			queue.Offer(&admit.Ticket{Priority: priority, Arrived: at, Deadline: at + 1000*second, Wake: func(bool) { order = append(order, name) }}, at)
+			queue.Submit(&admit.Ticket{Priority: priority, Arrived: at, Deadline: at + 1000*second, Notify: func(bool) { order = append(order, name) }}, at)
 		}
 		offer("running", 1, second)
 		for i := range 5 {
@@ -86,11 +86,11 @@
 	It("that is full gives an urgent request the place of the last in order", func() {
 		queue := admit.NewQueue(1, 1)
 		refused := false
-		queue.Offer(&admit.Ticket{Priority: 1, Deadline: 100 * second}, second)
-		queue.Offer(&admit.Ticket{Priority: 8, Deadline: 100 * second, Wake: func(admitted bool) { refused = !admitted }}, second)
-		Expect(queue.Offer(&admit.Ticket{Priority: 1, Deadline: 100 * second}, second)).To(Equal(admit.Queued))
+		queue.Submit(&admit.Ticket{Priority: 1, Deadline: 100 * second}, second)
+		queue.Submit(&admit.Ticket{Priority: 8, Deadline: 100 * second, Notify: func(admitted bool) { refused = !admitted }}, second)
+		Expect(queue.Submit(&admit.Ticket{Priority: 1, Deadline: 100 * second}, second)).To(Equal(admit.Queued))
 		Expect(refused).To(BeTrue())
-		Expect(queue.Offer(&admit.Ticket{Priority: 9, Deadline: 100 * second}, second)).To(Equal(admit.TooLong))
+		Expect(queue.Submit(&admit.Ticket{Priority: 9, Deadline: 100 * second}, second)).To(Equal(admit.QueueFull))
 	})
 })
 
@@ -105,23 +105,23 @@
 	// the steward for no slot, and gets none as long as the other hosts have use for all.
 	It("asks for one again", func() {
 		queue := admit.NewQueue(1, 4)
-		queue.Offer(&admit.Ticket{Deadline: deadline}, 0)
+		queue.Submit(&admit.Ticket{Deadline: deadline}, 0)
 		queue.Resize(0, 4, 0)
 		now := cherrykeel.Instant(late)
 		queue.Done(late, now)
-		steward := admit.NewSteward("up", 3, 0)
+		steward := admit.NewSlotAllocator("up", 3, 0)
 		admitted := 0
 		for round := range 300 {
 			now += pace
-			steward.Ask("busy", admit.Want{InFlight: 2 + round%2, Waiting: 9}, now)
-			slots, _ := steward.Ask("late", admit.Want{InFlight: queue.InFlight(), Waiting: queue.Waiting()}, now)
+			steward.Allocate("busy", admit.SlotRequest{InFlight: 2 + round%2, Waiting: 9}, now)
+			slots, _ := steward.Allocate("late", admit.SlotRequest{InFlight: queue.InFlight(), Waiting: queue.Waiting()}, now)
 			queue.Resize(slots, 4, now)
-			ticket := &admit.Ticket{Arrived: now, Deadline: now + deadline, Wake: func(woken bool) {
+			ticket := &admit.Ticket{Arrived: now, Deadline: now + deadline, Notify: func(woken bool) {
 				if woken {
 					admitted++
 				}
 			}}
-			if queue.Offer(ticket, now) == admit.Admitted {
+			if queue.Submit(ticket, now) == admit.Admitted {
 				admitted++
 			}
 			for queue.InFlight() > 0 {
@@ -136,7 +136,7 @@
 	It("never gives out more than there are, while hosts come, go and change their minds", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			slots := rapid.IntRange(1, 8).Draw(t, "slots")
-			steward := admit.NewSteward("up", slots, 0)
+			steward := admit.NewSlotAllocator("up", slots, 0)
 			now := second
 			type part struct {
 				count int
@@ -150,8 +150,8 @@
 				if parts[host].until > now {
 					held = rapid.IntRange(0, parts[host].count).Draw(t, "in flight")
 				}
-				want := admit.Want{InFlight: held, Waiting: rapid.IntRange(0, 5).Draw(t, "waiting")}
-				count, length := steward.Ask(host, want, now)
+				want := admit.SlotRequest{InFlight: held, Waiting: rapid.IntRange(0, 5).Draw(t, "waiting")}
+				count, length := steward.Allocate(host, want, now)
 				parts[host] = part{count: count, until: now.Add(length)}
 				sum := 0
 				for _, part := range parts {
@@ -167,11 +167,11 @@
 	})
 
 	It("lends idle hosts' parts to busy ones, and gives everybody a turn when hosts outnumber slots", func() {
-		steward := admit.NewSteward("up", 3, 0)
+		steward := admit.NewSlotAllocator("up", 3, 0)
 		now := second
 		for range 3 {
-			steward.Ask("idle", admit.Want{}, now)
-			count, _ := steward.Ask("busy", admit.Want{InFlight: 0, Waiting: 9}, now)
+			steward.Allocate("idle", admit.SlotRequest{}, now)
+			count, _ := steward.Allocate("busy", admit.SlotRequest{InFlight: 0, Waiting: 9}, now)
 			Expect(count).To(BeNumerically(">=", 2))
 			now = now.Add(50 * time.Millisecond)
 		}
@@ -179,7 +179,7 @@
 		for range 200 {
 			for host := range 8 {
 				name := fmt.Sprintf("host-%d", host)
-				count, _ := steward.Ask(name, admit.Want{Waiting: 3}, now)
+				count, _ := steward.Allocate(name, admit.SlotRequest{Waiting: 3}, now)
 				served[name] = served[name] || count > 0
 			}
 			now = now.Add(10 * time.Millisecond)
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -21,8 +21,8 @@
 	Priority int
 	Arrived  cherrykeel.Instant
 	Deadline cherrykeel.Instant
-	// Wake is called when the request's turn has come or, with false, when it is refused.
-	Wake  func(admitted bool)
+	// Notify is called when the request's turn has come or, with false, when it is refused.
+	Notify  func(admitted bool)
 	index int
 	gone  bool
 	// trial says that the mean rules it out.
@@ -44,8 +44,8 @@
 const (
 	Admitted Decision = iota
 	Queued
-	// TooLong means that the queue is full.
-	TooLong
+	// QueueFull means that the queue is full.
+	QueueFull
 	// TooLate means that the request's turn would come after its deadline.
 	TooLate
 )
@@ -91,8 +91,8 @@
 	return queue.limit
 }
 
-// Offer admits a ticket, queues it, or refuses it at once when waiting cannot help.
-func (queue *Queue) Offer(ticket *Ticket, now cherrykeel.Instant) Decision {
+// Submit admits a ticket, queues it, or refuses it at once when waiting cannot help.
+func (queue *Queue) Submit(ticket *Ticket, now cherrykeel.Instant) Decision {
 	if queue.inFlight < queue.limit && len(queue.waiting) == 0 {
 		queue.inFlight++
 		return Admitted
@@ -104,7 +104,7 @@
 		ticket.trial = true
 	}
 	if len(queue.waiting) >= queue.length && !queue.displace(ticket) {
-		return TooLong
+		return QueueFull
 	}
 	heap.Push(&queue.waiting, ticket)
 	return Queued
@@ -163,7 +163,7 @@
 			queue.turns++
 			queue.trying = ticket.trial
 		}
-		ticket.Wake(!late)
+		ticket.Notify(!late)
 	}
 }
 
@@ -201,7 +201,7 @@
 		return false
 	}
 	queue.remove(last)
-	last.Wake(false)
+	last.Notify(false)
 	return true
 }
 
--- a/admit/steward.go
+++ b/admit/steward.go
@@ -18,8 +18,8 @@
 	maxShift = 27720
 )
 
-// Want is what a host asks of one upstream's slots.
-type Want struct {
+// SlotRequest is what a host asks of one upstream's slots.
+type SlotRequest struct {
 	// InFlight counts its requests on the upstream, which keep their slots until they end.
 	InFlight int
 	// Waiting counts those that wait for a slot.
@@ -27,15 +27,15 @@
 }
 
 type lease struct {
-	want    Want
+	want    SlotRequest
 	granted int
 	until   cherrykeel.Instant
 }
 
-// Steward divides one upstream's slots among the entry hosts. What it has given out never
+// SlotAllocator divides one upstream's slots among the entry hosts. What it has given out never
 // exceeds the slots: a host's part is given on only when the host has let go of it, or has
 // not asked for so long that it has stopped using it. It is not safe for use by several goroutines.
-type Steward struct {
+type SlotAllocator struct {
 	slots int
 	quiet cherrykeel.Instant
 	// shift moves the turns of one upstream against those of others, so that no host is
@@ -44,10 +44,10 @@
 	leases map[string]*lease
 }
 
-// NewSteward returns a steward that has given nothing out. Another host may have been steward
+// NewSlotAllocator returns a steward that has given nothing out. Another host may have been steward
 // until an instant, so for a share's length from then it gives nothing but what is in flight.
-func NewSteward(upstream string, slots int, since cherrykeel.Instant) *Steward {
-	return &Steward{
+func NewSlotAllocator(upstream string, slots int, since cherrykeel.Instant) *SlotAllocator {
+	return &SlotAllocator{
 		slots:  slots,
 		quiet:  since.Add(shareLength),
 		shift:  int(xxhash.Sum64String(upstream) % maxShift),
@@ -56,12 +56,12 @@
 }
 
 // SetSlots changes the number of slots.
-func (steward *Steward) SetSlots(slots int) {
+func (steward *SlotAllocator) SetSlots(slots int) {
 	steward.slots = slots
 }
 
-// Ask takes in what a host wants and returns how many slots it may use for the share's length from when it asked.
-func (steward *Steward) Ask(host string, want Want, now cherrykeel.Instant) (int, time.Duration) {
+// Allocate takes in what a host wants and returns how many slots it may use for the share's length from when it asked.
+func (steward *SlotAllocator) Allocate(host string, want SlotRequest, now cherrykeel.Instant) (int, time.Duration) {
 	steward.expire(now)
 	own, known := steward.leases[host]
 	if !known {
@@ -81,7 +81,7 @@
 	return own.granted, shareLength
 }
 
-func (steward *Steward) expire(now cherrykeel.Instant) {
+func (steward *SlotAllocator) expire(now cherrykeel.Instant) {
 	for host, lease := range steward.leases {
 		if now >= lease.until {
 			delete(steward.leases, host)
@@ -90,7 +90,7 @@
 }
 
 // free returns the slots that no other host has.
-func (steward *Steward) free(host string) int {
+func (steward *SlotAllocator) free(host string) int {
 	free := steward.slots
 	for name, lease := range steward.leases {
 		if name != host {
@@ -103,7 +103,7 @@
 // divide gives slots one by one, in turns, first to hosts with requests, then one each to hosts
 // that have none now, so that their next request need not ask first. Where hosts outnumber
 // slots, who comes first changes with time, and nobody starves.
-func (steward *Steward) divide(now cherrykeel.Instant) map[string]int {
+func (steward *SlotAllocator) divide(now cherrykeel.Instant) map[string]int {
 	hosts := make([]string, 0, len(steward.leases))
 	for host := range steward.leases {
 		hosts = append(hosts, host)
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -151,7 +151,7 @@
 		if resolveErr != nil {
 			err = resolveErr
 		}
-		route.Build(found)
+		route.NewTable(found)
 	})
 	runtime.KeepAlive(state)
 	const of = "keyed services"
--- a/cold/cold_test.go
+++ b/cold/cold_test.go
@@ -41,7 +41,7 @@
 		list := names(hosts)
 		total := 0
 		for _, host := range list {
-			total += cold.Part(host, list, "u", bound)
+			total += cold.Quota(host, list, "u", bound)
 		}
 		Expect(total).To(Equal(expected))
 	},
@@ -53,9 +53,9 @@
 	)
 
 	It("are none for a host that knows no hosts, and for one that is not listed", func() {
-		Expect(cold.Part("host-1", nil, "u", bound)).To(BeZero())
-		Expect(cold.Part("other", names(2), "u", bound)).To(BeZero())
-		Expect(cold.Part("host-1", names(2), "u", 1)).To(BeZero())
+		Expect(cold.Quota("host-1", nil, "u", bound)).To(BeZero())
+		Expect(cold.Quota("other", names(2), "u", bound)).To(BeZero())
+		Expect(cold.Quota("host-1", names(2), "u", 1)).To(BeZero())
 	})
 
 	// Guards against hosts that are cut off and go on by an older list, while the others drop them from theirs.
@@ -66,7 +66,7 @@
 			fewer := without(all, random.IntN(len(all)), random)
 			total := 0
 			for _, host := range all {
-				total += max(cold.Part(host, all, fmt.Sprint(round), bound), cold.Part(host, fewer, fmt.Sprint(round), bound))
+				total += max(cold.Quota(host, all, fmt.Sprint(round), bound), cold.Quota(host, fewer, fmt.Sprint(round), bound))
 			}
 			Expect(total).To(BeNumerically("<=", bound))
 		}
@@ -77,7 +77,7 @@
 		with := map[string]bool{}
 		for upstream := range 40 {
 			for _, host := range list {
-				if cold.Part(host, list, fmt.Sprint(upstream), bound) > 0 {
+				if cold.Quota(host, list, fmt.Sprint(upstream), bound) > 0 {
 					with[host] = true
 				}
 			}
@@ -94,7 +94,7 @@
 		var sent []time.Duration
 		for now := time.Duration(0); now < 20*time.Second; now += time.Duration(random.Int64N(int64(100 * time.Millisecond))) {
 			if window.Allows(3, cherrykeel.Instant(now)) {
-				window.Note(cherrykeel.Instant(now))
+				window.Record(cherrykeel.Instant(now))
 				sent = append(sent, now)
 			}
 		}
--- a/cold/part.go
+++ b/cold/part.go
@@ -8,14 +8,14 @@
 // cut off go on by an older list than the others.
 const listsAtOnce = 2
 
-// Part returns how many requests a second the host named self may send to a cold upstream that bears bound requests a
+// Quota returns how many requests a second the host named self may send to a cold upstream that bears bound requests a
 // second from all hosts together.
 //
 // A few hosts have a part each, chosen by a hash of their names with the upstream's, so that no message is needed and
 // each cold upstream has others. A host counts itself in or out by its own list: from one list never more than a
 // listsAtOnce-th of the bound is given out, so hosts with two different ones still keep to it. A host that knows no list,
 // or one without itself, has no part.
-func Part(self string, hosts []string, upstream string, bound float64) int {
+func Quota(self string, hosts []string, upstream string, bound float64) int {
 	parts := int(bound) / listsAtOnce
 	if len(hosts) == 0 || parts < 1 {
 		return 0
--- a/cold/window.go
+++ b/cold/window.go
@@ -22,8 +22,8 @@
 	return len(window.sent) < most
 }
 
-// Note counts one that is sent now.
-func (window *Window) Note(now cherrykeel.Instant) {
+// Record counts one that is sent now.
+func (window *Window) Record(now cherrykeel.Instant) {
 	window.forget(now)
 	window.sent = append(window.sent, now)
 }
--- a/demand/merge.go
+++ b/demand/merge.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Hear takes in a host's report of its requests a second.
-func (merger *Merger) Hear(host string, demand cherrykeel.Demand, now cherrykeel.Instant) {
+// Receive takes in a host's report of its requests a second.
+func (merger *Merger) Receive(host string, demand cherrykeel.Demand, now cherrykeel.Instant) {
 	if len(demand.Partitions) == len(merger.smooth.Partitions) {
 		merger.latest[host] = report{at: now, demand: demand}
 	}
--- a/edge/admission.go
+++ b/edge/admission.go
@@ -27,7 +27,7 @@
 		Priority: exchange.Priority,
 		Arrived:  exchange.Arrived,
 		Deadline: exchange.Deadline,
-		Wake:     func(admitted bool) { woken <- admitted },
+		Notify:     func(admitted bool) { woken <- admitted },
 	}
 	pool.mutex.Lock()
 	now := forward.clock.Now()
@@ -36,11 +36,11 @@
 		pool.mutex.Unlock()
 		return &place{}, nil
 	}
-	decision := queue.Offer(ticket, now)
+	decision := queue.Submit(ticket, now)
 	wait := queue.Wait(ticket)
 	pool.mutex.Unlock()
 	switch decision {
-	case admit.TooLong:
+	case admit.QueueFull:
 		return nil, overloaded("queue-full", exchange, wait)
 	case admit.TooLate:
 		return nil, overloaded("deadline-too-near", exchange, wait)
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -29,7 +29,7 @@
 
 // result is what an attempt brought.
 type result struct {
-	ending retry.Ending
+	ending retry.Result
 	// answer is open when the answer is too large to be held.
 	answer   *conns.Answer
 	status   int
@@ -123,7 +123,7 @@
 }
 
 func broken(progress conns.Progress, err error) result {
-	ending := retry.Ending{Evidence: retry.Uncertain, Detail: err.Error()}
+	ending := retry.Result{Evidence: retry.Uncertain, Detail: err.Error()}
 	if progress == conns.NotSent {
 		ending.Evidence = retry.NeverSent
 	}
@@ -142,7 +142,7 @@
 		// closing the connection unread keeps it from answering anybody.
 		answer.Close()
 		forward.foreign(exchange, echoed)
-		result.ending = retry.Ending{Evidence: retry.Uncertain, Detail: "the upstream's answer was not to this request"}
+		result.ending = retry.Result{Evidence: retry.Uncertain, Detail: "the upstream's answer was not to this request"}
 		result.finished.abandoned = true
 		return result
 	}
@@ -156,7 +156,7 @@
 func refused(result result, answer *conns.Answer, refusal string) result {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, wholeBytes))
 	answer.Close()
-	result.ending = retry.Ending{Evidence: retry.Refused, Refusal: retry.Refusal(refusal), Detail: "the upstream refused the request: " + refusal}
+	result.ending = retry.Result{Evidence: retry.Refused, Refusal: retry.Refusal(refusal), Detail: "the upstream refused the request: " + refusal}
 	result.finished.draining = retry.Refusal(refusal) == retry.RefusedDraining
 	result.finished.shed = retry.Refusal(refusal) == retry.RefusedShed
 	return result
@@ -171,7 +171,7 @@
 	body, err := io.ReadAll(io.LimitReader(answer, limit+1))
 	if err != nil {
 		answer.Close()
-		result.ending = retry.Ending{Evidence: retry.Uncertain, Detail: "the upstream's answer broke off"}
+		result.ending = retry.Result{Evidence: retry.Uncertain, Detail: "the upstream's answer broke off"}
 		result.finished.reached = false
 		result.finished.abandoned = ctx.Err() != nil
 		result.unanswered = ctx.Err() == nil
--- a/edge/forward.go
+++ b/edge/forward.go
@@ -53,20 +53,20 @@
 		result, failure := forward.admitAndAttempt(ctx, pool, exchange, listed, number, tried)
 		tried = result.tried
 		if failure != nil {
-			return retry.Final(failure, mayHaveRun)
+			return retry.FinalFailure(failure, mayHaveRun)
 		}
 		mayHaveRun = mayHaveRun || result.ending.Evidence == retry.Uncertain
 		situation := forward.situation(pool, exchange, number)
 		situation.Suspected = result.unanswered && listed.Suspected()
 		verdict := retry.Decide(result.ending, situation)
-		if verdict.Pass {
+		if verdict.Forward {
 			return forward.pass(exchange, result)
 		}
-		if !verdict.Again {
-			return retry.Final(verdict.Failure, mayHaveRun)
+		if !verdict.Retry {
+			return retry.FinalFailure(verdict.Failure, mayHaveRun)
 		}
 		if exchange.Request.Context().Err() != nil {
-			return retry.Final(cherrykeel.Refuse(statusGone, "caller-gone", "the caller went away"), mayHaveRun)
+			return retry.FinalFailure(cherrykeel.Refuse(statusGone, "caller-gone", "the caller went away"), mayHaveRun)
 		}
 		pool.charge(verdict.Cost)
 		pause(ctx, verdict.Wait)
@@ -82,11 +82,11 @@
 	}
 }
 
-func (forward *forward) situation(pool *pool, exchange *cherrykeel.Exchange, number int) retry.Situation {
+func (forward *forward) situation(pool *pool, exchange *cherrykeel.Exchange, number int) retry.Conditions {
 	pool.mutex.Lock()
-	left := pool.budget.Left()
+	left := pool.budget.CanRetry()
 	pool.mutex.Unlock()
-	return retry.Situation{
+	return retry.Conditions{
 		Now:        forward.clock.Now(),
 		Deadline:   exchange.Deadline,
 		Attempt:    number,
@@ -100,7 +100,7 @@
 func (pool *pool) arrived(exchange *cherrykeel.Exchange) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.budget.Earn(exchange.Service.RetryShare)
+	pool.budget.Deposit(exchange.Service.RetryShare)
 	pool.counter.Count(exchange.Partition, exchange.Key)
 	pool.usedAt = exchange.Arrived
 }
@@ -108,7 +108,7 @@
 func (pool *pool) charge(cost float64) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.budget.Spend(cost)
+	pool.budget.Withdraw(cost)
 }
 
 // admitAndAttempt waits for a place on an upstream and makes one attempt there.
@@ -118,7 +118,7 @@
 		return result{}, failure
 	}
 	if place.upstream == nil {
-		ending := retry.Ending{Evidence: retry.Refused, Refusal: retry.RefusedOwner, Detail: "no upstream can take the request now"}
+		ending := retry.Result{Evidence: retry.Refused, Refusal: retry.RefusedNotOwner, Detail: "no upstream can take the request now"}
 		return result{ending: ending}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, place.deadline.Sub(place.begun))
--- a/edge/identify.go
+++ b/edge/identify.go
@@ -65,7 +65,7 @@
 		return cherrykeel.Refuse(http.StatusNotFound, "unknown-service", "no service of this team has the path %q", request.URL.Path)
 	}
 	exchange.Service = service
-	exchange.Repeatable = route.Repeatable(service.Idempotent, request.Method)
+	exchange.Repeatable = route.IsRepeatable(service.Idempotent, request.Method)
 	exchange.IdempotencyKey = request.Header.Get(cherrykeel.HeaderIdempotencyKey)
 	exchange.Priority = route.Priority(service.Priority, request.Header.Get(cherrykeel.HeaderPriority))
 	exchange.Deadline = exchange.Arrived.Add(timeout(exchange))
@@ -81,7 +81,7 @@
 		return nil
 	}
 	request := exchange.Request
-	parts := route.Parts{Path: request.URL.Path, Header: request.Header.Get}
+	parts := route.RequestParts{Path: request.URL.Path, Header: request.Header.Get}
 	if request.URL.RawQuery != "" {
 		parts.Query = request.URL.Query()
 	}
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -34,11 +34,11 @@
 }
 
 // Wants returns what this host asks of the slots of the services that it has used of late.
-func (fleet *Fleet) Wants() map[string]map[string]admit.Want {
+func (fleet *Fleet) Wants() map[string]map[string]admit.SlotRequest {
 	fleet.mutex.RLock()
 	defer fleet.mutex.RUnlock()
 	now := fleet.clock.Now()
-	wants := map[string]map[string]admit.Want{}
+	wants := map[string]map[string]admit.SlotRequest{}
 	for path, pool := range fleet.pools {
 		pool.mutex.Lock()
 		if pool.usedAt != 0 && now.Sub(pool.usedAt) < activeFor {
@@ -49,13 +49,13 @@
 	return wants
 }
 
-func (pool *pool) wants() map[string]admit.Want {
-	wants := map[string]admit.Want{}
+func (pool *pool) wants() map[string]admit.SlotRequest {
+	wants := map[string]admit.SlotRequest{}
 	spread := (pool.queue.Waiting() + len(pool.upstreams) - 1) / max(1, len(pool.upstreams))
 	for name, upstream := range pool.upstreams {
-		wants[name] = admit.Want{InFlight: upstream.inFlight, Waiting: upstream.queue.Waiting()}
+		wants[name] = admit.SlotRequest{InFlight: upstream.inFlight, Waiting: upstream.queue.Waiting()}
 		if !pool.service.Keyed {
-			wants[name] = admit.Want{InFlight: upstream.inFlight, Waiting: spread}
+			wants[name] = admit.SlotRequest{InFlight: upstream.inFlight, Waiting: spread}
 		}
 	}
 	return wants
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -16,7 +16,7 @@
 	bounds := host.currentBounds()
 	bound := service.SlowStartRate*bounds.SlowStartFactor + bounds.SlowStartSlack
 	upstream.HasColdLimit = true
-	upstream.ColdQuota = cold.Part(host.self.Name, host.knownHosts(), upstream.ID, bound)
+	upstream.ColdQuota = cold.Quota(host.self.Name, host.knownHosts(), upstream.ID, bound)
 }
 
 // coldSinceTakenBack is until when the upstreams of a zone that was taken back count as cold. Their entries say so a
--- a/flow/bench_test.go
+++ b/flow/bench_test.go
@@ -28,10 +28,10 @@
 				for i := range b.N {
 					now := at(time.Duration(i) * time.Millisecond)
 					ticket := &flow.Ticket{Key: i, Arrived: now, Target: now.Add(200 * time.Millisecond), Deadline: now.Add(500 * time.Millisecond)}
-					ticket.Wake = func(verdict flow.Verdict) {
-						service.Leave(verdict.Place, flow.Answered, cherrykeel.UpstreamLoad{}, now.Add(50*time.Millisecond))
+					ticket.Notify = func(verdict flow.Decision) {
+						service.Release(verdict.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, now.Add(50*time.Millisecond))
 					}
-					service.Offer(ticket, now)
+					service.Submit(ticket, now)
 				}
 			})
 		}
--- a/flow/closed_test.go
+++ b/flow/closed_test.go
@@ -23,14 +23,14 @@
 	It("get no new request, and none that waited", func() {
 		service := flow.New("z", nil, half)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 1), upstream("b", 1)}, 0)
-		service.SetOthers(map[string]int{"a": 2, "b": 2}, nil, 0, at(evacuatedAt))
+		service.SetRemoteCounts(map[string]int{"a": 2, "b": 2}, nil, 0, at(evacuatedAt))
 		_, waiting := ask(service, evacuatedAt, keep)
 		Expect(*waiting).To(BeEmpty())
 		service.SetUpstreams([]cherrykeel.Upstream{closed("a", evacuatedAt), upstream("b", 1)}, at(evacuatedAt))
-		service.SetOthers(map[string]int{"b": 2}, nil, 0, at(evacuatedAt))
+		service.SetRemoteCounts(map[string]int{"b": 2}, nil, 0, at(evacuatedAt))
 		Expect(*waiting).To(BeEmpty())
-		service.SetOthers(nil, nil, 0, at(evacuatedAt))
-		Expect((*waiting)[0].Place.Upstream.ID).To(Equal("b"))
+		service.SetRemoteCounts(nil, nil, 0, at(evacuatedAt))
+		Expect((*waiting)[0].Slot.Upstream.ID).To(Equal("b"))
 	})
 
 	It("are known again when they are taken back", func() {
@@ -38,16 +38,16 @@
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, 0)
 		_, verdicts := ask(service, 0, keep)
 		service.SetUpstreams([]cherrykeel.Upstream{closed("a", evacuatedAt)}, at(evacuatedAt))
-		service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(evacuatedAt))
+		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(evacuatedAt))
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, at(2*evacuatedAt))
-		Expect(service.WorkTimes()).To(HaveKey("a"))
+		Expect(service.ProcessingTimes()).To(HaveKey("a"))
 		Expect(service.Running()).To(BeEmpty())
 	})
 
 	It("have requests refused at once, also waiting ones, if the service has no others", func() {
 		service := flow.New("z", nil, half)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 1)}, 0)
-		service.SetOthers(map[string]int{"a": 2}, nil, 0, 0)
+		service.SetRemoteCounts(map[string]int{"a": 2}, nil, 0, 0)
 		_, waiting := ask(service, 0, keep)
 		service.SetUpstreams([]cherrykeel.Upstream{closed("a", 0+1)}, 1)
 		_, verdicts := ask(service, time.Millisecond, keep)
@@ -62,7 +62,7 @@
 		service.SetUpstreams([]cherrykeel.Upstream{closed("a", evacuatedAt), upstream("b", 3)}, 0)
 		keyed := func(ticket *flow.Ticket) { ticket.Key = 7 }
 		_, verdicts := ask(service, evacuatedAt/2, keyed)
-		Expect((*verdicts)[0].Place.Upstream.ID).To(Equal("a"))
+		Expect((*verdicts)[0].Slot.Upstream.ID).To(Equal("a"))
 		_, verdicts = ask(service, evacuatedAt, keyed)
 		Expect(*verdicts).To(BeEmpty())
 		service.Dispatch(at(evacuatedAt + 300*time.Millisecond))
--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -26,14 +26,14 @@
 		for now := from; now < until; now += 20 * time.Millisecond {
 			service.Dispatch(at(now))
 			ask(service, now, func(ticket *flow.Ticket) {
-				ticket.Wake = func(verdict flow.Verdict) {
-					if verdict.Place == nil {
+				ticket.Notify = func(verdict flow.Decision) {
+					if verdict.Slot == nil {
 						return
 					}
-					if verdict.Place.Upstream.ID == id {
+					if verdict.Slot.Upstream.ID == id {
 						count++
 					}
-					service.Leave(verdict.Place, flow.Abandoned, cherrykeel.UpstreamLoad{}, verdict.Place.Begun)
+					service.Release(verdict.Slot, flow.Abandoned, cherrykeel.UpstreamLoad{}, verdict.Slot.StartedAt)
 				}
 			})
 		}
@@ -69,7 +69,7 @@
 		places := 0
 		for range 5 {
 			_, verdicts := ask(service, 0, func(ticket *flow.Ticket) { ticket.Key = 7 })
-			if len(*verdicts) == 1 && (*verdicts)[0].Place != nil {
+			if len(*verdicts) == 1 && (*verdicts)[0].Slot != nil {
 				places++
 			}
 		}
--- a/flow/fleet_test.go
+++ b/flow/fleet_test.go
@@ -101,8 +101,8 @@
 		hosts[i] = flow.New("z", find, random.Float64)
 		hosts[i].SetUpstreams(upstreams, 0)
 		if load.knowsWork {
-			hosts[i].Offer(&flow.Ticket{Key: hotKeyNumber, Deadline: at(load.deadline), Target: at(load.target), Wake: func(verdict flow.Verdict) {
-				hosts[i].Leave(verdict.Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(load.work))
+			hosts[i].Submit(&flow.Ticket{Key: hotKeyNumber, Deadline: at(load.deadline), Target: at(load.target), Notify: func(verdict flow.Decision) {
+				hosts[i].Release(verdict.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(load.work))
 			}}, 0)
 		}
 	}
@@ -129,16 +129,16 @@
 		host := hosts[random.IntN(len(hosts))]
 		left := first + load.deadline - now
 		ticket := &flow.Ticket{Key: hotKeyNumber, Arrived: at(now), Target: at(now + min(load.target, left)), Deadline: at(now + left)}
-		ticket.Wake = func(verdict flow.Verdict) {
-			if verdict.Place == nil {
+		ticket.Notify = func(verdict flow.Decision) {
+			if verdict.Slot == nil {
 				back := now + time.Duration((0.08+0.22*random.Float64())*float64(left))
 				if tries > 1 {
 					after(back, func(now time.Duration) { ask(now, first, tries-1) })
 				}
 				return
 			}
-			sent := time.Duration(verdict.Place.Begun)
-			server := servers[verdict.Place.Upstream.ID]
+			sent := time.Duration(verdict.Slot.StartedAt)
+			server := servers[verdict.Slot.Upstream.ID]
 			finish := func(end time.Duration) {
 				switch {
 				case end-first <= load.target:
@@ -147,7 +147,7 @@
 					late++
 				}
 				told := cherrykeel.UpstreamLoad{Known: true, Running: server.running, Waiting: len(server.queue), Slots: load.slots}
-				host.Leave(verdict.Place, flow.Answered, told, at(end))
+				host.Release(verdict.Slot, flow.Answered, told, at(end))
 			}
 			if server.running < load.slots {
 				begin(server, sent, finish)
@@ -155,12 +155,12 @@
 			}
 			if len(server.queue) >= load.ownQueue {
 				rejected++
-				after(sent, func(now time.Duration) { host.Leave(verdict.Place, flow.Refused, cherrykeel.UpstreamLoad{}, at(now)) })
+				after(sent, func(now time.Duration) { host.Release(verdict.Slot, flow.Refused, cherrykeel.UpstreamLoad{}, at(now)) })
 				return
 			}
 			server.queue = append(server.queue, func(now time.Duration) { begin(server, now, finish) })
 		}
-		host.Offer(ticket, at(now))
+		host.Submit(ticket, at(now))
 	}
 	tell := func(i int) func(now time.Duration) {
 		return func(time.Duration) {
@@ -176,7 +176,7 @@
 					sum.add(told[j])
 				}
 			}
-			hosts[i].SetOthers(sum.running, sum.waiting, sum.queued, at(now))
+			hosts[i].SetRemoteCounts(sum.running, sum.waiting, sum.queued, at(now))
 		}
 	}
 	for i := range hosts {
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -30,16 +30,16 @@
 }
 
 // ask offers a request that has 500 ms, with its target at 200 ms, and returns what it was told so far.
-func ask(service *flow.Service, now time.Duration, change func(*flow.Ticket)) (*flow.Ticket, *[]flow.Verdict) {
-	var verdicts []flow.Verdict
+func ask(service *flow.Service, now time.Duration, change func(*flow.Ticket)) (*flow.Ticket, *[]flow.Decision) {
+	var verdicts []flow.Decision
 	ticket := &flow.Ticket{
 		Key: cherrykeel.NoKey, Arrived: at(now), Target: at(now + 200*time.Millisecond), Deadline: at(now + 500*time.Millisecond),
-		Wake: func(verdict flow.Verdict) { verdicts = append(verdicts, verdict) },
+		Notify: func(verdict flow.Decision) { verdicts = append(verdicts, verdict) },
 	}
 	if change != nil {
 		change(ticket)
 	}
-	service.Offer(ticket, at(now))
+	service.Submit(ticket, at(now))
 	return ticket, &verdicts
 }
 
@@ -59,21 +59,21 @@
 		before := upstream("a", 3)
 		before.StartedAt = 100
 		service.SetUpstreams([]cherrykeel.Upstream{before}, 0)
-		var places []*flow.Place
+		var places []*flow.Slot
 		for range 3 {
 			_, verdicts := ask(service, 0, keep)
-			places = append(places, (*verdicts)[0].Place)
+			places = append(places, (*verdicts)[0].Slot)
 		}
-		service.Leave(places[0], flow.Answered, cherrykeel.UpstreamLoad{}, at(400*time.Millisecond))
-		Expect(service.WorkTimes()).To(HaveKey("a"))
+		service.Release(places[0], flow.Answered, cherrykeel.UpstreamLoad{}, at(400*time.Millisecond))
+		Expect(service.ProcessingTimes()).To(HaveKey("a"))
 		Expect(service.Running()["a"]).To(Equal(2))
 		after := before
 		after.StartedAt = 200
 		service.SetUpstreams([]cherrykeel.Upstream{after}, at(time.Second))
-		Expect(service.WorkTimes()).To(BeEmpty())
+		Expect(service.ProcessingTimes()).To(BeEmpty())
 		Expect(service.Running()).To(BeEmpty())
-		service.Leave(places[1], flow.Answered, cherrykeel.UpstreamLoad{}, at(2*time.Second))
-		Expect(service.WorkTimes()).To(BeEmpty(), "an answer of the life before")
+		service.Release(places[1], flow.Answered, cherrykeel.UpstreamLoad{}, at(2*time.Second))
+		Expect(service.ProcessingTimes()).To(BeEmpty(), "an answer of the life before")
 	})
 
 	It("sends at once while slots are free, to the one with fewer requests", func() {
@@ -81,7 +81,7 @@
 		for range 6 {
 			_, verdicts := ask(service, 0, keep)
 			Expect(*verdicts).To(HaveLen(1))
-			counts[(*verdicts)[0].Place.Upstream.ID]++
+			counts[(*verdicts)[0].Slot.Upstream.ID]++
 		}
 		Expect(counts).To(Equal(map[string]int{"a": 3, "b": 3}))
 	})
@@ -89,12 +89,12 @@
 	// Eight hosts share three slots. An upstream that is sent more than its slots and its short queue hold
 	// resets connections, and a payment on one of them may have run. Others' counts are counted like own ones.
 	It("counts what the other hosts have there", func() {
-		service.SetOthers(map[string]int{"a": 4, "b": 4}, nil, 0, 0)
+		service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 0, 0)
 		_, verdicts := ask(service, 0, keep)
 		Expect(*verdicts).To(BeEmpty())
-		service.SetOthers(map[string]int{"a": 4, "b": 3}, nil, 0, 0)
+		service.SetRemoteCounts(map[string]int{"a": 4, "b": 3}, nil, 0, 0)
 		Expect(*verdicts).To(HaveLen(1))
-		Expect((*verdicts)[0].Place.Upstream.ID).To(Equal("b"))
+		Expect((*verdicts)[0].Slot.Upstream.ID).To(Equal("b"))
 	})
 
 	// An upstream joins while the others have free slots. It is cold and unknown, so no request would ever go
@@ -104,20 +104,20 @@
 		early := upstream("early", 3)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3), upstream("b", 3), early}, 0)
 		_, verdicts := ask(service, 0, keep)
-		service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(50*time.Millisecond))
+		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(50*time.Millisecond))
 		cold := upstream("new", 3)
 		cold.ColdUntil = at(6 * time.Second)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3), upstream("b", 3), early, cold}, at(time.Second))
 		chosen := func(now time.Duration) string {
 			_, verdicts := ask(service, now, keep)
-			place := (*verdicts)[0].Place
-			service.Leave(place, flow.Abandoned, cherrykeel.UpstreamLoad{}, at(now))
+			place := (*verdicts)[0].Slot
+			service.Release(place, flow.Abandoned, cherrykeel.UpstreamLoad{}, at(now))
 			return place.Upstream.ID
 		}
 		Expect(chosen(1100 * time.Millisecond)).NotTo(Equal("new"))
-		service.SetOthers(map[string]int{"new": 3}, nil, 0, at(3*time.Second))
+		service.SetRemoteCounts(map[string]int{"new": 3}, nil, 0, at(3*time.Second))
 		Expect(chosen(3 * time.Second)).NotTo(Equal("new"))
-		service.SetOthers(nil, nil, 0, at(3*time.Second))
+		service.SetRemoteCounts(nil, nil, 0, at(3*time.Second))
 		Expect(chosen(3 * time.Second)).To(Equal("new"))
 		Expect(chosen(3100 * time.Millisecond)).NotTo(Equal("new"))
 	})
@@ -127,36 +127,36 @@
 	It("takes no upstream for a new one before any has answered", func() {
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3), upstream("b", 3), {ID: "c", Zone: "z", Slots: 3, ColdUntil: at(1100 * time.Millisecond)}}, at(100*time.Millisecond))
 		_, verdicts := ask(service, 4*time.Second, keep)
-		first := (*verdicts)[0].Place
+		first := (*verdicts)[0].Slot
 		_, verdicts = ask(service, 4*time.Second, keep)
-		Expect([]string{first.Upstream.ID, (*verdicts)[0].Place.Upstream.ID}).NotTo(ConsistOf("c", "c"))
+		Expect([]string{first.Upstream.ID, (*verdicts)[0].Slot.Upstream.ID}).NotTo(ConsistOf("c", "c"))
 		Expect(first.Upstream.ID).NotTo(Equal("c"))
 	})
 
 	It("lets the urgent go first and the others in order", func() {
-		service.SetOthers(map[string]int{"a": 4, "b": 4}, nil, 0, 0)
+		service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 0, 0)
 		order := []string{}
 		for i, priority := range []int{2, 2, 0} {
 			ask(service, 0, func(ticket *flow.Ticket) {
 				ticket.Priority = priority
-				ticket.Wake = func(flow.Verdict) { order = append(order, fmt.Sprint(priority, "/", i)) }
+				ticket.Notify = func(flow.Decision) { order = append(order, fmt.Sprint(priority, "/", i)) }
 			})
 		}
-		service.SetOthers(nil, nil, 0, 0)
+		service.SetRemoteCounts(nil, nil, 0, 0)
 		Expect(order).To(Equal([]string{"0/2", "2/0", "2/1"}))
 	})
 
 	// Forty requests wait in all, for six slots of 80 ms. A newcomer would be answered after its time; told
 	// at once, its caller can come back while that helps.
 	It("refuses at once what cannot be answered in time", func() {
-		service.SetOthers(map[string]int{"a": 4, "b": 4}, nil, 40, 0)
+		service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 40, 0)
 		_, verdicts := ask(service, 0, keep)
 		Expect(*verdicts).To(HaveLen(1))
 		Expect((*verdicts)[0].Reason).To(Equal(flow.Crowded))
 	})
 
 	It("refuses a waiting request when its time has become too short", func() {
-		service.SetOthers(map[string]int{"a": 4, "b": 4}, nil, 0, 0)
+		service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 0, 0)
 		_, verdicts := ask(service, 0, keep)
 		service.Dispatch(at(400 * time.Millisecond))
 		Expect(*verdicts).To(BeEmpty())
@@ -175,20 +175,20 @@
 	It("prefers upstreams that do not fail, and forgets failures", func() {
 		for range 3 {
 			_, verdicts := ask(service, 0, func(ticket *flow.Ticket) { ticket.Tried = []string{"b"} })
-			service.Leave((*verdicts)[0].Place, flow.Failed, cherrykeel.UpstreamLoad{}, 0)
+			service.Release((*verdicts)[0].Slot, flow.Failed, cherrykeel.UpstreamLoad{}, 0)
 		}
 		for range 3 {
 			_, verdicts := ask(service, 0, keep)
-			Expect((*verdicts)[0].Place.Upstream.ID).To(Equal("b"))
+			Expect((*verdicts)[0].Slot.Upstream.ID).To(Equal("b"))
 		}
 		later := 12 * time.Second
 		_, verdicts := ask(service, later, keep)
-		Expect((*verdicts)[0].Place.Upstream.ID).To(Equal("a"))
+		Expect((*verdicts)[0].Slot.Upstream.ID).To(Equal("a"))
 	})
 
 	It("pauses an upstream that cannot be reached", func() {
 		_, verdicts := ask(service, 0, func(ticket *flow.Ticket) { ticket.Tried = []string{"b"} })
-		service.Leave((*verdicts)[0].Place, flow.Unreached, cherrykeel.UpstreamLoad{}, 0)
+		service.Release((*verdicts)[0].Slot, flow.Unreachable, cherrykeel.UpstreamLoad{}, 0)
 		_, verdicts = ask(service, 0, func(ticket *flow.Ticket) { ticket.Tried = []string{"b"} })
 		Expect(*verdicts).To(BeEmpty())
 		service.Dispatch(at(320 * time.Millisecond))
@@ -200,12 +200,12 @@
 			other := map[string]string{"a": "b", "b": "a"}[id]
 			took := map[string]time.Duration{"a": 150 * time.Millisecond, "b": 50 * time.Millisecond}[id]
 			_, verdicts := ask(service, 0, func(ticket *flow.Ticket) { ticket.Tried = []string{other} })
-			service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(took))
+			service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(took))
 		}
-		Expect(service.WorkTimes()).To(Equal(map[string]time.Duration{"a": 150 * time.Millisecond, "b": 50 * time.Millisecond}))
+		Expect(service.ProcessingTimes()).To(Equal(map[string]time.Duration{"a": 150 * time.Millisecond, "b": 50 * time.Millisecond}))
 		for range 3 {
 			_, verdicts := ask(service, time.Second, keep)
-			Expect((*verdicts)[0].Place.Upstream.ID).To(Equal("b"))
+			Expect((*verdicts)[0].Slot.Upstream.ID).To(Equal("b"))
 		}
 	})
 
@@ -215,15 +215,15 @@
 	It("does not take an upstream's queue for slow work", func() {
 		_, verdicts := ask(service, 0, func(ticket *flow.Ticket) { ticket.Tried = []string{"b"} })
 		load := cherrykeel.UpstreamLoad{Known: true, Running: 3, Waiting: 9, Slots: 3}
-		service.Leave((*verdicts)[0].Place, flow.Answered, load, at(400*time.Millisecond))
-		Expect(service.WorkTimes()).To(Equal(map[string]time.Duration{"a": 100 * time.Millisecond}))
+		service.Release((*verdicts)[0].Slot, flow.Answered, load, at(400*time.Millisecond))
+		Expect(service.ProcessingTimes()).To(Equal(map[string]time.Duration{"a": 100 * time.Millisecond}))
 	})
 
 	It("takes back a request whose caller left", func() {
-		service.SetOthers(map[string]int{"a": 4, "b": 4}, nil, 0, 0)
+		service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 0, 0)
 		ticket, verdicts := ask(service, 0, keep)
 		Expect(service.Cancel(ticket)).To(BeTrue())
-		service.SetOthers(nil, nil, 0, 0)
+		service.SetRemoteCounts(nil, nil, 0, 0)
 		Expect(*verdicts).To(BeEmpty())
 		Expect(service.Cancel(ticket)).To(BeFalse())
 	})
@@ -242,7 +242,7 @@
 		It("goes to the owner only", func() {
 			for range 4 {
 				_, verdicts := ask(service, 0, withKey)
-				Expect((*verdicts)[0].Place.Upstream.ID).To(Equal("a"))
+				Expect((*verdicts)[0].Slot.Upstream.ID).To(Equal("a"))
 			}
 			_, verdicts := ask(service, 0, withKey)
 			Expect(*verdicts).To(BeEmpty())
@@ -251,12 +251,12 @@
 		// A key changes hands. Requests for it wait the moment that this takes and go to the new owner,
 		// instead of being refused by the old one and sent again at the cost of the retry budget.
 		It("waits while a key moves", func() {
-			owner.Moving = true
+			owner.InTransfer = true
 			_, verdicts := ask(service, 0, withKey)
 			Expect(*verdicts).To(BeEmpty())
 			owner = flow.Owner{ID: "b"}
 			service.Dispatch(at(20 * time.Millisecond))
-			Expect((*verdicts)[0].Place.Upstream.ID).To(Equal("b"))
+			Expect((*verdicts)[0].Slot.Upstream.ID).To(Equal("b"))
 		})
 
 		It("refuses when the key has had no owner for half of the request's time", func() {
@@ -307,13 +307,13 @@
 		asked++
 		ticket := &flow.Ticket{Key: cherrykeel.NoKey, Arrived: at(now), Target: at(now + target), Deadline: at(now + deadline)}
 		current := &now
-		ticket.Wake = func(verdict flow.Verdict) {
-			if verdict.Place == nil {
+		ticket.Notify = func(verdict flow.Decision) {
+			if verdict.Slot == nil {
 				return
 			}
-			id := verdict.Place.Upstream.ID
+			id := verdict.Slot.Upstream.ID
 			running[id]++
-			begun := time.Duration(verdict.Place.Begun)
+			begun := time.Duration(verdict.Slot.StartedAt)
 			crowd := max(1, float64(running[id])/3)
 			took := time.Duration(float64(work) / speed[id] * crowd * (0.7 + 0.6*random.Float64()))
 			heap.Push(&due, happening{begun + took, func(end time.Duration) {
@@ -324,10 +324,10 @@
 				if end-*current <= deadline {
 					all++
 				}
-				service.Leave(verdict.Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(end))
+				service.Release(verdict.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(end))
 			}})
 		}
-		service.Offer(ticket, at(now))
+		service.Submit(ticket, at(now))
 	}
 	for now := time.Duration(0); now < length; now += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)) {
 		heap.Push(&due, happening{now, arrive})
--- a/flow/nearly_test.go
+++ b/flow/nearly_test.go
@@ -25,14 +25,14 @@
 			service := flow.New("z", find, half)
 			service.SetUpstreams([]cherrykeel.Upstream{upstream("a", slots)}, 0)
 			_, verdicts := ask(service, 0, func(ticket *flow.Ticket) { ticket.Key, ticket.Deadline = key, at(4*time.Second) })
-			service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(work))
+			service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(work))
 			sent := 0
 			for now := work; now < work+rounds*pace; now += pace {
-				service.SetOthers(map[string]int{"a": slots}, nil, 0, at(now))
+				service.SetRemoteCounts(map[string]int{"a": slots}, nil, 0, at(now))
 				_, verdicts := ask(service, now, func(ticket *flow.Ticket) { ticket.Key = key })
-				if len(*verdicts) == 1 && (*verdicts)[0].Place != nil {
+				if len(*verdicts) == 1 && (*verdicts)[0].Slot != nil {
 					sent++
-					service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+pace/2))
+					service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+pace/2))
 				}
 			}
 			Expect(sent).To(BeNumerically(">", 0))
--- a/flow/owned.go
+++ b/flow/owned.go
@@ -96,7 +96,7 @@
 	}
 	owner := owned.owner(ticket)
 	member, known := owned.service.members[owner.ID]
-	if !known || owner.Moving || !member.reachable(now) || !owned.hasTurn(member, now) || !member.quiet(now) {
+	if !known || owner.InTransfer || !member.reachable(now) || !owned.hasTurn(member, now) || !member.quiet(now) {
 		return nil
 	}
 	if !member.ruledOut(ticket, owned.service.usual(), now) {
@@ -111,7 +111,7 @@
 	}
 	owner := owned.owner(ticket)
 	member, known := owned.service.members[owner.ID]
-	if !known || owner.Moving || !member.reachable(now) || !owned.hasTurn(member, now) {
+	if !known || owner.InTransfer || !member.reachable(now) || !owned.hasTurn(member, now) {
 		return nil
 	}
 	// What the owner would answer after the deadline is work lost there, while others wait for it.
--- a/flow/partly_test.go
+++ b/flow/partly_test.go
@@ -22,13 +22,13 @@
 	slowed := func() *flow.Service {
 		service := flow.New("z", nil, func() float64 { return 0 })
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 1), upstream("b", 1), upstream("c", 1)}, 0)
-		var places []*flow.Place
+		var places []*flow.Slot
 		for range 3 {
 			_, verdicts := ask(service, 0, func(ticket *flow.Ticket) { ticket.Deadline = at(4 * time.Second) })
-			places = append(places, (*verdicts)[0].Place)
+			places = append(places, (*verdicts)[0].Slot)
 		}
 		for _, place := range places {
-			service.Leave(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(slow))
+			service.Release(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(slow))
 		}
 		return service
 	}
@@ -36,16 +36,16 @@
 	used := func(service *flow.Service) map[string]int {
 		sent := map[string]int{}
 		for now := slow; now < slow+rounds*pace; now += pace {
-			var running []*flow.Place
+			var running []*flow.Slot
 			for range burst {
 				_, verdicts := ask(service, now, keep)
-				if len(*verdicts) == 1 && (*verdicts)[0].Place != nil {
-					running = append(running, (*verdicts)[0].Place)
-					sent[(*verdicts)[0].Place.Upstream.ID]++
+				if len(*verdicts) == 1 && (*verdicts)[0].Slot != nil {
+					running = append(running, (*verdicts)[0].Slot)
+					sent[(*verdicts)[0].Slot.Upstream.ID]++
 				}
 			}
 			for _, place := range running {
-				service.Leave(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
+				service.Release(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
 			}
 		}
 		return sent
--- a/flow/queued_bench_test.go
+++ b/flow/queued_bench_test.go
@@ -39,12 +39,12 @@
 	}
 	service := flow.New("z", owner, half)
 	service.SetUpstreams(all, 0)
-	service.SetOthers(running, nil, 0, 0)
+	service.SetRemoteCounts(running, nil, 0, 0)
 	next := 0
 	offer := func() *flow.Ticket {
 		next++
-		ticket := &flow.Ticket{Key: next, Arrived: 0, Target: at(time.Hour), Deadline: at(2 * time.Hour), Wake: func(flow.Verdict) {}}
-		service.Offer(ticket, at(0))
+		ticket := &flow.Ticket{Key: next, Arrived: 0, Target: at(time.Hour), Deadline: at(2 * time.Hour), Notify: func(flow.Decision) {}}
+		service.Submit(ticket, at(0))
 		return ticket
 	}
 	for range waiting {
--- a/flow/relearn_test.go
+++ b/flow/relearn_test.go
@@ -23,11 +23,11 @@
 	isAskedAgain := func(service *flow.Service, key int) bool {
 		asked := func(ticket *flow.Ticket) { ticket.Key = key }
 		_, verdicts := ask(service, 0, asked)
-		service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(stoodStill))
+		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(stoodStill))
 		for now := stoodStill; now < stoodStill+within; now += pace {
 			service.Dispatch(at(now))
 			_, verdicts := ask(service, now, asked)
-			if len(*verdicts) > 0 && (*verdicts)[0].Place != nil {
+			if len(*verdicts) > 0 && (*verdicts)[0].Slot != nil {
 				return true
 			}
 		}
--- a/flow/service.go
+++ b/flow/service.go
@@ -67,8 +67,8 @@
 	return service.works.mean()
 }
 
-// SetOthers replaces what the other hosts say: requests at upstreams, and requests waiting.
-func (service *Service) SetOthers(running, waiting map[string]int, total int, now cherrykeel.Instant) {
+// SetRemoteCounts replaces what the other hosts say: requests at upstreams, and requests waiting.
+func (service *Service) SetRemoteCounts(running, waiting map[string]int, total int, now cherrykeel.Instant) {
 	for id, member := range service.members {
 		member.count(running[id], waiting[id], now)
 	}
@@ -88,8 +88,8 @@
 	return running
 }
 
-// Full reports whether some upstream has no free slot.
-func (service *Service) Full() bool {
+// HasFullUpstream reports whether some upstream has no free slot.
+func (service *Service) HasFullUpstream() bool {
 	for _, member := range service.members {
 		if member.upstream.EvacuateAt == 0 && member.load() >= member.upstream.Slots {
 			return true
@@ -103,13 +103,13 @@
 	return service.discipline.waitingFor(), len(service.waiting)
 }
 
-// Queued reports whether any request waits.
-func (service *Service) Queued() bool {
+// HasWaiting reports whether any request waits.
+func (service *Service) HasWaiting() bool {
 	return len(service.waiting) > 0
 }
 
-// WorkTimes returns the mean time that a request spends in a slot of each upstream that has answered.
-func (service *Service) WorkTimes() map[string]time.Duration {
+// ProcessingTimes returns the mean time that a request spends in a slot of each upstream that has answered.
+func (service *Service) ProcessingTimes() map[string]time.Duration {
 	times := map[string]time.Duration{}
 	for id, member := range service.members {
 		if member.work > 0 {
@@ -119,8 +119,8 @@
 	return times
 }
 
-// Offer gives a ticket a place, lets it wait, or refuses it at once; Wake tells which, now or later.
-func (service *Service) Offer(ticket *Ticket, now cherrykeel.Instant) {
+// Submit gives a ticket a place, lets it wait, or refuses it at once; Wake tells which, now or later.
+func (service *Service) Submit(ticket *Ticket, now cherrykeel.Instant) {
 	service.arrivals++
 	service.target = ticket.Target.Sub(ticket.Arrived)
 	ticket.order = service.arrivals
@@ -129,17 +129,17 @@
 	stood := service.discipline.standing(ticket).note(ticket, answer, now)
 	place := service.discipline.place(ticket, now)
 	if place != nil && !service.overtakes(ticket) {
-		ticket.Wake(service.granted(ticket, place, now))
+		ticket.Notify(service.granted(ticket, place, now))
 		return
 	}
 	member := service.trial(ticket, now)
 	if member != nil {
-		ticket.Wake(service.grantedTrial(ticket, member, now))
+		ticket.Notify(service.grantedTrial(ticket, member, now))
 		return
 	}
 	reason, refused := service.refuse(ticket, answer, stood, now)
 	if refused {
-		ticket.Wake(service.refusal(ticket, reason, now))
+		ticket.Notify(service.refusal(ticket, reason, now))
 		return
 	}
 	service.insert(ticket)
@@ -213,7 +213,7 @@
 			kept = append(kept, ticket)
 			continue
 		}
-		woken = append(woken, func() { ticket.Wake(verdict) })
+		woken = append(woken, func() { ticket.Notify(verdict) })
 	}
 	service.waiting = kept
 	for _, wake := range woken {
@@ -221,7 +221,7 @@
 	}
 }
 
-func (service *Service) decide(ticket *Ticket, now cherrykeel.Instant) (Verdict, bool) {
+func (service *Service) decide(ticket *Ticket, now cherrykeel.Instant) (Decision, bool) {
 	member := service.discipline.place(ticket, now)
 	if member != nil {
 		return service.granted(ticket, member, now), true
@@ -232,47 +232,47 @@
 	if service.discipline.hopeless(ticket, now) {
 		return service.refusal(ticket, TooLate, now), true
 	}
-	return Verdict{}, false
+	return Decision{}, false
 }
 
-func (service *Service) granted(ticket *Ticket, member *member, now cherrykeel.Instant) Verdict {
+func (service *Service) granted(ticket *Ticket, member *member, now cherrykeel.Instant) Decision {
 	inputs := service.inputs(ticket, member, now)
-	inputs.Wait = member.expected(service.usual(), now)
-	return Verdict{Place: member.take(ticket, now), Inputs: inputs}
+	inputs.TimeToAnswer = member.expected(service.usual(), now)
+	return Decision{Slot: member.take(ticket, now), Inputs: inputs}
 }
 
-func (service *Service) refusal(ticket *Ticket, reason Reason, now cherrykeel.Instant) Verdict {
+func (service *Service) refusal(ticket *Ticket, reason Reason, now cherrykeel.Instant) Decision {
 	owner := service.discipline.owner(ticket)
 	inputs := service.inputs(ticket, service.members[owner.ID], now)
 	inputs.Ahead = service.discipline.ahead(ticket)
-	inputs.Wait = service.discipline.wait(ticket, now)
-	return Verdict{Reason: reason, Inputs: inputs}
+	inputs.TimeToAnswer = service.discipline.wait(ticket, now)
+	return Decision{Reason: reason, Inputs: inputs}
 }
 
 // inputs gathers what is known of the upstream in question, which may be nil.
 func (service *Service) inputs(ticket *Ticket, member *member, now cherrykeel.Instant) Inputs {
 	owner := service.discipline.owner(ticket)
-	inputs := Inputs{Owner: owner.ID, Moving: owner.Moving, Fence: owner.Fence, Work: service.usual()}
+	inputs := Inputs{Owner: owner.ID, InTransfer: owner.InTransfer, Fence: owner.Fence, ProcessingTime: service.usual()}
 	if member != nil {
 		inputs.Load = member.load()
-		inputs.Others = member.others
-		inputs.Work = member.workTime(inputs.Work, now)
+		inputs.RemoteLoad = member.others
+		inputs.ProcessingTime = member.workTime(inputs.ProcessingTime, now)
 	}
 	return inputs
 }
 
-func (member *member) take(ticket *Ticket, now cherrykeel.Instant) *Place {
+func (member *member) take(ticket *Ticket, now cherrykeel.Instant) *Slot {
 	member.own++
 	member.sentAt = now
 	member.tryAt = 0
 	if member.upstream.IsColdLimited(now) {
-		member.sent.Note(now)
+		member.sent.Record(now)
 	}
-	return &Place{Upstream: member.upstream, Load: member.load(), Begun: now, Deadline: ticket.Deadline, member: member}
+	return &Slot{Upstream: member.upstream, Load: member.load(), StartedAt: now, Deadline: ticket.Deadline, member: member}
 }
 
-// Leave ends a place and gives it to the next request.
-func (service *Service) Leave(place *Place, ending Ending, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
+// Release ends a place and gives it to the next request.
+func (service *Service) Release(place *Slot, ending Result, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
 	member := place.member
 	member.own--
 	member.decay(now)
@@ -283,7 +283,7 @@
 		service.learn(place, max(place.Load, load.Running+load.Waiting), now)
 	case Failed, Refused:
 		member.failures++
-	case Unreached:
+	case Unreachable:
 		member.failures++
 		member.broke(now)
 	case Abandoned:
@@ -300,16 +300,16 @@
 // An attempt ends when its request's time is up. An answer that is read later was there before: this host stood still, or
 // had no processor. One that stood still for 6 s believed that its upstreams were as slow, so such an answer tells of no more
 // than the request's time, and of that little.
-func (service *Service) learn(place *Place, load int, now cherrykeel.Instant) {
+func (service *Service) learn(place *Slot, load int, now cherrykeel.Instant) {
 	member := place.member
 	if service.members[member.upstream.ID] != member {
 		return
 	}
-	took, weight := now.Sub(place.Begun), workWeight
-	given := place.Deadline.Sub(place.Begun)
+	took, weight := now.Sub(place.StartedAt), workWeight
+	given := place.Deadline.Sub(place.StartedAt)
 	if took > given {
 		took, weight = given, lateWeight
-	} else if place.Trial {
+	} else if place.Probe {
 		service.noteTrial(place, now)
 	}
 	service.works.remove(member.work)
--- a/flow/slowed_test.go
+++ b/flow/slowed_test.go
@@ -84,8 +84,8 @@
 func (play *slowedPlay) teach(service *flow.Service) {
 	for i := range play.load.upstreams {
 		ticket := &flow.Ticket{Key: cherrykeel.NoKey, Target: at(time.Hour), Deadline: at(time.Hour)}
-		ticket.Wake = func(verdict flow.Verdict) {
-			service.Leave(verdict.Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(play.load.slow))
+		ticket.Notify = func(verdict flow.Decision) {
+			service.Release(verdict.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(play.load.slow))
 		}
 		if play.load.keyed {
 			ticket.Key = i
@@ -95,7 +95,7 @@
 				ticket.Tried = append(ticket.Tried, fmt.Sprint(j))
 			}
 		}
-		service.Offer(ticket, 0)
+		service.Submit(ticket, 0)
 	}
 }
 
@@ -106,7 +106,7 @@
 	waiting, queued := play.hosts[host].Waiting()
 	play.told[host] = counts{running: play.hosts[host].Running(), waiting: waiting, queued: queued}
 	play.sum.add(play.told[host])
-	play.hosts[host].SetOthers(others.running, others.waiting, others.queued, at(now))
+	play.hosts[host].SetRemoteCounts(others.running, others.waiting, others.queued, at(now))
 	if now < play.load.length {
 		play.at(now+tellPace, func(now time.Duration) { play.tell(host, now) })
 	}
@@ -133,32 +133,32 @@
 	if play.load.keyed {
 		ticket.Key = play.random.IntN(play.load.upstreams)
 	}
-	ticket.Wake = func(verdict flow.Verdict) {
-		if verdict.Place == nil {
+	ticket.Notify = func(verdict flow.Decision) {
+		if verdict.Slot == nil {
 			fates.refused++
 			return
 		}
-		if verdict.Place.Trial {
+		if verdict.Slot.Probe {
 			fates.trials++
 		}
-		play.send(service, verdict.Place, fates)
+		play.send(service, verdict.Slot, fates)
 	}
-	service.Offer(ticket, at(now))
+	service.Submit(ticket, at(now))
 }
 
 // send has an upstream work on a request, or reject it if it has no room.
-func (play *slowedPlay) send(service *flow.Service, place *flow.Place, fates *fates) {
+func (play *slowedPlay) send(service *flow.Service, place *flow.Slot, fates *fates) {
 	server := play.servers[place.Upstream.ID]
 	left := false
-	leave := func(ending flow.Ending, count *int, now time.Duration) {
+	leave := func(ending flow.Result, count *int, now time.Duration) {
 		if left {
 			return
 		}
 		left = true
 		*count++
-		service.Leave(place, ending, cherrykeel.UpstreamLoad{}, at(now))
+		service.Release(place, ending, cherrykeel.UpstreamLoad{}, at(now))
 	}
-	sent := time.Duration(place.Begun)
+	sent := time.Duration(place.StartedAt)
 	finish := func(now time.Duration) { leave(flow.Answered, &fates.answered, now) }
 	switch {
 	case server.running < slowedSlots:
--- a/flow/ticket.go
+++ b/flow/ticket.go
@@ -16,8 +16,8 @@
 	Deadline cherrykeel.Instant
 	// Tried names upstreams that the request was sent to before.
 	Tried []string
-	// Wake is called once, with the place or the refusal.
-	Wake func(verdict Verdict)
+	// Notify is called once, with the place or the refusal.
+	Notify func(verdict Decision)
 	// order is the place among requests of the same priority.
 	order uint64
 }
@@ -39,9 +39,9 @@
 	NoOwner Reason = "no-owner"
 )
 
-// Verdict is a place on an upstream, or a refusal.
-type Verdict struct {
-	Place  *Place
+// Decision is a place on an upstream, or a refusal.
+type Decision struct {
+	Slot  *Slot
 	Reason Reason
 	// Inputs are what the verdict rests on.
 	Inputs Inputs
@@ -51,44 +51,44 @@
 type Inputs struct {
 	// Owner has the request's key; Fence is the version of the table that gave it to it.
 	Owner  string
-	Moving bool
+	InTransfer bool
 	Fence  int64
 	// Load is how many requests were at the upstream in question, Others the part that other hosts told.
 	Load   int
-	Others int
+	RemoteLoad int
 	// Ahead is how many requests waited before this one, at all hosts.
 	Ahead int
-	// Work is the expected time in a slot, Wait the expected time to the answer.
-	Work time.Duration
-	Wait time.Duration
+	// ProcessingTime is the expected time in a slot, Wait the expected time to the answer.
+	ProcessingTime time.Duration
+	TimeToAnswer time.Duration
 }
 
-// Place is a request's place on an upstream, counted until it is left.
-type Place struct {
+// Slot is a request's place on an upstream, counted until it is left.
+type Slot struct {
 	Upstream cherrykeel.Upstream
 	// Load is how many requests were there, this one included.
 	Load  int
-	Begun cherrykeel.Instant
+	StartedAt cherrykeel.Instant
 	// Deadline is the ticket's.
 	Deadline cherrykeel.Instant
-	// Trial says that no answer was expected in time.
-	Trial  bool
+	// Probe says that no answer was expected in time.
+	Probe  bool
 	member *member
 }
 
-// Ending says how a place was left.
-type Ending int
+// Result says how a place was left.
+type Result int
 
 // The endings of a place.
 const (
 	// Answered means that a whole answer came.
-	Answered Ending = iota
+	Answered Result = iota
 	// Failed means that the upstream answered wrongly or not at all.
 	Failed
 	// Refused means that the upstream said that it did not act.
 	Refused
-	// Unreached means that no connection could be made.
-	Unreached
+	// Unreachable means that no connection could be made.
+	Unreachable
 	// Abandoned means that the caller left, which says nothing of the upstream.
 	Abandoned
 )
@@ -96,7 +96,7 @@
 // Owner is who has a key: empty when nobody has, Moving when it is about to have another owner.
 type Owner struct {
 	ID     string
-	Moving bool
+	InTransfer bool
 	// Fence is the version that gave the key to its owner.
 	Fence int64
 }
--- a/flow/told_test.go
+++ b/flow/told_test.go
@@ -18,20 +18,20 @@
 	next := func(now time.Duration) string {
 		_, verdicts := ask(service, now, keep)
 		Expect(*verdicts).To(HaveLen(1))
-		Expect((*verdicts)[0].Place).NotTo(BeNil())
-		return (*verdicts)[0].Place.Upstream.ID
+		Expect((*verdicts)[0].Slot).NotTo(BeNil())
+		return (*verdicts)[0].Slot.Upstream.ID
 	}
 	// counted has the other hosts count three requests at b, and none at a.
 	counted := func(now time.Duration) {
-		service.SetOthers(map[string]int{"b": 3}, nil, 0, at(now))
+		service.SetRemoteCounts(map[string]int{"b": 3}, nil, 0, at(now))
 	}
 	// answers has b answer a request with what it tells.
-	answers := func(ending flow.Ending, load cherrykeel.UpstreamLoad) {
-		service.SetOthers(map[string]int{"a": 4}, nil, 0, 0)
+	answers := func(ending flow.Result, load cherrykeel.UpstreamLoad) {
+		service.SetRemoteCounts(map[string]int{"a": 4}, nil, 0, 0)
 		_, verdicts := ask(service, 0, keep)
-		Expect((*verdicts)[0].Place.Upstream.ID).To(Equal("b"))
+		Expect((*verdicts)[0].Slot.Upstream.ID).To(Equal("b"))
 		counted(answeredAt)
-		service.Leave((*verdicts)[0].Place, ending, load, at(answeredAt))
+		service.Release((*verdicts)[0].Slot, ending, load, at(answeredAt))
 	}
 
 	BeforeEach(func() {
@@ -62,7 +62,7 @@
 	// Guards against a slow upstream that is sent the most since it has free slots.
 	It("is left alone if the upstream is slower than others", func() {
 		_, verdicts := ask(service, 0, func(ticket *flow.Ticket) { ticket.Tried = []string{"b"} })
-		service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(20*time.Millisecond))
+		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(20*time.Millisecond))
 		answers(flow.Answered, cherrykeel.UpstreamLoad{Known: true, Running: 1, Slots: 3, Slowness: 1})
 		Expect(next(answeredAt)).To(Equal("a"))
 	})
--- a/flow/trial.go
+++ b/flow/trial.go
@@ -54,19 +54,19 @@
 }
 
 // grantedTrial gives a place to a ticket that the estimate rules out.
-func (service *Service) grantedTrial(ticket *Ticket, member *member, now cherrykeel.Instant) Verdict {
+func (service *Service) grantedTrial(ticket *Ticket, member *member, now cherrykeel.Instant) Decision {
 	service.trials.sent(service.random(), now)
 	verdict := service.granted(ticket, member, now)
-	verdict.Place.Trial = true
+	verdict.Slot.Probe = true
 	return verdict
 }
 
 // noteTrial takes note of a trial's answer that came in time. Every estimate that would have ruled it out is forgotten: all
 // were learned at about the same time, likely for one reason, and with a trial for each of hundreds of upstreams it would
 // take minutes until all are used again. One that is as slow as it seemed is learned anew by the answers that come in time.
-func (service *Service) noteTrial(place *Place, now cherrykeel.Instant) {
+func (service *Service) noteTrial(place *Slot, now cherrykeel.Instant) {
 	service.trials = trials{}
-	given := place.Deadline.Sub(place.Begun)
+	given := place.Deadline.Sub(place.StartedAt)
 	for _, member := range service.members {
 		if member == place.member || time.Duration(hopelessShare*float64(member.work)) > given {
 			service.works.remove(member.work)
--- a/flow/trial_test.go
+++ b/flow/trial_test.go
@@ -27,15 +27,15 @@
 	keyed := func(ticket *flow.Ticket) { ticket.Key = key }
 	// learn has the service's upstreams answer each a patient request after some time.
 	learn := func(service *flow.Service, change func(*flow.Ticket), count int, took time.Duration) {
-		var places []*flow.Place
+		var places []*flow.Slot
 		for range count {
 			_, verdicts := ask(service, now, func(ticket *flow.Ticket) { change(ticket); patient(ticket) })
 			Expect(*verdicts).To(HaveLen(1))
-			places = append(places, (*verdicts)[0].Place)
+			places = append(places, (*verdicts)[0].Slot)
 		}
 		now += took
 		for _, place := range places {
-			service.Leave(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now))
+			service.Release(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now))
 		}
 	}
 	// play asks every tenth of a second until some time, and returns when requests were sent. Upstreams are slow for a
@@ -49,15 +49,15 @@
 			}
 			_, verdicts := ask(service, now, change)
 			Expect(*verdicts).To(HaveLen(1))
-			place := (*verdicts)[0].Place
+			place := (*verdicts)[0].Slot
 			switch {
 			case place == nil:
 				Expect((*verdicts)[0].Reason).To(Equal(flow.TooLate))
 				continue
 			case now < slowUntil:
-				leaves[now+5*pace] = func() { service.Leave(place, flow.Failed, cherrykeel.UpstreamLoad{}, place.Deadline) }
+				leaves[now+5*pace] = func() { service.Release(place, flow.Failed, cherrykeel.UpstreamLoad{}, place.Deadline) }
 			default:
-				service.Leave(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
+				service.Release(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
 			}
 			sent = append(sent, now)
 		}
@@ -97,14 +97,14 @@
 		It(name+" are sent soon after each time that the host has stood still", func() {
 			service := how.service()
 			for range 5 {
-				var places []*flow.Place
+				var places []*flow.Slot
 				for range 3 {
 					_, verdicts := ask(service, now, func(ticket *flow.Ticket) { how.change(ticket); patient(ticket) })
-					places = append(places, (*verdicts)[0].Place)
+					places = append(places, (*verdicts)[0].Slot)
 				}
 				now += 2 * slow
 				for _, place := range places {
-					service.Leave(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now))
+					service.Release(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now))
 				}
 				thawed := now
 				Expect(play(service, how.change, 0, thawed+2*time.Second)).NotTo(BeEmpty())
@@ -150,12 +150,12 @@
 		learn(service, keep, 3, slow)
 		now += time.Second
 		_, verdicts := ask(service, now, keep)
-		service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
+		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
 		now += quick
 		used := map[string]bool{}
 		for range 3 {
 			_, verdicts := ask(service, now, keep)
-			used[(*verdicts)[0].Place.Upstream.ID] = true
+			used[(*verdicts)[0].Slot.Upstream.ID] = true
 		}
 		Expect(used).To(HaveLen(3))
 	})
@@ -165,10 +165,10 @@
 		learn(service, keep, 1, slow)
 		now += time.Second
 		_, verdicts := ask(service, now, keep)
-		Expect((*verdicts)[0].Place.Trial).To(BeTrue())
-		service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
+		Expect((*verdicts)[0].Slot.Probe).To(BeTrue())
+		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
 		_, verdicts = ask(service, now+quick, keep)
-		Expect((*verdicts)[0].Place.Trial).To(BeFalse())
+		Expect((*verdicts)[0].Slot.Probe).To(BeFalse())
 	})
 
 	// isSent reports whether a request is sent to one of two upstreams, both of which seem too slow.
@@ -179,7 +179,7 @@
 		now += 2 * time.Second
 		prepare(service)
 		_, verdicts := ask(service, now, change)
-		return len(*verdicts) > 0 && (*verdicts)[0].Place != nil
+		return len(*verdicts) > 0 && (*verdicts)[0].Slot != nil
 	}
 
 	It("are sent if nothing else speaks against it", func() {
@@ -204,15 +204,15 @@
 			service.SetUpstreams([]cherrykeel.Upstream{a, b}, at(now))
 		}),
 		Entry("at an owner that is full", keyed, func(service *flow.Service) {
-			service.SetOthers(map[string]int{"a": 4}, nil, 0, at(now))
+			service.SetRemoteCounts(map[string]int{"a": 4}, nil, 0, at(now))
 		}),
 		Entry("at upstreams that are full", keep, func(service *flow.Service) {
-			service.SetOthers(map[string]int{"a": 4, "b": 4}, nil, 0, at(now))
+			service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 0, at(now))
 		}),
 		Entry("at an owner that cannot be reached", keyed, func(service *flow.Service) {
 			_, verdicts := ask(service, now, func(ticket *flow.Ticket) { keyed(ticket); patient(ticket) })
 			now += time.Second
-			service.Leave((*verdicts)[0].Place, flow.Unreached, cherrykeel.UpstreamLoad{}, at(now))
+			service.Release((*verdicts)[0].Slot, flow.Unreachable, cherrykeel.UpstreamLoad{}, at(now))
 		}),
 		Entry("while one of this host's is at work at the owner", keyed, func(service *flow.Service) {
 			ask(service, now, func(ticket *flow.Ticket) { keyed(ticket); patient(ticket) })
@@ -235,7 +235,7 @@
 var _ = Describe("what an answer tells of its upstream", func() {
 	took := func(service *flow.Service, took time.Duration) {
 		_, verdicts := ask(service, 0, keep)
-		service.Leave((*verdicts)[0].Place, flow.Answered, cherrykeel.UpstreamLoad{}, at(took))
+		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(took))
 	}
 
 	// Guards against an upstream that is slow and is sent the most since nothing is learned of it.
@@ -245,7 +245,7 @@
 		for range 20 {
 			took(service, 450*time.Millisecond)
 		}
-		Expect(service.WorkTimes()["a"]).To(Equal(450 * time.Millisecond))
+		Expect(service.ProcessingTimes()["a"]).To(Equal(450 * time.Millisecond))
 	})
 
 	// Guards against a host that stood still and takes that time for its upstreams' own.
@@ -254,6 +254,6 @@
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, 0)
 		took(service, 50*time.Millisecond)
 		took(service, 6*time.Second)
-		Expect(service.WorkTimes()["a"]).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(service.ProcessingTimes()["a"]).To(BeNumerically("<", 100*time.Millisecond))
 	})
 })
--- a/host/duty.go
+++ b/host/duty.go
@@ -280,7 +280,7 @@
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	if duty.keeper(path).HoldsRole() {
-		duty.merger(table.Services()[path]).Hear(host, demand, duty.host.clock.Now())
+		duty.merger(table.Services()[path]).Receive(host, demand, duty.host.clock.Now())
 	}
 }
 
--- a/host/host.go
+++ b/host/host.go
@@ -241,7 +241,7 @@
 	host.refused.Store(nil)
 	host.resolved = state.Version
 	previous := host.table.Load()
-	table := route.Build(services)
+	table := route.NewTable(services)
 	host.table.Store(table)
 	host.updateFleet()
 	host.duty.onState(state)
--- a/host/slots.go
+++ b/host/slots.go
@@ -31,7 +31,7 @@
 }
 
 type stewardship struct {
-	steward *admit.Steward
+	steward *admit.SlotAllocator
 	since   cherrykeel.Instant
 }
 
@@ -86,7 +86,7 @@
 	for service, wants := range host.fleet.Wants() {
 		steward := host.steward(service)
 		if _, asked := questions[steward]; !asked {
-			questions[steward] = wire.Slots{Host: host.config.Name, Wants: map[string]map[string]admit.Want{}}
+			questions[steward] = wire.Slots{Host: host.config.Name, Wants: map[string]map[string]admit.SlotRequest{}}
 		}
 		questions[steward].Wants[service] = wants
 	}
@@ -140,13 +140,13 @@
 		reply.Granted[path] = map[string]int{}
 		for upstream, want := range wants {
 			steward := host.stewards.find(path, upstream, service.Slots, now)
-			reply.Granted[path][upstream], reply.Length = steward.Ask(question.Host, want, now)
+			reply.Granted[path][upstream], reply.Length = steward.Allocate(question.Host, want, now)
 		}
 	}
 	return reply
 }
 
-func (stewards *stewards) find(service, upstream string, slots int, now cherrykeel.Instant) *admit.Steward {
+func (stewards *stewards) find(service, upstream string, slots int, now cherrykeel.Instant) *admit.SlotAllocator {
 	name := service + " " + upstream
 	found, exists := stewards.known[name]
 	since, ranked := stewards.since[service]
@@ -155,7 +155,7 @@
 	}
 	// Another host may have been steward in between; what it gave out has ended long ago.
 	if !exists || found.since != since {
-		found = &stewardship{steward: admit.NewSteward(upstream, slots, since), since: since}
+		found = &stewardship{steward: admit.NewSlotAllocator(upstream, slots, since), since: since}
 		stewards.known[name] = found
 	}
 	found.steward.SetSlots(slots)
--- a/relay/again.go
+++ b/relay/again.go
@@ -59,13 +59,13 @@
 		return false
 	}
 	owner := exchange.relay.Owner(exchange.dispatcher.name, exchange.asked.Key)
-	moved := owner.ID != exchange.inputs.Owner || owner.Moving
+	moved := owner.ID != exchange.inputs.Owner || owner.InTransfer
 	return moved && exchange.attempts < exchange.route.MaxAttempts && now < exchange.deadline && exchange.dispatcher.spend(exchange.relay.Hosts(), now)
 }
 
 // keptAnswer is an answer that the caller gets if nothing better comes.
 type keptAnswer struct {
-	place  *flow.Place
+	place  *flow.Slot
 	result result
 }
 
@@ -87,7 +87,7 @@
 // millisecond later, the request met the same full queue, and had no third try.
 func (exchange *exchange) ownerPause(now cherrykeel.Instant) time.Duration {
 	most := time.Duration(pauseShare * float64(exchange.deadline.Sub(now)))
-	pause := time.Duration((0.5 + 0.5*rand.Float64()) * float64(exchange.inputs.Work))
+	pause := time.Duration((0.5 + 0.5*rand.Float64()) * float64(exchange.inputs.ProcessingTime))
 	return min(max(leastOwnerPause, pause), most)
 }
 
--- a/relay/again_test.go
+++ b/relay/again_test.go
@@ -35,7 +35,7 @@
 			route:      &dealt{Route: cherrykeel.Route{Repeatable: true, MaxAttempts: 2}},
 			dispatcher: &dispatcher{name: "s", keyed: true, budget: newBudget(bounds)},
 			asked:      cherrykeel.RequestHeaders{Key: 7},
-			inputs:     flow.Inputs{Owner: "a", Fence: 3, Work: 200 * time.Millisecond},
+			inputs:     flow.Inputs{Owner: "a", Fence: 3, ProcessingTime: 200 * time.Millisecond},
 			deadline:   cherrykeel.Instant(time.Hour + 4*time.Second),
 			attempts:   1,
 		}
@@ -48,10 +48,10 @@
 		for range 50 {
 			Expect(one.ownerPause(now)).To(And(BeNumerically(">=", 100*time.Millisecond), BeNumerically("<=", 200*time.Millisecond)))
 		}
-		one.inputs.Work = 20 * time.Second
+		one.inputs.ProcessingTime = 20 * time.Second
 		Expect(one.ownerPause(now)).To(Equal(time.Second), "a quarter of what is left")
 		begun := time.Now()
-		one.inputs.Work = 200 * time.Millisecond
+		one.inputs.ProcessingTime = 200 * time.Millisecond
 		Expect(one.again(context.Background(), result{finding: notRun}, now)).To(BeTrue())
 		Expect(time.Since(begun)).To(BeNumerically(">=", 100*time.Millisecond))
 	})
@@ -97,7 +97,7 @@
 			dispatcher: &dispatcher{name: "s"},
 			writer:     writer,
 			kept: &keptAnswer{
-				place:  &flow.Place{Upstream: cherrykeel.Upstream{ID: "a"}},
+				place:  &flow.Slot{Upstream: cherrykeel.Upstream{ID: "a"}},
 				result: result{finding: answered, status: http.StatusInternalServerError, header: http.Header{"X": {"1"}}, body: []byte("broken")},
 			},
 		}
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -57,7 +57,7 @@
 }
 
 // pass writes the upstream's answer.
-func (exchange *exchange) pass(place *flow.Place, result result) {
+func (exchange *exchange) pass(place *flow.Slot, result result) {
 	header := exchange.writer.Header()
 	dropHopHeaders(result.header)
 	for name, values := range result.header {
@@ -69,9 +69,9 @@
 	took := exchange.relay.clock.Now().Sub(exchange.arrived)
 	exchange.relay.meter.served(exchange.dispatcher.name, result.status, took)
 	events.Log(exchange.relay.Logger, events.RequestServed, append(exchange.fields(),
-		zap.Int("Status", result.status), zap.String("Upstream", place.Upstream.ID), zap.Int("Load", place.Load), zap.Bool("Trial", place.Trial),
-		zap.Int("Others", exchange.inputs.Others), zap.Int64("Fence", exchange.inputs.Fence), zap.Duration("Expected", exchange.inputs.Wait),
-		zap.Int("Attempts", exchange.attempts), zap.Duration("Waited", place.Begun.Sub(exchange.arrived)), zap.Duration("Took", took), zap.Error(err))...)
+		zap.Int("Status", result.status), zap.String("Upstream", place.Upstream.ID), zap.Int("Load", place.Load), zap.Bool("Trial", place.Probe),
+		zap.Int("Others", exchange.inputs.RemoteLoad), zap.Int64("Fence", exchange.inputs.Fence), zap.Duration("Expected", exchange.inputs.TimeToAnswer),
+		zap.Int("Attempts", exchange.attempts), zap.Duration("Waited", place.StartedAt.Sub(exchange.arrived)), zap.Duration("Took", took), zap.Error(err))...)
 }
 
 // fail writes an answer of the router's own.
@@ -89,9 +89,9 @@
 	events.Log(exchange.relay.Logger, event, append(exchange.fields(),
 		zap.Int("Status", failure.Status), zap.String("Code", failure.Code), zap.String("Outcome", string(failure.Outcome)),
 		zap.String("Detail", failure.Detail), zap.Int("Attempts", exchange.attempts), zap.Strings("Tried", exchange.tried),
-		zap.String("Owner", exchange.inputs.Owner), zap.Bool("Moving", exchange.inputs.Moving), zap.Int64("Fence", exchange.inputs.Fence),
-		zap.Int("Load", exchange.inputs.Load), zap.Int("Others", exchange.inputs.Others), zap.Int("Ahead", exchange.inputs.Ahead),
-		zap.Duration("Work", exchange.inputs.Work), zap.Duration("Wait", exchange.inputs.Wait),
+		zap.String("Owner", exchange.inputs.Owner), zap.Bool("Moving", exchange.inputs.InTransfer), zap.Int64("Fence", exchange.inputs.Fence),
+		zap.Int("Load", exchange.inputs.Load), zap.Int("Others", exchange.inputs.RemoteLoad), zap.Int("Ahead", exchange.inputs.Ahead),
+		zap.Duration("Work", exchange.inputs.ProcessingTime), zap.Duration("Wait", exchange.inputs.TimeToAnswer),
 		zap.Duration("RetryAfter", failure.RetryAfter), zap.Duration("Took", took))...)
 	header := exchange.writer.Header()
 	header.Set(cherrykeel.HeaderOutcome, string(failure.Outcome))
@@ -124,11 +124,11 @@
 	return fields
 }
 
-func (exchange *exchange) noteAttempt(place *flow.Place, result result) {
+func (exchange *exchange) noteAttempt(place *flow.Slot, result result) {
 	events.Log(exchange.relay.Logger, events.AttemptEnded, append(exchange.fields(),
-		zap.String("Upstream", place.Upstream.ID), zap.String("Address", place.Upstream.Address), zap.Int("Load", place.Load), zap.Bool("Trial", place.Trial),
+		zap.String("Upstream", place.Upstream.ID), zap.String("Address", place.Upstream.Address), zap.Int("Load", place.Load), zap.Bool("Trial", place.Probe),
 		zap.Int("Attempt", exchange.attempts), zap.Bool("MayHaveRun", result.finding == uncertain), zap.Int("Status", result.status),
-		zap.String("Detail", result.detail), zap.Duration("Took", exchange.relay.clock.Now().Sub(place.Begun)))...)
+		zap.String("Detail", result.detail), zap.Duration("Took", exchange.relay.clock.Now().Sub(place.StartedAt)))...)
 }
 
 // noteUnreadableLoad logs that an upstream's load cannot be read: it is then as if it told none, which is silent.
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -111,7 +111,7 @@
 }
 
 // attempt sends the request to one upstream and reads its whole answer.
-func (exchange *exchange) attempt(ctx context.Context, place *flow.Place) result {
+func (exchange *exchange) attempt(ctx context.Context, place *flow.Slot) result {
 	left := exchange.deadline.Sub(exchange.relay.clock.Now())
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
@@ -197,14 +197,14 @@
 }
 
 // ending tells the scheduler how the place was left.
-func (result *result) ending(gone bool) flow.Ending {
+func (result *result) ending(gone bool) flow.Result {
 	switch {
 	case result.finding == answered:
 		return flow.Answered
 	case gone:
 		return flow.Abandoned
 	case result.finding == notSent:
-		return flow.Unreached
+		return flow.Unreachable
 	case result.finding == notRun:
 		return flow.Refused
 	default:
--- a/relay/denied.go
+++ b/relay/denied.go
@@ -34,20 +34,20 @@
 }
 
 // tellOfUpstream says what an attempt showed of the upstream's process, and of the request.
-func (exchange *exchange) tellOfUpstream(place *flow.Place, result result, now cherrykeel.Instant) {
+func (exchange *exchange) tellOfUpstream(place *flow.Slot, result result, now cherrykeel.Instant) {
 	life := poison.LifeOf(place.Upstream)
 	switch {
 	case result.unanswered, result.abandoned, result.failed():
 		exchange.listed.Broke(poison.Break{
 			Request: exchange.asked.ID, Service: exchange.dispatcher.name, Life: life, Address: place.Upstream.Address,
-			Begun: place.Begun, At: now,
+			Begun: place.StartedAt, At: now,
 			Reset: result.reset, Abandoned: result.abandoned || result.failed(),
 		})
 	case result.refused:
 		exchange.relay.Denied.Unreachable(place.Upstream.Address)
 	}
 	if result.own {
-		exchange.relay.Denied.Answered(life, place.Begun)
+		exchange.relay.Denied.Answered(life, place.StartedAt)
 	}
 	if result.served() {
 		exchange.listed.Served()
--- a/relay/dispatcher.go
+++ b/relay/dispatcher.go
@@ -43,9 +43,9 @@
 }
 
 // offer asks for a place; the verdict comes on the channel.
-func (dispatcher *dispatcher) offer(ticket *flow.Ticket, now cherrykeel.Instant) <-chan flow.Verdict {
-	verdicts := make(chan flow.Verdict, 1)
-	ticket.Wake = func(verdict flow.Verdict) { verdicts <- verdict }
+func (dispatcher *dispatcher) offer(ticket *flow.Ticket, now cherrykeel.Instant) <-chan flow.Decision {
+	verdicts := make(chan flow.Decision, 1)
+	ticket.Notify = func(verdict flow.Decision) { verdicts <- verdict }
 	if dispatcher.offered(ticket, now, verdicts) {
 		dispatcher.queued()
 	}
@@ -53,15 +53,15 @@
 }
 
 // offered reports whether the ticket waits.
-func (dispatcher *dispatcher) offered(ticket *flow.Ticket, now cherrykeel.Instant, verdicts <-chan flow.Verdict) bool {
+func (dispatcher *dispatcher) offered(ticket *flow.Ticket, now cherrykeel.Instant, verdicts <-chan flow.Decision) bool {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	dispatcher.service.Offer(ticket, now)
+	dispatcher.service.Submit(ticket, now)
 	return len(verdicts) == 0
 }
 
 // cancel takes a ticket back; a place that was given meanwhile is left again.
-func (dispatcher *dispatcher) cancel(ticket *flow.Ticket, verdicts <-chan flow.Verdict, now cherrykeel.Instant) {
+func (dispatcher *dispatcher) cancel(ticket *flow.Ticket, verdicts <-chan flow.Decision, now cherrykeel.Instant) {
 	dispatcher.mutex.Lock()
 	taken := dispatcher.service.Cancel(ticket)
 	dispatcher.mutex.Unlock()
@@ -69,15 +69,15 @@
 		return
 	}
 	verdict := <-verdicts
-	if verdict.Place != nil {
-		dispatcher.leave(verdict.Place, flow.Abandoned, cherrykeel.UpstreamLoad{}, now)
+	if verdict.Slot != nil {
+		dispatcher.leave(verdict.Slot, flow.Abandoned, cherrykeel.UpstreamLoad{}, now)
 	}
 }
 
-func (dispatcher *dispatcher) leave(place *flow.Place, ending flow.Ending, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
+func (dispatcher *dispatcher) leave(place *flow.Slot, ending flow.Result, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	dispatcher.service.Leave(place, ending, load, now)
+	dispatcher.service.Release(place, ending, load, now)
 }
 
 func (dispatcher *dispatcher) arrived(now cherrykeel.Instant) {
@@ -97,5 +97,5 @@
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	dispatcher.service.Dispatch(now)
-	return dispatcher.service.Queued()
+	return dispatcher.service.HasWaiting()
 }
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -132,7 +132,7 @@
 		if failure != nil {
 			return exchange.instead(failure)
 		}
-		place := verdict.Place
+		place := verdict.Slot
 		exchange.attempts++
 		exchange.tried = append(exchange.tried, place.Upstream.ID)
 		result := exchange.attemptThere(ctx, place)
@@ -159,7 +159,7 @@
 }
 
 // attemptThere makes an attempt and leaves its place, also if it panics: the place would count as taken for ever.
-func (exchange *exchange) attemptThere(ctx context.Context, place *flow.Place) result {
+func (exchange *exchange) attemptThere(ctx context.Context, place *flow.Slot) result {
 	result := result{finding: uncertain}
 	defer func() {
 		exchange.dispatcher.leave(place, result.ending(ctx.Err() != nil), result.load, exchange.relay.clock.Now())
@@ -169,10 +169,10 @@
 }
 
 // admit waits for a place on an upstream, unless the request is one that ends upstreams.
-func (exchange *exchange) admit(ctx context.Context) (flow.Verdict, *cherrykeel.Failure) {
+func (exchange *exchange) admit(ctx context.Context) (flow.Decision, *cherrykeel.Failure) {
 	denials := exchange.relay.Denied.Changed()
 	if failure := exchange.denied(); failure != nil {
-		return flow.Verdict{}, failure
+		return flow.Decision{}, failure
 	}
 	now := exchange.relay.clock.Now()
 	ticket := &flow.Ticket{
@@ -197,27 +197,27 @@
 				continue
 			}
 			exchange.dispatcher.cancel(ticket, verdicts, exchange.relay.clock.Now())
-			return flow.Verdict{}, failure
+			return flow.Decision{}, failure
 		case <-ctx.Done():
 			exchange.dispatcher.cancel(ticket, verdicts, exchange.relay.clock.Now())
-			return flow.Verdict{}, exchange.callerGone()
+			return flow.Decision{}, exchange.callerGone()
 		case <-timer.C:
 			exchange.dispatcher.cancel(ticket, verdicts, exchange.relay.clock.Now())
-			return flow.Verdict{}, exchange.refuse("timeout", "no upstream became free in time")
+			return flow.Decision{}, exchange.refuse("timeout", "no upstream became free in time")
 		}
 	}
 }
 
 // admitted takes the scheduler's verdict. It may have come together with what shows that the request is not to be
 // sent.
-func (exchange *exchange) admitted(verdict flow.Verdict) (flow.Verdict, *cherrykeel.Failure) {
+func (exchange *exchange) admitted(verdict flow.Decision) (flow.Decision, *cherrykeel.Failure) {
 	exchange.inputs = verdict.Inputs
-	if verdict.Place == nil {
+	if verdict.Slot == nil {
 		return verdict, exchange.refuse(string(verdict.Reason), "no upstream can answer in time")
 	}
 	failure := exchange.denied()
 	if failure != nil {
-		exchange.dispatcher.leave(verdict.Place, flow.Abandoned, cherrykeel.UpstreamLoad{}, exchange.relay.clock.Now())
+		exchange.dispatcher.leave(verdict.Slot, flow.Abandoned, cherrykeel.UpstreamLoad{}, exchange.relay.clock.Now())
 	}
 	return verdict, failure
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -185,7 +185,7 @@
 	now := relay.clock.Now()
 	for _, dispatcher := range relay.all() {
 		dispatcher.mutex.Lock()
-		dispatcher.service.SetOthers(others.Running, others.Waiting, others.Queued[dispatcher.name], now)
+		dispatcher.service.SetRemoteCounts(others.Running, others.Waiting, others.Queued[dispatcher.name], now)
 		dispatcher.mutex.Unlock()
 	}
 }
@@ -199,7 +199,7 @@
 			own.Running[id] = count
 		}
 		waiting, queued := dispatcher.service.Waiting()
-		own.Busy = own.Busy || queued > 0 || dispatcher.service.Full()
+		own.Busy = own.Busy || queued > 0 || dispatcher.service.HasFullUpstream()
 		dispatcher.mutex.Unlock()
 		for id, count := range waiting {
 			own.Waiting[id] = count
@@ -238,7 +238,7 @@
 	}
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	return dispatcher.service.WorkTimes()
+	return dispatcher.service.ProcessingTimes()
 }
 
 func (relay *Relay) all() []*dispatcher {
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -17,17 +17,17 @@
 	return &Budget{tokens: budgetReserve}
 }
 
-// Earn adds what one request of a caller brings.
-func (budget *Budget) Earn(share float64) {
+// Deposit adds what one request of a caller brings.
+func (budget *Budget) Deposit(share float64) {
 	budget.tokens = min(budget.tokens+share, budgetCeiling)
 }
 
-// Left reports whether a retry may be made.
-func (budget *Budget) Left() bool {
+// CanRetry reports whether a retry may be made.
+func (budget *Budget) CanRetry() bool {
 	return budget.tokens >= 1
 }
 
-// Spend takes what one retry costs.
-func (budget *Budget) Spend(cost float64) {
+// Withdraw takes what one retry costs.
+func (budget *Budget) Withdraw(cost float64) {
 	budget.tokens -= cost
 }
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -26,21 +26,21 @@
 
 // The refusals that upstreams send in the header Cherrykeel-Refused.
 const (
-	RefusedOwner    Refusal = "owner"
+	RefusedNotOwner    Refusal = "owner"
 	RefusedShed     Refusal = "shed"
 	RefusedDraining Refusal = "draining"
 )
 
-// Ending is how an attempt ended.
-type Ending struct {
+// Result is how an attempt ended.
+type Result struct {
 	Evidence Evidence
 	Refusal  Refusal
 	// Detail is for the caller and the log.
 	Detail string
 }
 
-// Situation is what else the decision rests on.
-type Situation struct {
+// Conditions is what else the decision rests on.
+type Conditions struct {
 	Now      cherrykeel.Instant
 	Deadline cherrykeel.Instant
 	// Attempt counts from 1.
@@ -55,12 +55,12 @@
 	Random float64
 }
 
-// Verdict is the decision; Failure is nil when Again or Pass is true.
-type Verdict struct {
-	// Pass passes the answer on.
-	Pass bool
-	// Again starts another attempt after Wait.
-	Again bool
+// Decision is the decision; Failure is nil when Again or Pass is true.
+type Decision struct {
+	// Forward passes the answer on.
+	Forward bool
+	// Retry starts another attempt after Wait.
+	Retry bool
 	Wait  time.Duration
 	// Cost is what the attempt takes from the retry budget.
 	Cost    float64
@@ -81,10 +81,10 @@
 )
 
 // Decide returns what follows an attempt.
-func Decide(ending Ending, situation Situation) Verdict {
+func Decide(ending Result, situation Conditions) Decision {
 	switch ending.Evidence {
 	case Answered:
-		return Verdict{Pass: true}
+		return Decision{Forward: true}
 	case NeverSent:
 		if situation.Keyed {
 			// The key's only server cannot be reached: its keys get another owner within a
@@ -99,9 +99,9 @@
 	}
 }
 
-func afterRefusal(ending Ending, situation Situation) Verdict {
+func afterRefusal(ending Result, situation Conditions) Decision {
 	moving := situation.Keyed && ending.Refusal == RefusedDraining
-	if ending.Refusal == RefusedOwner || moving {
+	if ending.Refusal == RefusedNotOwner || moving {
 		return afterWrongOwner(ending, situation)
 	}
 	if situation.Keyed && ending.Refusal == RefusedShed {
@@ -114,15 +114,15 @@
 // afterWrongOwner waits for a move to end. It is not charged to the budget: the
 // refusal costs the upstream next to nothing, and a budget spent by one move
 // would leave none for the faults it is kept for.
-func afterWrongOwner(ending Ending, situation Situation) Verdict {
+func afterWrongOwner(ending Result, situation Conditions) Decision {
 	wait := backoff(ownerBackoff, maxOwnerBackoff, situation)
 	if situation.Attempt >= maxOwnerAttempts || !situation.fits(wait) {
 		return refuse(statusBusy, "no-owner", ending)
 	}
-	return Verdict{Again: true, Wait: wait}
+	return Decision{Retry: true, Wait: wait}
 }
 
-func afterNotRun(ending Ending, situation Situation) Verdict {
+func afterNotRun(ending Result, situation Conditions) Decision {
 	wait := backoff(retryBackoff, maxOwnerBackoff, situation)
 	switch {
 	case situation.Attempt >= maxAttempts || !situation.fits(wait):
@@ -130,37 +130,37 @@
 	case !situation.BudgetLeft:
 		return refuse(statusBusy, "retry-budget-spent", ending)
 	default:
-		return Verdict{Again: true, Wait: wait, Cost: cost(ending)}
+		return Decision{Retry: true, Wait: wait, Cost: cost(ending)}
 	}
 }
 
 // cost is less for a refusal, which takes an upstream next to no work: a single upstream that
 // sheds would otherwise spend the whole budget, and requests would fail that others could serve.
-func cost(ending Ending) float64 {
+func cost(ending Result) float64 {
 	if ending.Evidence == Refused {
 		return refusalCost
 	}
 	return 1
 }
 
-func afterDoubt(ending Ending, situation Situation) Verdict {
+func afterDoubt(ending Result, situation Conditions) Decision {
 	if situation.Now >= situation.Deadline {
 		return doubt(statusTimeout, "upstream-timeout", ending)
 	}
 	wait := backoff(retryBackoff, maxOwnerBackoff, situation)
 	mayRepeat := situation.Repeatable && !situation.Suspected && situation.BudgetLeft && situation.Attempt < maxAttempts
 	if mayRepeat && situation.fits(wait) {
-		return Verdict{Again: true, Wait: wait, Cost: cost(ending)}
+		return Decision{Retry: true, Wait: wait, Cost: cost(ending)}
 	}
 	return doubt(statusBadGateway, "upstream-broke", ending)
 }
 
-func (situation Situation) fits(wait time.Duration) bool {
+func (situation Conditions) fits(wait time.Duration) bool {
 	return situation.Now.Add(wait) < situation.Deadline
 }
 
 // backoff doubles with each attempt and is spread by half, so that callers do not come back together.
-func backoff(first, most time.Duration, situation Situation) time.Duration {
+func backoff(first, most time.Duration, situation Conditions) time.Duration {
 	wait := first
 	for attempt := 1; attempt < situation.Attempt && wait < most; attempt++ {
 		wait *= 2
@@ -169,18 +169,18 @@
 	return wait/2 + time.Duration(situation.Random*float64(wait/2))
 }
 
-func refuse(status int, code string, ending Ending) Verdict {
+func refuse(status int, code string, ending Result) Decision {
 	failure := cherrykeel.Refuse(status, code, "%s", ending.Detail)
 	failure.RetryAfter = shedRetryAfter
-	return Verdict{Failure: failure}
+	return Decision{Failure: failure}
 }
 
-func doubt(status int, code string, ending Ending) Verdict {
-	return Verdict{Failure: cherrykeel.FailUnknown(status, code, "%s", ending.Detail)}
+func doubt(status int, code string, ending Result) Decision {
+	return Decision{Failure: cherrykeel.FailUnknown(status, code, "%s", ending.Detail)}
 }
 
-// Final returns the failure for a request whose time ran out, given whether an earlier attempt may have run.
-func Final(failure *cherrykeel.Failure, mayHaveRun bool) *cherrykeel.Failure {
+// FinalFailure returns the failure for a request whose time ran out, given whether an earlier attempt may have run.
+func FinalFailure(failure *cherrykeel.Failure, mayHaveRun bool) *cherrykeel.Failure {
 	if failure == nil || !mayHaveRun || failure.Outcome == cherrykeel.OutcomeUnknown {
 		return failure
 	}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -19,7 +19,7 @@
 
 // naive is the plainest machine that keeps the promises: it may repeat what cannot have run, and
 // what may run twice; the real one may do less than it allows, never more.
-func naive(ending retry.Ending, situation retry.Situation) (mayRepeat, mayHaveRun bool) {
+func naive(ending retry.Result, situation retry.Conditions) (mayRepeat, mayHaveRun bool) {
 	switch ending.Evidence {
 	case retry.NeverSent, retry.Refused:
 		return situation.Now < situation.Deadline, false
@@ -33,11 +33,11 @@
 var _ = Describe("the decision after an attempt", func() {
 	It("never repeats, nor says not-run, where the naive machine would not", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			ending := retry.Ending{
+			ending := retry.Result{
 				Evidence: retry.Evidence(rapid.IntRange(0, 3).Draw(t, "evidence")),
-				Refusal:  rapid.SampledFrom([]retry.Refusal{retry.RefusedOwner, retry.RefusedShed, retry.RefusedDraining}).Draw(t, "refusal"),
+				Refusal:  rapid.SampledFrom([]retry.Refusal{retry.RefusedNotOwner, retry.RefusedShed, retry.RefusedDraining}).Draw(t, "refusal"),
 			}
-			situation := retry.Situation{
+			situation := retry.Conditions{
 				Now:        cherrykeel.Instant(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "now")),
 				Deadline:   cherrykeel.Instant(5 * time.Second),
 				Attempt:    rapid.IntRange(1, 300).Draw(t, "attempt"),
@@ -48,22 +48,22 @@
 			}
 			verdict := retry.Decide(ending, situation)
 			mayRepeat, mayHaveRun := naive(ending, situation)
-			if verdict.Pass != (ending.Evidence == retry.Answered) {
-				t.Fatalf("pass is %t", verdict.Pass)
+			if verdict.Forward != (ending.Evidence == retry.Answered) {
+				t.Fatalf("pass is %t", verdict.Forward)
 			}
-			if verdict.Again && !mayRepeat {
+			if verdict.Retry && !mayRepeat {
 				t.Fatalf("repeats")
 			}
-			if verdict.Again && situation.Now.Add(verdict.Wait) >= situation.Deadline {
+			if verdict.Retry && situation.Now.Add(verdict.Wait) >= situation.Deadline {
 				t.Fatalf("waits past the deadline")
 			}
-			if verdict.Again && ending.Evidence == retry.Uncertain && !situation.BudgetLeft {
+			if verdict.Retry && ending.Evidence == retry.Uncertain && !situation.BudgetLeft {
 				t.Fatalf("repeats without a budget")
 			}
 			if verdict.Failure != nil && mayHaveRun != (verdict.Failure.Outcome == cherrykeel.OutcomeUnknown) {
 				t.Fatalf("says %s", verdict.Failure.Outcome)
 			}
-			if !verdict.Pass && !verdict.Again && verdict.Failure == nil {
+			if !verdict.Forward && !verdict.Retry && verdict.Failure == nil {
 				t.Fatalf("decides nothing")
 			}
 		})
@@ -71,8 +71,8 @@
 
 	It("does not call a request not-run once an earlier attempt may have run", func() {
 		refused := cherrykeel.Refuse(503, "upstream-unreachable", "")
-		Expect(retry.Final(refused, true).Outcome).To(Equal(cherrykeel.OutcomeUnknown))
-		Expect(retry.Final(refused, false).Outcome).To(Equal(cherrykeel.NotRun))
+		Expect(retry.FinalFailure(refused, true).Outcome).To(Equal(cherrykeel.OutcomeUnknown))
+		Expect(retry.FinalFailure(refused, false).Outcome).To(Equal(cherrykeel.NotRun))
 		Expect(refused.Outcome).To(Equal(cherrykeel.NotRun))
 	})
 })
--- a/route/class.go
+++ b/route/class.go
@@ -7,8 +7,8 @@
 	"cherrykeel"
 )
 
-// Repeatable reports whether a request may run twice without harm, by the service's setting and the method.
-func Repeatable(idempotent cherrykeel.Idempotency, method string) bool {
+// IsRepeatable reports whether a request may run twice without harm, by the service's setting and the method.
+func IsRepeatable(idempotent cherrykeel.Idempotency, method string) bool {
 	switch idempotent {
 	case cherrykeel.IdempotentAlways:
 		return true
--- a/route/key.go
+++ b/route/key.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Parts are the places of a request in which a key may stand.
-type Parts struct {
+// RequestParts are the places of a request in which a key may stand.
+type RequestParts struct {
 	Path   string
 	Query  url.Values
 	Header func(name string) string
 }
 
 // Key returns the key that source names, or an empty string if the request has none.
-func Key(source, prefix string, parts Parts) string {
+func Key(source, prefix string, parts RequestParts) string {
 	kind, name, _ := strings.Cut(source, ":")
 	switch kind {
 	case "header":
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -45,7 +45,7 @@
 					services = append(services, &cherrykeel.Service{Path: domain + prefix, Domains: []string{domain}, PathPrefix: prefix})
 				}
 			}
-			table := route.Build(services)
+			table := route.NewTable(services)
 			host := rapid.SampledFrom(hosts).Draw(t, "host")
 			path := rapid.SampledFrom(paths).Draw(t, "path")
 			got := ""
@@ -59,7 +59,7 @@
 	})
 
 	DescribeTable("finds keys", func(source, key string) {
-		parts := route.Parts{
+		parts := route.RequestParts{
 			Path:   "/halls/seoul/7",
 			Query:  url.Values{"hall": {"9"}},
 			Header: func(name string) string { return map[string]string{"X-Hall": "8"}[name] },
@@ -80,7 +80,7 @@
 func FuzzKey(f *testing.F) {
 	f.Add("path:1", "/a", "/a/b")
 	f.Fuzz(func(_ *testing.T, source, prefix, path string) {
-		route.Key(source, prefix, route.Parts{Path: path, Query: url.Values{}, Header: func(string) string { return "" }})
+		route.Key(source, prefix, route.RequestParts{Path: path, Query: url.Values{}, Header: func(string) string { return "" }})
 		route.Priority(1, path)
 	})
 }
--- a/route/table.go
+++ b/route/table.go
@@ -13,8 +13,8 @@
 	services map[string]*cherrykeel.Service
 }
 
-// Build returns the table for the services in force.
-func Build(services []*cherrykeel.Service) *Table {
+// NewTable returns the table for the services in force.
+func NewTable(services []*cherrykeel.Service) *Table {
 	table := &Table{teams: map[string][]*cherrykeel.Service{}, services: map[string]*cherrykeel.Service{}}
 	for _, service := range services {
 		table.services[service.Path] = service
--- a/watch/table.go
+++ b/watch/table.go
@@ -187,14 +187,14 @@
 	if !known {
 		return flow.Owner{}
 	}
-	owner := flow.Owner{ID: owned.Owner, Moving: owned.Moving, Fence: owned.Fence}
-	if len(view.fresh) == 0 || owner.Moving {
+	owner := flow.Owner{ID: owned.Owner, InTransfer: owned.Moving, Fence: owned.Fence}
+	if len(view.fresh) == 0 || owner.InTransfer {
 		return owner
 	}
 	now := view.clock.Now()
 	for _, fresh := range view.fresh {
 		if fresh.service == service && fresh.until > now && fresh.span.Contains(key) {
-			owner.Moving = true
+			owner.InTransfer = true
 		}
 	}
 	return owner
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -106,7 +106,7 @@
 // Slots asks a steward for parts of upstreams' slots, by service and upstream.
 type Slots struct {
 	Host  string
-	Wants map[string]map[string]admit.Want
+	Wants map[string]map[string]admit.SlotRequest
 }
 
 // SlotsReply gives the parts; they may be used for Length from when they were asked for.
