--- a/admit/queue.go
+++ b/admit/queue.go
@@ -22,9 +22,9 @@
 	Arrived  cherrykeel.Instant
 	Deadline cherrykeel.Instant
 	// Notify is called when the request's turn has come or, with false, when it is refused.
-	Notify  func(admitted bool)
-	index int
-	gone  bool
+	Notify func(admitted bool)
+	index  int
+	gone   bool
 	// trial says that the mean rules it out.
 	trial bool
 }
--- a/caller/idle_test.go
+++ b/caller/idle_test.go
@@ -104,7 +104,7 @@
 		socket := connect()
 		Eventually(looks.Load, generous).Should(BeNumerically(">", 0))
 		ask(socket)
-		Eventually(func() bool { return sock.Unsent(socket.(*net.TCPConn)) }, generous).Should(BeFalse())
+		Eventually(func() bool { return sock.HasUnacknowledged(socket.(*net.TCPConn)) }, generous).Should(BeFalse())
 		time.Sleep(time.Millisecond)
 		server.Stop()
 		server.CloseIdle()
--- a/caller/pump.go
+++ b/caller/pump.go
@@ -18,7 +18,7 @@
 
 // pump reads a socket all the time, so that a caller that leaves is noticed while its request runs.
 type pump struct {
-	intake *sock.Intake
+	intake *sock.Reader
 	chunks chan []byte
 	rest   []byte
 	// handed counts the bytes that Read has returned; the reading goroutine alone uses it.
@@ -29,7 +29,7 @@
 }
 
 func newPump(socket net.Conn, onEnd func()) *pump {
-	pump := &pump{intake: sock.NewIntake(socket), chunks: make(chan []byte, aheadChunks), stopped: make(chan struct{})}
+	pump := &pump{intake: sock.NewReader(socket), chunks: make(chan []byte, aheadChunks), stopped: make(chan struct{})}
 	go pump.run(onEnd)
 	return pump
 }
@@ -86,7 +86,7 @@
 	case <-late:
 	}
 	// On a busy host the time can be up before this goroutine sees what came within it.
-	if !pump.intake.Unread(pump.handed) {
+	if !pump.intake.HasMoreThan(pump.handed) {
 		return os.ErrDeadlineExceeded
 	}
 	chunk, open := <-pump.chunks
--- a/caller/write.go
+++ b/caller/write.go
@@ -35,7 +35,7 @@
 func (conn *conn) decideLast(answer *answer) {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	if conn.server.stopping() && conn.open == 1 && !conn.pump.intake.Unread(conn.taken) {
+	if conn.server.stopping() && conn.open == 1 && !conn.pump.intake.HasMoreThan(conn.taken) {
 		answer.last = true
 	}
 	if answer.last {
@@ -65,10 +65,10 @@
 func (conn *conn) endIdle() bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	if conn.open > 0 || conn.closing || conn.pump.intake.Unsent() {
+	if conn.open > 0 || conn.closing || conn.pump.intake.HasUnacknowledged() {
 		return false
 	}
-	idle := conn.pump.intake.ShutUnlessUnread(conn.taken)
+	idle := conn.pump.intake.StopUnlessMoreThan(conn.taken)
 	if idle {
 		conn.takeNoMore()
 	}
--- a/conns/stands_test.go
+++ b/conns/stands_test.go
@@ -36,7 +36,7 @@
 		Expect(newConn("upstream", socket).stands(time.Millisecond)).To(BeTrue())
 		Expect(far.(*net.TCPConn).SetLinger(0)).To(Succeed())
 		Expect(far.Close()).To(Succeed())
-		Eventually(func() bool { return sock.Readable(socket) }, "10s").Should(BeTrue())
+		Eventually(func() bool { return sock.IsReadable(socket) }, "10s").Should(BeTrue())
 		Expect(newConn("upstream", socket).stands(time.Millisecond)).To(BeFalse())
 	})
 })
--- a/drain/conn.go
+++ b/drain/conn.go
@@ -19,7 +19,7 @@
 // conn is an accepted connection whose unread bytes are known.
 type conn struct {
 	net.Conn
-	intake   *sock.Intake
+	intake   *sock.Reader
 	stopping *atomic.Bool
 	patience time.Duration
 	// awaited says that a read has begun since the connection became idle: net/http has begun all that it had read.
@@ -41,7 +41,7 @@
 		if err == nil || !isTimeout(err) || conn.readLate.Swap(true) {
 			return count, err
 		}
-		count = conn.intake.ReadArrived(buffer)
+		count = conn.intake.ReadAvailable(buffer)
 		if count > 0 {
 			return count, nil
 		}
@@ -55,7 +55,7 @@
 // until then and its caller with it, and for as long as the server stops, which tells callers when it ends unused ones.
 // A plain end in place of an answer would not tell them whether their request was read.
 func (conn *conn) waitOn() bool {
-	if conn.intake.Received() > 0 || conn.waitedOn && !conn.stopping.Load() {
+	if conn.intake.ReceivedBytes() > 0 || conn.waitedOn && !conn.stopping.Load() {
 		return false
 	}
 	conn.waitedOn = true
@@ -85,7 +85,7 @@
 
 // idle reports whether the connection rests and nothing has come since; nothing is read any more then.
 func (conn *conn) idle(taken int64) bool {
-	return conn.awaited.Load() && !conn.intake.Unsent() && conn.intake.ShutUnlessUnread(taken)
+	return conn.awaited.Load() && !conn.intake.HasUnacknowledged() && conn.intake.StopUnlessMoreThan(taken)
 }
 
 // turnAway ends the connection and tells its caller that nothing on it was read, if shut reports that nothing is from
@@ -123,7 +123,7 @@
 	}
 	accepted := &conn{
 		Conn:     socket,
-		intake:   sock.NewIntake(socket),
+		intake:   sock.NewReader(socket),
 		stopping: watched.stopping,
 		patience: watched.patience,
 	}
--- a/drain/listener.go
+++ b/drain/listener.go
@@ -39,7 +39,7 @@
 // Accept returns the next connection, or net.ErrClosed when a stopped listener has none left.
 func (listener *Listener) Accept() (net.Conn, error) {
 	for {
-		if listener.waited.Load() && !sock.Readable(listener.TCPListener) {
+		if listener.waited.Load() && !sock.IsReadable(listener.TCPListener) {
 			_ = listener.Close()
 			return nil, net.ErrClosed
 		}
@@ -58,7 +58,7 @@
 // net.ErrClosed. It does not wait for that. An error says why the system cannot refuse new connections; then only the
 // complete ones are accepted, and one that comes at the moment of the close may be reset.
 func (listener *Listener) Stop() error {
-	err := sock.RefuseNew(listener.TCPListener)
+	err := sock.RefuseNewConnections(listener.TCPListener)
 	until := time.Now()
 	if err == nil {
 		until = until.Add(underWay)
--- a/drain/server.go
+++ b/drain/server.go
@@ -80,7 +80,7 @@
 		server.open[conn] = openConn{state: state, since: server.ran}
 	case http.StateIdle:
 		conn.awaited.Store(false)
-		server.open[conn] = openConn{state: state, since: server.ran, taken: conn.intake.Received()}
+		server.open[conn] = openConn{state: state, since: server.ran, taken: conn.intake.ReceivedBytes()}
 	case http.StateHijacked, http.StateClosed:
 		delete(server.open, conn)
 	}
@@ -170,7 +170,7 @@
 	defer server.mutex.Unlock()
 	for conn, open := range server.open {
 		if open.state == http.StateNew {
-			server.turnAway(conn, conn.intake.ShutUnlessRead)
+			server.turnAway(conn, conn.intake.StopUnlessReceived)
 		}
 	}
 }
--- a/drain/server_test.go
+++ b/drain/server_test.go
@@ -200,7 +200,7 @@
 		near, far := watchedPair()
 		_, err := near.Write([]byte("ab"))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() bool { return sock.Unsent(near.(*net.TCPConn)) }, "10s").Should(BeFalse())
+		Eventually(func() bool { return sock.HasUnacknowledged(near.(*net.TCPConn)) }, "10s").Should(BeFalse())
 		Expect(far.SetReadDeadline(time.Now().Add(-time.Second))).To(Succeed())
 
 		buffer := make([]byte, 1)
--- a/edge/admission.go
+++ b/edge/admission.go
@@ -27,7 +27,7 @@
 		Priority: exchange.Priority,
 		Arrived:  exchange.Arrived,
 		Deadline: exchange.Deadline,
-		Notify:     func(admitted bool) { woken <- admitted },
+		Notify:   func(admitted bool) { woken <- admitted },
 	}
 	pool.mutex.Lock()
 	now := forward.clock.Now()
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -43,7 +43,7 @@
 				wait = announcePause
 				written = offset
 				host.topics.hosts.Told([]cherrykeel.KeyedRecord{{Key: host.self.Name, Value: value, Offset: offset}})
-				host.mesh.Tell(topicHosts, []cherrykeel.KeyedRecord{{Key: host.self.Name, Value: value, Offset: offset}}, share.NoChange)
+				host.mesh.Announce(topicHosts, []cherrykeel.KeyedRecord{{Key: host.self.Name, Value: value, Offset: offset}}, share.NoPreviousChange)
 			}
 		}
 		host.readBefore(written)
--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -34,8 +34,8 @@
 	host.relay = relay.New(relay.Settings{
 		Zone: host.settings.Zone, Bounds: host.currentBounds, Clock: host.clock, Dialect: host.platform.Dialect,
 		Pool:   host.conns,
-		Logger: host.logger, Scope: host.scope, Owner: host.spans.Owner, Asked: host.mesh.Asked, Hosts: host.mesh.HostCount,
-		Stale: host.misdirected, Ended: func(id string) { host.upstreams.End(id) }, Denied: host.denied,
+		Logger: host.logger, Scope: host.scope, Owner: host.spans.Owner, OnKeyRequest: host.mesh.RecordKeyRequest, HostCount: host.mesh.HostCount,
+		OnMisdirected: host.misdirected, OnUpstreamReplaced: func(id string) { host.upstreams.End(id) }, DenyList: host.denied,
 	})
 	host.server = caller.New(host.relay, caller.WithLimits(host.limits), caller.WithLogger(host.logger),
 		caller.WithMemory(int64(bodyShare*float64(host.settings.MemoryBytes))))
--- a/entry/counts.go
+++ b/entry/counts.go
@@ -18,7 +18,7 @@
 func newShortNames(upstreams []cherrykeel.Upstream) shortNames {
 	names := make(shortNames, len(upstreams))
 	for _, upstream := range upstreams {
-		names[share.Short(upstream.ID)] = upstream.ID
+		names[share.ShortName(upstream.ID)] = upstream.ID
 	}
 	return names
 }
@@ -37,13 +37,13 @@
 
 // gather takes what the other hosts do.
 func (host *Host) gather() {
-	sums := host.mesh.Others()
+	sums := host.mesh.OtherCounts()
 	names := *host.names.Load()
-	others := relay.NewOthers()
+	others := relay.NewRequestCounts()
 	others.Running = names.full(sums.Running)
 	others.Waiting = names.full(sums.Waiting)
 	for _, service := range host.relay.Services() {
-		others.Queued[service] = sums.Queued[share.Short(service)]
+		others.Queued[service] = sums.Queued[share.ShortName(service)]
 	}
-	host.relay.SetOthers(others)
+	host.relay.SetOtherCounts(others)
 }
--- a/entry/counts_test.go
+++ b/entry/counts_test.go
@@ -31,6 +31,6 @@
 
 	It("stand under the upstreams' whole names", func() {
 		names := newShortNames([]cherrykeel.Upstream{{ID: "i-1"}, {ID: "i-2"}})
-		Expect(names.full(map[string]int{share.Short("i-2"): 3, share.Short("i-9"): 4})).To(Equal(map[string]int{"i-2": 3}))
+		Expect(names.full(map[string]int{share.ShortName("i-2"): 3, share.ShortName("i-9"): 4})).To(Equal(map[string]int{"i-2": 3}))
 	})
 })
--- a/entry/denied.go
+++ b/entry/denied.go
@@ -56,13 +56,13 @@
 		}
 		told = append(told, cherrykeel.KeyedRecord{Key: deniedPrefix + record.Identity.String(), Value: value})
 	}
-	host.mesh.Tell(topicDenied, told, share.NoChange)
+	host.mesh.Announce(topicDenied, told, share.NoPreviousChange)
 }
 
 // tellNewcomers tells all that is known to hosts that have just started. Among many hosts only those do that hear from
 // all.
 func (host *Host) tellNewcomers() {
-	if host.denied.Empty() || host.mesh.Watching() == 0 {
+	if host.denied.Empty() || host.mesh.HubDuration() == 0 {
 		return
 	}
 	host.tellRecords(host.denied.Records()...)
@@ -160,6 +160,6 @@
 		// Another host may have written of the same request at the same moment.
 		host.topics.hosts.Nudge()
 	}
-	host.mesh.Tell(topicHosts, written, share.NoChange)
+	host.mesh.Announce(topicHosts, written, share.NoPreviousChange)
 	return true
 }
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -51,16 +51,16 @@
 // rank is the host's place among those whom the store serves. A host that hears nobody is first, but not while it
 // has just started: it has read all topics then, and each of 195 hosts made the first host's calls.
 func (host *Host) rank() int {
-	if host.clock.Now().Sub(host.started) < hearingTime && len(host.mesh.Fresh()) == 0 {
+	if host.clock.Now().Sub(host.started) < hearingTime && len(host.mesh.FreshReports()) == 0 {
 		return 1
 	}
-	return host.mesh.Rank(func(report share.Report) bool { return report.StoreWell })
+	return host.mesh.Rank(func(report share.Report) bool { return report.StoreAvailable })
 }
 
 // patience is how much more seldom than the first hosts this one tries to reach a store that is away. Those that hear
 // from all are quick, whichever they are after a loss, and so is the keeper: a host that is back sooner would claim its duty.
 func (host *Host) patience() int {
-	if host.keeps() || host.mesh.Watching() > 0 || host.mesh.Place() < fewHosts {
+	if host.keeps() || host.mesh.HubDuration() > 0 || host.mesh.Position() < fewHosts {
 		return 1
 	}
 	return mostPatience
@@ -110,10 +110,10 @@
 		return seldomPace
 	}
 	own := host.readThrough()[name]
-	for _, heard := range host.mesh.Fresh() {
+	for _, heard := range host.mesh.FreshReports() {
 		age, told := heard.Report.Ages[name]
 		if told && heard.Report.Offsets[name] <= own {
-			youngest = min(youngest, age+host.clock.Now().Sub(heard.At))
+			youngest = min(youngest, age+host.clock.Now().Sub(heard.ReceivedAt))
 		}
 	}
 	return youngest
@@ -138,7 +138,7 @@
 		return
 	}
 	patience := goneAfter
-	if len(host.mesh.Fresh()) == 0 {
+	if len(host.mesh.FreshReports()) == 0 {
 		patience = aloneAfter
 	}
 	for _, peer := range host.peers.Current() {
@@ -147,7 +147,7 @@
 			silence = min(uptime, host.peers.Age(peer.Name))
 		}
 		// Before this host became one that hears from all, silence said nothing.
-		silence = min(silence, host.mesh.Watching())
+		silence = min(silence, host.mesh.HubDuration())
 		if peer.Name == host.self.Name || silence < patience {
 			continue
 		}
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -35,25 +35,25 @@
 	host *Host
 }
 
-// Report implements share.State.
-func (state *state) Report(report *share.Report) {
+// FillReport implements share.State.
+func (state *state) FillReport(report *share.Report) {
 	host := state.host
 	table, _, known := host.spans.Current()
 	if known {
 		report.Term = table.Term
 	}
-	report.StoreWell = host.storeWell() > 0
+	report.StoreAvailable = host.storeWell() > 0
 	report.Offsets = host.offsets()
 	report.Ages = host.ages()
-	report.Finals = host.keeper.FinalGrants()
+	report.FinalGrants = host.keeper.FinalGrants()
 }
 
-// Load implements share.State.
-func (state *state) Load(load *share.Load) bool {
-	own := state.host.relay.Own()
-	load.Running = share.Shorten(own.Running)
-	load.Waiting = share.Shorten(own.Waiting)
-	load.Queued = share.Shorten(own.Queued)
+// FillLoad implements share.State.
+func (state *state) FillLoad(load *share.Load) bool {
+	own := state.host.relay.OwnCounts()
+	load.Running = share.ShortenKeys(own.Running)
+	load.Waiting = share.ShortenKeys(own.Waiting)
+	load.Queued = share.ShortenKeys(own.Queued)
 	return own.Busy
 }
 
@@ -86,10 +86,10 @@
 
 // chainUpstreams notes up to where all changes of upstreams are known. A message names the change before its own:
 // whoever lacks that one stays behind, though it has the newer one, until it has read the store.
-func (host *Host) chainUpstreams(told share.Told) {
+func (host *Host) chainUpstreams(told share.Announcement) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	if told.Before > max(host.upstreamsChained, host.topics.upstreams.Next()-1) {
+	if told.PreviousOffset > max(host.upstreamsChained, host.topics.upstreams.Next()-1) {
 		return
 	}
 	for _, record := range told.Records {
@@ -131,7 +131,7 @@
 func (host *Host) heard() {
 	known := host.readThrough()
 	newest := maps.Clone(known)
-	for _, heard := range host.mesh.Fresh() {
+	for _, heard := range host.mesh.FreshReports() {
 		for topic, offset := range heard.Report.Offsets {
 			newest[topic] = max(newest[topic], offset)
 		}
@@ -144,7 +144,7 @@
 	}
 	hosts := known[topicHosts]
 	lacking := hosts
-	if host.mesh.HeardUnknown() {
+	if host.mesh.HasUnknownSender() {
 		lacking++
 	}
 	if host.overdue(unknownHost, hosts, lacking, now) {
@@ -187,7 +187,7 @@
 }
 
 // told takes records that another host has read.
-func (host *Host) told(told share.Told) {
+func (host *Host) told(told share.Announcement) {
 	switch told.Topic {
 	case topicSettings:
 		host.topics.operator.Told(told.Records)
@@ -205,8 +205,8 @@
 
 // toldSpans takes changes of the table, each of which follows the one before. Who has missed one is told of it again
 // with the next ones, and reads the table if that does not come soon (heard).
-func (host *Host) toldSpans(told share.Told) {
-	before := told.Before
+func (host *Host) toldSpans(told share.Announcement) {
+	before := told.PreviousOffset
 	for _, record := range told.Records {
 		follows := before
 		before = record.Offset
@@ -227,8 +227,8 @@
 
 // tellUpstreams passes on what this host found of upstreams itself, under the same condition as tellOne.
 func (host *Host) tellUpstreams(records []cherrykeel.KeyedRecord, before int64) {
-	if host.mesh.Watching() > 0 {
-		host.mesh.Tell(topicUpstreams, records, before)
+	if host.mesh.HubDuration() > 0 {
+		host.mesh.Announce(topicUpstreams, records, before)
 	}
 }
 
@@ -239,20 +239,20 @@
 		events.Log(host.logger, events.WriteFailed, zap.Error(err))
 		return
 	}
-	if change.Keeper != host.self.Name && host.mesh.Watching() == 0 {
+	if change.Keeper != host.self.Name && host.mesh.HubDuration() == 0 {
 		return
 	}
 	records, before := host.recent.with(cherrykeel.KeyedRecord{Key: watch.SpansKey, Value: value, Offset: change.Version}, before)
-	host.mesh.Tell(topicSpans, records, before)
+	host.mesh.Announce(topicSpans, records, before)
 }
 
 // tellOne passes a record on. Among many hosts only those do that hear from all: when a message of theirs is
 // lost to many, each of those reads for itself and would tell all the others again.
 func (host *Host) tellOne(topic string) func(record cherrykeel.KeyedRecord) {
 	return func(record cherrykeel.KeyedRecord) {
-		if host.mesh.Watching() == 0 {
+		if host.mesh.HubDuration() == 0 {
 			return
 		}
-		host.mesh.Tell(topic, []cherrykeel.KeyedRecord{record}, share.NoChange)
+		host.mesh.Announce(topic, []cherrykeel.KeyedRecord{record}, share.NoPreviousChange)
 	}
 }
--- a/entry/listed_test.go
+++ b/entry/listed_test.go
@@ -46,7 +46,7 @@
 	It("is put in force at a bounded pace when many announce themselves, the last ones included", func() {
 		begun := time.Now()
 		for _, record := range announcements(hosts, "second", hosts) {
-			host.told(share.Told{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
+			host.told(share.Announcement{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
 		}
 		Eventually(host.mesh.HostCount, "20s").Should(Equal(hosts))
 		most := 2 + int(time.Since(begun)/peersPace)
@@ -56,7 +56,7 @@
 	// Guards against a host that has read the whole list and spends, as the only one it knows, the retries of all.
 	It("is in force at once when it was read whole, however lately it was before", func() {
 		first := announcements(1, "first", 0)
-		host.told(share.Told{Topic: topicHosts, Records: first})
+		host.told(share.Announcement{Topic: topicHosts, Records: first})
 		host.applyHosts(watch.Update{Records: announcements(hosts, "first", 0), Whole: true, Next: hosts})
 		Expect(host.mesh.HostCount()).To(Equal(hosts))
 	})
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -47,7 +47,7 @@
 	whole := host.currentBounds().Grace
 	lag := min(host.lag.current(), part(whole, mostLagShare))
 	signalled := begun.Add(-lag)
-	earliest := min(signalled, host.mesh.Earliest())
+	earliest := min(signalled, host.mesh.EarliestEventTime())
 	grace := whole - lag
 	events.Log(host.logger, events.EntryStopping, zap.Int("Connections", host.server.Open()), zap.Duration("Grace", grace), zap.Duration("Late", begun.Sub(earliest)))
 	host.server.Stop()
@@ -80,7 +80,7 @@
 // later than that.
 func (host *Host) drain(ctx context.Context, earliest cherrykeel.Instant, grace time.Duration, end cherrykeel.Instant) {
 	host.waitUntil(ctx, earliest.Add(part(grace, takeShare)))
-	host.relay.EndAt(earliest.Add(grace - endMargin))
+	host.relay.SetProcessEnd(earliest.Add(grace - endMargin))
 	host.waitUntil(ctx, earliest.Add(part(grace, acceptShare)))
 	serving, cancel := host.contextUntil(ctx, end.Add(-withdrawTimeout))
 	defer cancel()
@@ -154,8 +154,8 @@
 	if ctx.Err() != nil {
 		return
 	}
-	host.mesh.ReportEnd()
-	host.mesh.ReportEnd()
+	host.mesh.ReportStopped()
+	host.mesh.ReportStopped()
 }
 
 // waitUntil returns at an instant of the host's clock, or when the context has ended.
--- a/entry/tend.go
+++ b/entry/tend.go
@@ -29,7 +29,7 @@
 	defer ready.Stop()
 	settle := time.NewTicker(settleEvery)
 	defer settle.Stop()
-	demand := time.NewTicker(share.DemandEvery())
+	demand := time.NewTicker(share.DemandInterval())
 	defer demand.Stop()
 	drop := time.NewTicker(dropEvery)
 	defer drop.Stop()
@@ -38,7 +38,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-host.relay.Queued():
+		case <-host.relay.QueuedSignal():
 			if !looking {
 				dispatch.Reset(dispatchEvery)
 			}
@@ -67,7 +67,7 @@
 		case <-demand.C:
 			table, _, known := host.spans.Current()
 			if known {
-				host.mesh.TellDemand(table.Keeper, host.relay.WorkTimes)
+				host.mesh.ReportDemand(table.Keeper, host.relay.ProcessingTimes)
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 	}
 	atWork := 0
 	if len(closed) > 0 {
-		running := host.relay.Own().Running
+		running := host.relay.OwnCounts().Running
 		for _, id := range closed {
 			atWork += running[id]
 		}
--- a/entry/told_bench_test.go
+++ b/entry/told_bench_test.go
@@ -19,7 +19,7 @@
 		host := bareHost(nil)
 		host.topics.hosts.Told(first)
 		for _, record := range second {
-			host.told(share.Told{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
+			host.told(share.Announcement{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
 		}
 	}
 }
--- a/flow/ticket.go
+++ b/flow/ticket.go
@@ -41,7 +41,7 @@
 
 // Decision is a place on an upstream, or a refusal.
 type Decision struct {
-	Slot  *Slot
+	Slot   *Slot
 	Reason Reason
 	// Inputs are what the verdict rests on.
 	Inputs Inputs
@@ -50,24 +50,24 @@
 // Inputs are the figures behind a verdict, for the log.
 type Inputs struct {
 	// Owner has the request's key; Fence is the version of the table that gave it to it.
-	Owner  string
+	Owner      string
 	InTransfer bool
-	Fence  int64
+	Fence      int64
 	// Load is how many requests were at the upstream in question, Others the part that other hosts told.
-	Load   int
+	Load       int
 	RemoteLoad int
 	// Ahead is how many requests waited before this one, at all hosts.
 	Ahead int
 	// ProcessingTime is the expected time in a slot, Wait the expected time to the answer.
 	ProcessingTime time.Duration
-	TimeToAnswer time.Duration
+	TimeToAnswer   time.Duration
 }
 
 // Slot is a request's place on an upstream, counted until it is left.
 type Slot struct {
 	Upstream cherrykeel.Upstream
 	// Load is how many requests were there, this one included.
-	Load  int
+	Load      int
 	StartedAt cherrykeel.Instant
 	// Deadline is the ticket's.
 	Deadline cherrykeel.Instant
@@ -95,7 +95,7 @@
 
 // Owner is who has a key: empty when nobody has, Moving when it is about to have another owner.
 type Owner struct {
-	ID     string
+	ID         string
 	InTransfer bool
 	// Fence is the version that gave the key to its owner.
 	Fence int64
--- a/grants/claim.go
+++ b/grants/claim.go
@@ -100,7 +100,7 @@
 // Such a keeper renews what there is and cannot move a key from a server that leaves or dies.
 func (keeper *Keeper) storeless(holder string, now cherrykeel.Instant) bool {
 	for _, heard := range keeper.mesh.Reports(evidenceAge) {
-		if heard.Report.Host != holder || heard.Report.StoreWell {
+		if heard.Report.Host != holder || heard.Report.StoreAvailable {
 			continue
 		}
 		if !keeper.holderStoreless {
--- a/grants/demand.go
+++ b/grants/demand.go
@@ -29,7 +29,7 @@
 		counted.Add(key, 1)
 	}
 	now := keeper.clock.Now()
-	for id, work := range demand.Work {
+	for id, work := range demand.ProcessingTimes {
 		words, known := keeper.work[id]
 		if !known {
 			words = map[string]workWord{}
--- a/grants/departed.go
+++ b/grants/departed.go
@@ -89,15 +89,15 @@
 }
 
 // FinalGrants returns what to report of grants that are made no more in the present term; nil if nothing is known.
-func (keeper *Keeper) FinalGrants() *share.Finals {
+func (keeper *Keeper) FinalGrants() *share.FinalGrants {
 	told := keeper.told.Load()
 	if told == nil || len(told.until) == 0 {
 		return nil
 	}
 	now := keeper.clock.Now()
-	report := &share.Finals{Term: told.term, Within: map[string]time.Duration{}}
+	report := &share.FinalGrants{Term: told.term, EndsWithin: map[string]time.Duration{}}
 	for id, until := range told.until {
-		report.Within[id] = max(0, until.Sub(now))
+		report.EndsWithin[id] = max(0, until.Sub(now))
 		if told.departed[id] {
 			report.Departed = append(report.Departed, id)
 		}
@@ -112,12 +112,12 @@
 		keeper.finals = newFinals(table.Term)
 	}
 	for _, heard := range keeper.mesh.Reports(evidenceAge) {
-		told := heard.Report.Finals
+		told := heard.Report.FinalGrants
 		if told == nil || told.Term != table.Term {
 			continue
 		}
-		for id, within := range told.Within {
-			until := heard.At.Add(within)
+		for id, within := range told.EndsWithin {
+			until := heard.ReceivedAt.Add(within)
 			known, exists := keeper.finals.until[id]
 			if !exists || until < known {
 				keeper.finals.until[id] = until
--- a/grants/departed_test.go
+++ b/grants/departed_test.go
@@ -30,7 +30,7 @@
 	}
 
 	// resigned is a table whose keeper has given up, with u2's keys held for one second more.
-	resigned := func(finals *share.Finals) {
+	resigned := func(finals *share.FinalGrants) {
 		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-2", Incarnation: "", Services: map[string][]spans.Owned{service: {
 			{First: 0, Last: 29999, Owner: "u1", Address: "u1", Fence: 0}, {First: 30000, Last: cherrykeel.MaxKey, Owner: "u2", Address: "u2", Fence: 0},
 		}}}
@@ -51,10 +51,10 @@
 		store.set(func() { store.away = true })
 		Eventually(func() time.Duration { return granter.last("u1").LeaseDuration }, generous).Should(BeNumerically("<", 3*time.Second))
 		granter.set(func() { granter.dead["u1"] = true })
-		Eventually(func() *share.Finals { return keeper.FinalGrants() }, generous).ShouldNot(BeNil())
+		Eventually(func() *share.FinalGrants { return keeper.FinalGrants() }, generous).ShouldNot(BeNil())
 		departed := keeper.FinalGrants()
-		Expect(departed.Within).To(HaveLen(1))
-		Expect(departed.Within["u1"]).To(BeNumerically("<", 4*time.Second))
+		Expect(departed.EndsWithin).To(HaveLen(1))
+		Expect(departed.EndsWithin["u1"]).To(BeNumerically("<", 4*time.Second))
 		tries := granter.tries("u1")
 		Consistently(func() int { return granter.tries("u1") }, "1s").Should(Equal(tries))
 	})
@@ -62,7 +62,7 @@
 	// The keeper stops while the store is away. Its successor finds an owner that does not answer; it would
 	// have to wait 12 s for whatever may have been granted to that, and each further grant would begin anew.
 	It("are not asked by a successor, whose keys of theirs are free when they were said to be", func() {
-		resigned(&share.Finals{Term: 0, Within: map[string]time.Duration{"u2": time.Second}, Departed: []string{"u2"}})
+		resigned(&share.FinalGrants{Term: 0, EndsWithin: map[string]time.Duration{"u2": time.Second}, Departed: []string{"u2"}})
 		run()
 		Eventually(store.ownerOf(40000), generous).Should(Equal("u1"))
 		Expect(granter.tries("u2")).To(BeZero())
@@ -71,7 +71,7 @@
 	// The keeper's process ends while the store is away, and an owner dies after it. Nobody could grant that one
 	// anything since; its keys are given on when the successor's own grants to it, short ones, have ended.
 	It("need not be known as such when the keeper has told its end", func() {
-		resigned(&share.Finals{Term: 0, Within: map[string]time.Duration{"u1": time.Second, "u2": time.Second}})
+		resigned(&share.FinalGrants{Term: 0, EndsWithin: map[string]time.Duration{"u1": time.Second, "u2": time.Second}})
 		store.set(func() { store.unwell = true })
 		run()
 		Eventually(granter.count("u1"), generous).Should(BeNumerically(">=", 1))
@@ -85,7 +85,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		keeper.StopGranting(ctx)
-		Expect(keeper.FinalGrants().Within).To(And(HaveKey("u1"), HaveKey("u2")))
+		Expect(keeper.FinalGrants().EndsWithin).To(And(HaveKey("u1"), HaveKey("u2")))
 		Expect(keeper.FinalGrants().Departed).To(BeEmpty())
 		tries := granter.tries("u1")
 		Consistently(func() int { return granter.tries("u1") }, "1s").Should(BeNumerically("<=", tries+1))
@@ -93,7 +93,7 @@
 
 	// What was told of another term says nothing: between the two a keeper may have granted anything.
 	It("of another term are not believed", func() {
-		resigned(&share.Finals{Term: 7, Within: map[string]time.Duration{"u2": 0}, Departed: []string{"u2"}})
+		resigned(&share.FinalGrants{Term: 7, EndsWithin: map[string]time.Duration{"u2": 0}, Departed: []string{"u2"}})
 		run()
 		Eventually(func() int { return granter.tries("u2") }, generous).Should(BeNumerically(">=", 1))
 		Consistently(store.ownerOf(40000), "3s").Should(Equal("u2"))
@@ -108,7 +108,7 @@
 		store.set(func() { store.away = true })
 		Eventually(func() time.Duration { return granter.last("u1").LeaseDuration }, generous).Should(BeNumerically("<", 3*time.Second))
 		granter.set(func() { granter.dead["u1"] = true })
-		Eventually(func() *share.Finals { return keeper.FinalGrants() }, generous).ShouldNot(BeNil())
+		Eventually(func() *share.FinalGrants { return keeper.FinalGrants() }, generous).ShouldNot(BeNil())
 		granter.set(func() { granter.dead["u1"] = false })
 		term := func() int64 {
 			table, _, _ := store.Current()
--- a/grants/fakes_test.go
+++ b/grants/fakes_test.go
@@ -178,16 +178,16 @@
 	mutex   sync.Mutex
 	clock   *shiftedClock
 	known   int
-	reports []share.Heard
-	finals  *share.Finals
+	reports []share.ReceivedReport
+	finals  *share.FinalGrants
 }
 
-func (mesh *fakeMesh) Reports(age time.Duration) []share.Heard {
+func (mesh *fakeMesh) Reports(age time.Duration) []share.ReceivedReport {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	var fresh []share.Heard
+	var fresh []share.ReceivedReport
 	for _, heard := range mesh.reports {
-		if mesh.clock.Now().Sub(heard.At) <= age {
+		if mesh.clock.Now().Sub(heard.ReceivedAt) <= age {
 			fresh = append(fresh, heard)
 		}
 	}
@@ -199,7 +199,7 @@
 	defer mesh.mutex.Unlock()
 	for _, heard := range mesh.reports {
 		if heard.Report.Host == name {
-			return mesh.clock.Now().Sub(heard.At), true
+			return mesh.clock.Now().Sub(heard.ReceivedAt), true
 		}
 	}
 	return 0, false
@@ -233,7 +233,7 @@
 			mesh.mutex.Lock()
 			mesh.reports = nil
 			for _, name := range names {
-				mesh.reports = append(mesh.reports, share.Heard{At: mesh.clock.Now(), Report: share.Report{Host: name, Term: table.Term, StoreWell: true, Finals: mesh.finals}})
+				mesh.reports = append(mesh.reports, share.ReceivedReport{ReceivedAt: mesh.clock.Now(), Report: share.Report{Host: name, Term: table.Term, StoreAvailable: true, FinalGrants: mesh.finals}})
 			}
 			mesh.mutex.Unlock()
 			select {
--- a/grants/grants_test.go
+++ b/grants/grants_test.go
@@ -223,7 +223,7 @@
 		go func() {
 			for key := 0; ctx.Err() == nil; key += 1009 {
 				for _, host := range []string{"host-1", "host-2"} {
-					asked.RecordDemand(share.Demand{Host: host, Service: service, Keys: []int{key % (cherrykeel.MaxKey + 1)}, Work: work})
+					asked.RecordDemand(share.Demand{Host: host, Service: service, Keys: []int{key % (cherrykeel.MaxKey + 1)}, ProcessingTimes: work})
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
--- a/grants/hold.go
+++ b/grants/hold.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	for _, heard := range keeper.mesh.Reports(evidenceAge) {
-		if heard.Report.StoreWell {
+		if heard.Report.StoreAvailable {
 			return false
 		}
 	}
--- a/grants/hold_test.go
+++ b/grants/hold_test.go
@@ -129,7 +129,7 @@
 		run()
 		tell := func(work time.Duration) {
 			times := map[string]time.Duration{"u1": work, "u2": work}
-			keeper.RecordDemand(share.Demand{Host: "host-1", Service: service, Keys: []int{1}, Work: times})
+			keeper.RecordDemand(share.Demand{Host: "host-1", Service: service, Keys: []int{1}, ProcessingTimes: times})
 		}
 		tell(60 * time.Millisecond)
 		Consistently(lastHold("u2"), "700ms").Should(Equal(2500 * time.Millisecond))
--- a/grants/keeper.go
+++ b/grants/keeper.go
@@ -37,7 +37,7 @@
 // Mesh is what the keeper needs to know of the other hosts.
 type Mesh interface {
 	// Reports returns what other hosts told within an age.
-	Reports(age time.Duration) []share.Heard
+	Reports(age time.Duration) []share.ReceivedReport
 	// TimeSinceReport returns how long a host has not been heard; false if it never was in its present life.
 	TimeSinceReport(name string) (time.Duration, bool)
 	// HostCount returns how many hosts there are, this one included.
--- a/grants/standin_test.go
+++ b/grants/standin_test.go
@@ -41,7 +41,7 @@
 func (smallWorld) StoreAvailableFor() time.Duration                     { return time.Hour }
 func (smallWorld) PeerIncarnation(string) (string, time.Duration, bool) { return "", 0, false }
 func (smallWorld) Rank() int                                            { return 0 }
-func (smallWorld) Reports(time.Duration) []share.Heard                  { return nil }
+func (smallWorld) Reports(time.Duration) []share.ReceivedReport         { return nil }
 func (smallWorld) TimeSinceReport(string) (time.Duration, bool)         { return 0, false }
 func (smallWorld) HostCount() int                                       { return 1 }
 func (smallWorld) Current() (spans.Table, int64, bool)                  { return spans.Table{}, 0, false }
--- a/relay/again.go
+++ b/relay/again.go
@@ -45,7 +45,7 @@
 		exchange.attempts--
 		return true
 	}
-	if exchange.attempts >= exchange.route.MaxAttempts || !exchange.dispatcher.spend(exchange.relay.Hosts(), now) {
+	if exchange.attempts >= exchange.route.MaxAttempts || !exchange.dispatcher.spend(exchange.relay.HostCount(), now) {
 		return false
 	}
 	return !exchange.hasOwner() || sleep(ctx, exchange.ownerPause(now))
@@ -60,7 +60,7 @@
 	}
 	owner := exchange.relay.Owner(exchange.dispatcher.name, exchange.asked.Key)
 	moved := owner.ID != exchange.inputs.Owner || owner.InTransfer
-	return moved && exchange.attempts < exchange.route.MaxAttempts && now < exchange.deadline && exchange.dispatcher.spend(exchange.relay.Hosts(), now)
+	return moved && exchange.attempts < exchange.route.MaxAttempts && now < exchange.deadline && exchange.dispatcher.spend(exchange.relay.HostCount(), now)
 }
 
 // keptAnswer is an answer that the caller gets if nothing better comes.
@@ -97,7 +97,7 @@
 	exchange.attempts--
 	exchange.misdirected++
 	exchange.tried = nil
-	exchange.relay.Stale()
+	exchange.relay.OnMisdirected()
 	if exchange.misdirected > maxMisdirected {
 		return false
 	}
@@ -112,7 +112,7 @@
 func (exchange *exchange) awaitBudget(ctx context.Context) bool {
 	now := exchange.relay.clock.Now()
 	until := now.Add(time.Duration(pauseShare * float64(exchange.deadline.Sub(now))))
-	for !exchange.dispatcher.spend(exchange.relay.Hosts(), now) {
+	for !exchange.dispatcher.spend(exchange.relay.HostCount(), now) {
 		if now >= until || !sleep(ctx, budgetPace) {
 			return false
 		}
--- a/relay/again_test.go
+++ b/relay/again_test.go
@@ -29,7 +29,7 @@
 		}
 		one = &exchange{
 			relay: New(Settings{
-				Clock: stillClock{}, Hosts: func() int { return 8 }, Stale: func() {},
+				Clock: stillClock{}, HostCount: func() int { return 8 }, OnMisdirected: func() {},
 				Owner: func(string, int) flow.Owner { return owner },
 			}),
 			route:      &dealt{Route: cherrykeel.Route{Repeatable: true, MaxAttempts: 2}},
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -142,7 +142,7 @@
 	case reply.Misdirected && reply.Instance != "" && reply.Instance != place.Upstream.ID:
 		result.finding = notRun
 		result.detail = "another upstream has the address"
-		exchange.relay.Ended(place.Upstream.ID)
+		exchange.relay.OnUpstreamReplaced(place.Upstream.ID)
 	case reply.NotRun:
 		result.finding = notRun
 		result.detail = "the upstream did not run it: " + http.StatusText(answer.Status)
--- a/relay/denied.go
+++ b/relay/denied.go
@@ -44,10 +44,10 @@
 			Reset: result.reset, Abandoned: result.abandoned || result.failed(),
 		})
 	case result.refused:
-		exchange.relay.Denied.Unreachable(place.Upstream.Address)
+		exchange.relay.DenyList.Unreachable(place.Upstream.Address)
 	}
 	if result.own {
-		exchange.relay.Denied.Answered(life, place.StartedAt)
+		exchange.relay.DenyList.Answered(life, place.StartedAt)
 	}
 	if result.served() {
 		exchange.listed.Served()
--- a/relay/denied_test.go
+++ b/relay/denied_test.go
@@ -28,10 +28,10 @@
 		clock := cherrykeel.SystemClock()
 		denied = deny.New(deny.Settings{Clock: clock, Logger: zap.NewNop()})
 		relay = New(Settings{
-			Zone: "z", Clock: clock, Dialect: silentDialect{}, Logger: zap.NewNop(), Scope: tally.NoopScope, Denied: denied,
+			Zone: "z", Clock: clock, Dialect: silentDialect{}, Logger: zap.NewNop(), Scope: tally.NoopScope, DenyList: denied,
 			Bounds: func() cherrykeel.Bounds { return cherrykeel.Bounds{RetryWindow: 10 * time.Second} },
-			Owner:  func(string, int) flow.Owner { return flow.Owner{} }, Hosts: func() int { return 1 },
-			Asked: func(string, int) {},
+			Owner:  func(string, int) flow.Owner { return flow.Owner{} }, HostCount: func() int { return 1 },
+			OnKeyRequest: func(string, int) {},
 		})
 		relay.SetRoutes(cherrykeel.RouteSet{
 			Version:  1,
@@ -66,7 +66,7 @@
 		}
 		go ask("/deadly")
 		go ask("/other")
-		Eventually(func() int { return relay.Own().Waiting[""] }).Should(Equal(2))
+		Eventually(func() int { return relay.OwnCounts().Waiting[""] }).Should(Equal(2))
 		incoming := httptest.NewRequest(http.MethodGet, "http://h/deadly", nil)
 		condemn(poison.Identify(poison.Parts{Method: http.MethodGet, Domain: "h", Path: incoming.RequestURI, Key: "7", Caller: incoming.RemoteAddr}))
 		var writer *httptest.ResponseRecorder
@@ -75,7 +75,7 @@
 		Expect(writer.Body.String()).To(HavePrefix("ends-upstreams"))
 		Expect(writer.Header().Get(cherrykeel.HeaderOutcome)).To(Equal(string(cherrykeel.NotRun)))
 		Expect(writer.Header().Get("Retry-After")).NotTo(BeEmpty())
-		Expect(relay.Own().Waiting[""]).To(Equal(1))
+		Expect(relay.OwnCounts().Waiting[""]).To(Equal(1))
 	})
 
 	// The first send of a request may have run, and then it turns out to end upstreams. That it is refused now does not
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -94,7 +94,7 @@
 		return cherrykeel.Refuse(http.StatusBadRequest, "body-broke", "%s", err)
 	}
 	exchange.body = body
-	exchange.listed = exchange.relay.Denied.Request(exchange.parts())
+	exchange.listed = exchange.relay.DenyList.Request(exchange.parts())
 	if exchange.outlastsHost() {
 		failure := exchange.refuse("stopping", "this host ends before the request would")
 		failure.RetryAfter = elsewhere
@@ -102,7 +102,7 @@
 	}
 	exchange.dispatcher.arrived(exchange.arrived)
 	if exchange.dispatcher.keyed && exchange.asked.Key != cherrykeel.NoKey {
-		exchange.relay.Asked(service, exchange.asked.Key)
+		exchange.relay.OnKeyRequest(service, exchange.asked.Key)
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 
 // admit waits for a place on an upstream, unless the request is one that ends upstreams.
 func (exchange *exchange) admit(ctx context.Context) (flow.Decision, *cherrykeel.Failure) {
-	denials := exchange.relay.Denied.Changed()
+	denials := exchange.relay.DenyList.Changed()
 	if failure := exchange.denied(); failure != nil {
 		return flow.Decision{}, failure
 	}
@@ -191,7 +191,7 @@
 		case verdict := <-verdicts:
 			return exchange.admitted(verdict)
 		case <-denials:
-			denials = exchange.relay.Denied.Changed()
+			denials = exchange.relay.DenyList.Changed()
 			failure := exchange.denied()
 			if failure == nil {
 				continue
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -31,16 +31,16 @@
 	Scope   tally.Scope
 	// Owner says who has a key of a service.
 	Owner func(service string, key int) flow.Owner
-	// Asked is told each key that is asked for.
-	Asked func(service string, key int)
-	// Hosts returns how many hosts share the retry budget.
-	Hosts func() int
-	// Stale is called when an upstream says that another one has the key.
-	Stale func()
-	// Ended is told that an upstream's process has ended, since another one answered at its address.
-	Ended func(id string)
-	// Denied are the requests that end the upstreams that run them.
-	Denied *deny.List
+	// OnKeyRequest is told each key that is asked for.
+	OnKeyRequest func(service string, key int)
+	// HostCount returns how many hosts share the retry budget.
+	HostCount func() int
+	// OnMisdirected is called when an upstream says that another one has the key.
+	OnMisdirected func()
+	// OnUpstreamReplaced is told that an upstream's process has ended, since another one answered at its address.
+	OnUpstreamReplaced func(id string)
+	// DenyList are the requests that end the upstreams that run them.
+	DenyList *deny.List
 }
 
 // Relay serves callers' requests; it is an http.Handler that gets whole requests.
@@ -62,16 +62,16 @@
 	loadLines *rate.Sometimes
 }
 
-// EndAt tells when the host's process will have ended: from now on requests are refused that may
+// SetProcessEnd tells when the host's process will have ended: from now on requests are refused that may
 // outlast it and be cut off.
-func (relay *Relay) EndAt(end cherrykeel.Instant) {
+func (relay *Relay) SetProcessEnd(end cherrykeel.Instant) {
 	relay.endsAt.Store(int64(end))
 }
 
 // New returns a relay that knows no routes and refuses all requests.
 func New(settings Settings) *Relay {
-	if settings.Denied == nil {
-		settings.Denied = deny.New(deny.Settings{Clock: settings.Clock, Logger: settings.Logger})
+	if settings.DenyList == nil {
+		settings.DenyList = deny.New(deny.Settings{Clock: settings.Clock, Logger: settings.Logger})
 	}
 	return &Relay{
 		Settings:    settings,
@@ -86,9 +86,9 @@
 	}
 }
 
-// Queued gives a value after a request has begun to wait: from then on Dispatch is to be called every now
+// QueuedSignal gives a value after a request has begun to wait: from then on Dispatch is to be called every now
 // and then until it reports that none does.
-func (relay *Relay) Queued() <-chan struct{} {
+func (relay *Relay) QueuedSignal() <-chan struct{} {
 	return relay.queued
 }
 
@@ -118,7 +118,7 @@
 // SetUpstreams replaces the upstreams that may get requests.
 func (relay *Relay) SetUpstreams(upstreams []cherrykeel.Upstream) {
 	for _, life := range relay.replaceUpstreams(upstreams) {
-		relay.Denied.Ended(life)
+		relay.DenyList.Ended(life)
 	}
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-// Others is what hosts say of their requests.
-type Others struct {
+// RequestCounts is what hosts say of their requests.
+type RequestCounts struct {
 	Running map[string]int
 	Waiting map[string]int
 	Queued  map[string]int
@@ -175,13 +175,13 @@
 	Busy bool
 }
 
-// NewOthers returns counts of nothing.
-func NewOthers() Others {
-	return Others{Running: map[string]int{}, Waiting: map[string]int{}, Queued: map[string]int{}}
+// NewRequestCounts returns counts of nothing.
+func NewRequestCounts() RequestCounts {
+	return RequestCounts{Running: map[string]int{}, Waiting: map[string]int{}, Queued: map[string]int{}}
 }
 
-// SetOthers takes the sums over the other hosts.
-func (relay *Relay) SetOthers(others Others) {
+// SetOtherCounts takes the sums over the other hosts.
+func (relay *Relay) SetOtherCounts(others RequestCounts) {
 	now := relay.clock.Now()
 	for _, dispatcher := range relay.all() {
 		dispatcher.mutex.Lock()
@@ -190,9 +190,9 @@
 	}
 }
 
-// Own returns this host's requests at upstreams and waiting.
-func (relay *Relay) Own() Others {
-	own := NewOthers()
+// OwnCounts returns this host's requests at upstreams and waiting.
+func (relay *Relay) OwnCounts() RequestCounts {
+	own := NewRequestCounts()
 	for _, dispatcher := range relay.all() {
 		dispatcher.mutex.Lock()
 		for id, count := range dispatcher.service.Running() {
@@ -230,8 +230,8 @@
 	return queued
 }
 
-// WorkTimes returns the mean time that a request of a service takes at each upstream that has answered.
-func (relay *Relay) WorkTimes(service string) map[string]time.Duration {
+// ProcessingTimes returns the mean time that a request of a service takes at each upstream that has answered.
+func (relay *Relay) ProcessingTimes(service string) map[string]time.Duration {
 	dispatcher := relay.dispatcher(service)
 	if dispatcher == nil {
 		return nil
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -140,7 +140,7 @@
 	DescribeTable("refuses what would outlast it", func(left time.Duration, refused bool) {
 		relay := New(Settings{
 			Zone: "z", Clock: stillClock{}, Dialect: silentDialect{}, Logger: zap.NewNop(), Scope: tally.NoopScope,
-			Bounds: func() cherrykeel.Bounds { return cherrykeel.Bounds{RetryWindow: 10 * time.Second} }, Hosts: func() int { return 1 },
+			Bounds: func() cherrykeel.Bounds { return cherrykeel.Bounds{RetryWindow: 10 * time.Second} }, HostCount: func() int { return 1 },
 		})
 		relay.SetRoutes(cherrykeel.RouteSet{
 			Version:  1,
@@ -148,7 +148,7 @@
 			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: time.Second, SplitTargets: []cherrykeel.SplitTarget{part("s", 1)}}},
 		})
 		if left > 0 {
-			relay.EndAt(stillClock{}.Now().Add(left))
+			relay.SetProcessEnd(stillClock{}.Now().Add(left))
 		}
 		writer := httptest.NewRecorder()
 		relay.ServeHTTP(writer, httptest.NewRequest(http.MethodGet, "http://h/x", nil))
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -26,7 +26,7 @@
 
 // The refusals that upstreams send in the header Cherrykeel-Refused.
 const (
-	RefusedNotOwner    Refusal = "owner"
+	RefusedNotOwner Refusal = "owner"
 	RefusedShed     Refusal = "shed"
 	RefusedDraining Refusal = "draining"
 )
--- a/share/awake.go
+++ b/share/awake.go
@@ -41,9 +41,9 @@
 	return now >= mesh.undatedUntil
 }
 
-// Earliest returns the earliest instant at which what the process notices now can have come: when it last stood still, if
+// EarliestEventTime returns the earliest instant at which what the process notices now can have come: when it last stood still, if
 // it has just gone on. A signal that was sent meanwhile is noticed after it.
-func (mesh *Mesh) Earliest() cherrykeel.Instant {
+func (mesh *Mesh) EarliestEventTime() cherrykeel.Instant {
 	now := mesh.clock.Now()
 	mesh.awake(now)
 	mesh.mutex.Lock()
--- a/share/awake_test.go
+++ b/share/awake_test.go
@@ -23,9 +23,9 @@
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		self := cherrykeel.Peer{Name: "host-1", Incarnation: "a", InternalAddress: fakes.FreeAddress()}
 		other := cherrykeel.Peer{Name: "host-2", Incarnation: "b", InternalAddress: fakes.FreeAddress()}
-		told := make(chan share.Told, 100)
+		told := make(chan share.Announcement, 100)
 		state := &member{running: map[string]int{}}
-		mesh := share.New(self, clock, zap.NewNop(), state, func() {}, func() {}, func(share.Demand) {}, func(one share.Told) { told <- one })
+		mesh := share.New(self, clock, zap.NewNop(), state, func() {}, func() {}, func(share.Demand) {}, func(one share.Announcement) { told <- one })
 		Expect(mesh.Listen()).To(Succeed())
 		mesh.SetPeers([]cherrykeel.Peer{self, other})
 		ctx, stop := context.WithCancel(context.Background())
@@ -54,39 +54,39 @@
 	// A host is told to stop while it stands still, and sees that when it goes on.
 	It("dates what it notices then to the beginning of its standstill, and what comes later to its own time", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		mesh := share.New(cherrykeel.Peer{Name: "host-1"}, clock, zap.NewNop(), &member{}, func() {}, func() {}, func(share.Demand) {}, func(share.Told) {})
+		mesh := share.New(cherrykeel.Peer{Name: "host-1"}, clock, zap.NewNop(), &member{}, func() {}, func() {}, func(share.Demand) {}, func(share.Announcement) {})
 		begun := clock.Now()
-		Expect(mesh.Earliest()).To(Equal(begun))
+		Expect(mesh.EarliestEventTime()).To(Equal(begun))
 		clock.Advance(3 * time.Second)
-		Expect(mesh.Earliest()).To(Equal(begun))
+		Expect(mesh.EarliestEventTime()).To(Equal(begun))
 		clock.Advance(100 * time.Millisecond)
-		Expect(mesh.Earliest()).To(Equal(begun), "it has just gone on")
+		Expect(mesh.EarliestEventTime()).To(Equal(begun), "it has just gone on")
 		clock.Advance(100 * time.Millisecond)
-		Expect(mesh.Earliest()).To(Equal(clock.Now()))
+		Expect(mesh.EarliestEventTime()).To(Equal(clock.Now()))
 	})
 
 	// Guards against a host that takes the beginning of a second, short pause for the earliest time of a signal that came
 	// in the long one before, and then takes requests that its end cuts.
 	It("dates what it notices after a second, short pause to the beginning of the long one", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		mesh := share.New(cherrykeel.Peer{Name: "host-1"}, clock, zap.NewNop(), &member{}, func() {}, func() {}, func(share.Demand) {}, func(share.Told) {})
+		mesh := share.New(cherrykeel.Peer{Name: "host-1"}, clock, zap.NewNop(), &member{}, func() {}, func() {}, func(share.Demand) {}, func(share.Announcement) {})
 		begun := clock.Now()
 		clock.Advance(5 * time.Second)
-		Expect(mesh.Earliest()).To(Equal(begun))
+		Expect(mesh.EarliestEventTime()).To(Equal(begun))
 		clock.Advance(200 * time.Millisecond)
-		Expect(mesh.Earliest()).To(Equal(begun))
+		Expect(mesh.EarliestEventTime()).To(Equal(begun))
 	})
 
 	// Guards against a host that is slow all the time and dates its signal to long ago: it would refuse all callers at once.
 	It("forgets the long one once it has run for a while, however often it pauses", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		mesh := share.New(cherrykeel.Peer{Name: "host-1"}, clock, zap.NewNop(), &member{}, func() {}, func() {}, func(share.Demand) {}, func(share.Told) {})
+		mesh := share.New(cherrykeel.Peer{Name: "host-1"}, clock, zap.NewNop(), &member{}, func() {}, func() {}, func(share.Demand) {}, func(share.Announcement) {})
 		clock.Advance(5 * time.Second)
-		mesh.Earliest()
+		mesh.EarliestEventTime()
 		for range 10 {
 			clock.Advance(200 * time.Millisecond)
-			mesh.Earliest()
+			mesh.EarliestEventTime()
 		}
-		Expect(clock.Now().Sub(mesh.Earliest())).To(BeNumerically("<=", time.Second))
+		Expect(clock.Now().Sub(mesh.EarliestEventTime())).To(BeNumerically("<=", time.Second))
 	})
 })
--- a/share/bench_test.go
+++ b/share/bench_test.go
@@ -16,21 +16,21 @@
 func messages() map[string]any {
 	counts := newCounts()
 	for i := range 659 {
-		counts.Running[Short(fmt.Sprintf("i-%010d", i))] = 1 + i%3
+		counts.Running[ShortName(fmt.Sprintf("i-%010d", i))] = 1 + i%3
 	}
 	load := newCounts()
 	for i := range 8 {
-		load.Running[Short(fmt.Sprintf("i-%010d", i))] = 1
+		load.Running[ShortName(fmt.Sprintf("i-%010d", i))] = 1
 	}
 	included := map[string]uint64{}
 	for i := range 16 {
-		included[Short(fmt.Sprintf("host-%d", i))] = uint64(1000 + i)
+		included[ShortName(fmt.Sprintf("host-%d", i))] = uint64(1000 + i)
 	}
 	return map[string]any{
-		methodLoad: Load{Host: "front-1", Life: "0123abcd", Sequence: 1234, Counts: load},
-		methodSum:  Sum{Host: "front-1", Life: "0123abcd", Group: "z1/0", Sequence: 1234, Counts: counts, Included: included},
+		methodLoad: Load{Host: "front-1", Incarnation: "0123abcd", Sequence: 1234, Counts: load},
+		methodSum:  Sum{Host: "front-1", Incarnation: "0123abcd", Group: "z1/0", Sequence: 1234, Counts: counts, IncludedSequences: included},
 		methodReport: Report{
-			Host: "front-1", Life: "0123abcd", Sequence: 1234, Term: 70, StoreWell: true,
+			Host: "front-1", Incarnation: "0123abcd", Sequence: 1234, Term: 70, StoreAvailable: true,
 			Offsets: map[string]int64{"settings": 3, "upstreams": 4711, "hosts": 195, "spans": 70},
 			Ages:    map[string]time.Duration{"settings": time.Second, "upstreams": time.Second},
 		},
@@ -97,10 +97,10 @@
 	mesh.fleet = topo.NewFleet(self.Name, peers)
 	mesh.replan()
 	for _, peer := range peers[1:] {
-		mesh.heard[peer.Name] = Heard{Report: Report{Host: peer.Name, StoreWell: true}, At: mesh.clock.Now().Add(time.Hour)}
+		mesh.heard[peer.Name] = ReceivedReport{Report: Report{Host: peer.Name, StoreAvailable: true}, ReceivedAt: mesh.clock.Now().Add(time.Hour)}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		mesh.Rank(func(report Report) bool { return report.StoreWell })
+		mesh.Rank(func(report Report) bool { return report.StoreAvailable })
 	}
 }
--- a/share/demand.go
+++ b/share/demand.go
@@ -20,8 +20,8 @@
 	maxKeys = 4000
 )
 
-// Asked notes that a key was asked for, to be told to the keeper.
-func (mesh *Mesh) Asked(service string, key int) {
+// RecordKeyRequest notes that a key was asked for, to be told to the keeper.
+func (mesh *Mesh) RecordKeyRequest(service string, key int) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	if len(mesh.asked[service]) < maxKeys {
@@ -29,9 +29,9 @@
 	}
 }
 
-// TellDemand sends the keys asked for since the last time to the keeper, which may be this host, with what
+// ReportDemand sends the keys asked for since the last time to the keeper, which may be this host, with what
 // work tells of a service's upstreams. With many hosts it waits for some more keys.
-func (mesh *Mesh) TellDemand(keeper string, work func(service string) map[string]time.Duration) {
+func (mesh *Mesh) ReportDemand(keeper string, work func(service string) map[string]time.Duration) {
 	now := mesh.clock.Now()
 	mesh.mutex.Lock()
 	if !mesh.plan.FullMesh && now.Sub(mesh.demandAt) < demandSlowdown*demandEvery {
@@ -45,10 +45,10 @@
 	for service, keys := range asked {
 		times := work(service)
 		if keeper == mesh.self.Name {
-			mesh.demand(Demand{Host: mesh.self.Name, Service: service, Keys: keys, Work: times})
+			mesh.demand(Demand{Host: mesh.self.Name, Service: service, Keys: keys, ProcessingTimes: times})
 			continue
 		}
-		mesh.send(methodDemand, Demand{Host: mesh.self.Name, Service: service, Keys: keys, Work: mesh.news(times, now)}, []string{keeper})
+		mesh.send(methodDemand, Demand{Host: mesh.self.Name, Service: service, Keys: keys, ProcessingTimes: mesh.news(times, now)}, []string{keeper})
 	}
 }
 
@@ -76,7 +76,7 @@
 	return news
 }
 
-// DemandEvery is the pace at which TellDemand is to be called.
-func DemandEvery() time.Duration {
+// DemandInterval is the pace at which TellDemand is to be called.
+func DemandInterval() time.Duration {
 	return demandEvery
 }
--- a/share/ended_test.go
+++ b/share/ended_test.go
@@ -21,9 +21,9 @@
 		stopping := newMember("h-2", "a", "z1")
 		lost := newMember("h-3", "a", "z1")
 		join(witness, stopping, lost)
-		Eventually(func() int { return len(witness.mesh.Fresh()) }, generous).Should(Equal(2))
-		stopping.mesh.ReportEnd()
-		stopping.mesh.ReportEnd()
+		Eventually(func() int { return len(witness.mesh.FreshReports()) }, generous).Should(Equal(2))
+		stopping.mesh.ReportStopped()
+		stopping.mesh.ReportStopped()
 		stopping.stop()
 		Eventually(func() bool { return witness.heardLast("h-2") }, generous).Should(BeTrue())
 		lost.stop()
@@ -35,7 +35,7 @@
 			return names
 		}
 		Eventually(silent, generous).Should(ContainElement("h-3"))
-		Eventually(witness.mesh.Fresh, generous).Should(BeEmpty(), "a host that has ended counts no longer than before")
+		Eventually(witness.mesh.FreshReports, generous).Should(BeEmpty(), "a host that has ended counts no longer than before")
 		Consistently(silent, "300ms").Should(Equal([]string{"h-3"}))
 	})
 })
@@ -43,7 +43,7 @@
 // heardLast reports whether a host's last word has come.
 func (member *member) heardLast(name string) bool {
 	for _, heard := range member.mesh.Reports(time.Hour) {
-		if heard.Report.Host == name && heard.Report.Ended {
+		if heard.Report.Host == name && heard.Report.Stopped {
 			return true
 		}
 	}
--- a/share/group_test.go
+++ b/share/group_test.go
@@ -25,7 +25,7 @@
 	})
 
 	running := func(member *member, id string) func() int {
-		return func() int { return member.mesh.Others().Running[id] }
+		return func() int { return member.mesh.OtherCounts().Running[id] }
 	}
 
 	// Each host has one request at the same upstream. Every other one has to count all but its own: with its
@@ -53,7 +53,7 @@
 				member.stop()
 			}
 		}
-		teller.mesh.Tell("spans", []cherrykeel.KeyedRecord{{Key: "table", Value: []byte("x"), Offset: 7}}, 6)
+		teller.mesh.Announce("spans", []cherrykeel.KeyedRecord{{Key: "table", Value: []byte("x"), Offset: 7}}, 6)
 		for _, member := range members[1:] {
 			if member.peer.Name == plan.Forwarders[0] {
 				continue
@@ -100,13 +100,13 @@
 			member.mesh.SetKeeper(keeper)
 		}
 		for _, member := range members {
-			hears := func() int { return len(member.mesh.Fresh()) }
+			hears := func() int { return len(member.mesh.FreshReports()) }
 			if plan.IsHub(member.peer.Name) || member.peer.Name == keeper {
 				Eventually(hears, generous).Should(Equal(len(members) - 1))
 				continue
 			}
 			Eventually(func() bool { _, heard := member.mesh.TimeSinceReport(keeper); return heard }, generous).Should(BeTrue())
-			Expect(member.mesh.Watching()).To(BeZero())
+			Expect(member.mesh.HubDuration()).To(BeZero())
 			Eventually(func() int {
 				return member.mesh.Rank(func(share.Report) bool { return true })
 			}, generous).Should(BeNumerically(">=", 4))
@@ -128,7 +128,7 @@
 		Eventually(func() int {
 			hearing := 0
 			for _, member := range rest {
-				if len(member.mesh.Reports(time.Second)) == len(rest)-1 && member.mesh.Watching() > 0 {
+				if len(member.mesh.Reports(time.Second)) == len(rest)-1 && member.mesh.HubDuration() > 0 {
 					hearing++
 				}
 			}
--- a/share/liveness.go
+++ b/share/liveness.go
@@ -52,5 +52,5 @@
 		return liveness.mesh.storeless
 	}
 	heard, known := liveness.mesh.heard[name]
-	return known && !heard.Report.StoreWell
+	return known && !heard.Report.StoreAvailable
 }
--- a/share/loads.go
+++ b/share/loads.go
@@ -41,12 +41,12 @@
 // keep forgets what hosts told that are gone, or told in an earlier life.
 func (loads *loads) keep(peers map[string]cherrykeel.Peer) {
 	for name, heard := range loads.hosts {
-		if peers[name].Incarnation != heard.load.Life {
+		if peers[name].Incarnation != heard.load.Incarnation {
 			delete(loads.hosts, name)
 		}
 	}
 	for label, heard := range loads.sums {
-		if peers[heard.sum.Host].Incarnation != heard.sum.Life {
+		if peers[heard.sum.Host].Incarnation != heard.sum.Incarnation {
 			delete(loads.sums, label)
 		}
 	}
@@ -90,12 +90,12 @@
 
 // sum adds up what this host's group does, this host included.
 func (loads *loads) sum(plan topo.Plan, self cherrykeel.Peer, now cherrykeel.Instant) Sum {
-	sum := Sum{Host: self.Name, Life: self.Incarnation, Group: plan.GroupLabel, Counts: newCounts(), Included: map[string]uint64{}}
+	sum := Sum{Host: self.Name, Incarnation: self.Incarnation, Group: plan.GroupLabel, Counts: newCounts(), IncludedSequences: map[string]uint64{}}
 	for _, name := range plan.Group {
 		heard, known := loads.hosts[name]
 		if known && now.Sub(heard.at) <= staleAfter {
 			sum.add(heard.load.Counts, 1)
-			sum.Included[Short(name)] = heard.load.Sequence
+			sum.IncludedSequences[ShortName(name)] = heard.load.Sequence
 		}
 	}
 	if len(loads.own) > 0 {
@@ -127,7 +127,7 @@
 	total.Running = make(map[string]int, len(own.sum.Running)+len(rest.sum.Running))
 	if own.fresh(now) {
 		total.add(own.sum.Counts, 1)
-		total.add(loads.included(own.sum.Included[Short(self)]), -1)
+		total.add(loads.included(own.sum.IncludedSequences[ShortName(self)]), -1)
 	}
 	if rest.fresh(now) {
 		total.add(rest.sum.Counts, 1)
--- a/share/mesh.go
+++ b/share/mesh.go
@@ -31,18 +31,18 @@
 	maxDatagram = 60 << 10
 )
 
-// Heard is what a host told last.
-type Heard struct {
-	Report Report
-	At     cherrykeel.Instant
+// ReceivedReport is what a host told last.
+type ReceivedReport struct {
+	Report     Report
+	ReceivedAt cherrykeel.Instant
 }
 
-// State is what a host has to tell of itself.
-type State interface {
-	// Report fills in the slow part.
-	Report(report *Report)
-	// Load fills in the present work and reports whether it is so much that counts matter.
-	Load(load *Load) bool
+// StateSource is what a host has to tell of itself.
+type StateSource interface {
+	// FillReport fills in the slow part.
+	FillReport(report *Report)
+	// FillLoad fills in the present work and reports whether it is so much that counts matter.
+	FillLoad(load *Load) bool
 }
 
 // Mesh exchanges reports with the other hosts.
@@ -50,19 +50,19 @@
 	self   cherrykeel.Peer
 	clock  cherrykeel.Clock
 	logger *zap.Logger
-	state  State
+	state  StateSource
 	// reported is called after others' reports have come, and counted after their loads; demand takes a
 	// message for the keeper.
 	reported func()
 	counted  func()
 	demand   func(demand Demand)
-	told     func(told Told)
+	told     func(told Announcement)
 
 	socket   *net.UDPConn
 	mutex    sync.Mutex
 	peers    map[string]cherrykeel.Peer
 	resolved map[string]*net.UDPAddr
-	heard    map[string]Heard
+	heard    map[string]ReceivedReport
 	silent   map[string]bool
 	asked    map[string][]int
 	sequence uint64
@@ -92,11 +92,11 @@
 }
 
 // New returns a mesh; reported, counted, demand and told are called from its own goroutines.
-func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, state State, reported, counted func(), demand func(Demand), told func(Told)) *Mesh {
+func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, state StateSource, reported, counted func(), demand func(Demand), told func(Announcement)) *Mesh {
 	return &Mesh{
 		self: self, clock: clock, logger: logger, state: state, reported: reported, counted: counted, demand: demand, told: told,
 		peers: map[string]cherrykeel.Peer{}, resolved: map[string]*net.UDPAddr{},
-		heard: map[string]Heard{}, silent: map[string]bool{}, asked: map[string][]int{},
+		heard: map[string]ReceivedReport{}, silent: map[string]bool{}, asked: map[string][]int{},
 		fleet: topo.NewFleet(self.Name, []cherrykeel.Peer{self}), plan: topo.Plan{FullMesh: true}, watchingSince: clock.Now(), awakeAt: clock.Now(), spoken: newSpoken(), loads: newLoads(), workTold: map[string]toldWork{},
 	}
 }
@@ -130,7 +130,7 @@
 		mesh.resolved[peer.Name] = address
 	}
 	for name, heard := range mesh.heard {
-		if mesh.peers[name].Incarnation != heard.Report.Life {
+		if mesh.peers[name].Incarnation != heard.Report.Incarnation {
 			delete(mesh.heard, name)
 			mesh.spoken.forget(name)
 		}
@@ -170,8 +170,8 @@
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	for name, heard := range mesh.heard {
-		age := now.Sub(heard.At)
-		if age < staleAfter || mesh.silent[name] || heard.Report.Ended {
+		age := now.Sub(heard.ReceivedAt)
+		if age < staleAfter || mesh.silent[name] || heard.Report.Stopped {
 			continue
 		}
 		mesh.silent[name] = true
@@ -179,29 +179,29 @@
 	}
 }
 
-// Others adds up what all other hosts do, as far as they told lately.
-func (mesh *Mesh) Others() Counts {
+// OtherCounts adds up what all other hosts do, as far as they told lately.
+func (mesh *Mesh) OtherCounts() Counts {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	return mesh.loads.total(mesh.plan, mesh.self.Name, mesh.clock.Now())
 }
 
 // Reports returns what other hosts told within the given age.
-func (mesh *Mesh) Reports(age time.Duration) []Heard {
+func (mesh *Mesh) Reports(age time.Duration) []ReceivedReport {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	now := mesh.clock.Now()
-	var fresh []Heard
+	var fresh []ReceivedReport
 	for _, heard := range mesh.heard {
-		if now.Sub(heard.At) <= age {
+		if now.Sub(heard.ReceivedAt) <= age {
 			fresh = append(fresh, heard)
 		}
 	}
 	return fresh
 }
 
-// Fresh returns the reports that are still believed.
-func (mesh *Mesh) Fresh() []Heard {
+// FreshReports returns the reports that are still believed.
+func (mesh *Mesh) FreshReports() []ReceivedReport {
 	return mesh.Reports(staleAfter)
 }
 
@@ -213,7 +213,7 @@
 	if !known {
 		return 0, false
 	}
-	return mesh.clock.Now().Sub(heard.At), true
+	return mesh.clock.Now().Sub(heard.ReceivedAt), true
 }
 
 // watches reports whether this host hears from all others under a plan.
@@ -221,8 +221,8 @@
 	return plan.FullMesh || plan.IsHub(mesh.self.Name)
 }
 
-// Watching returns how long this host has heard from all others; 0 while it does not.
-func (mesh *Mesh) Watching() time.Duration {
+// HubDuration returns how long this host has heard from all others; 0 while it does not.
+func (mesh *Mesh) HubDuration() time.Duration {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	if !mesh.watches(mesh.plan) {
@@ -239,15 +239,15 @@
 	own := mesh.plan.Rank(mesh.self.Name)
 	rank := 0
 	for name, heard := range mesh.heard {
-		if now.Sub(heard.At) <= staleAfter && mesh.plan.Rank(name) < own && counts(heard.Report) {
+		if now.Sub(heard.ReceivedAt) <= staleAfter && mesh.plan.Rank(name) < own && counts(heard.Report) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// Place returns this host's place in the order of all hosts, heard or not, from 0.
-func (mesh *Mesh) Place() int {
+// Position returns this host's place in the order of all hosts, heard or not, from 0.
+func (mesh *Mesh) Position() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	return mesh.plan.Rank(mesh.self.Name)
--- a/share/pack.go
+++ b/share/pack.go
@@ -56,14 +56,14 @@
 	}
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return nil, errors.Wrap(ErrMessage, err.Error())
+		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
 	plain, err := io.ReadAll(io.LimitReader(reader, unpackedMost+1))
 	switch {
 	case err != nil:
-		return nil, errors.Wrap(ErrMessage, err.Error())
+		return nil, errors.Wrap(ErrMalformed, err.Error())
 	case len(plain) > unpackedMost:
-		return nil, errors.Wrap(ErrMessage, "too large when unpacked")
+		return nil, errors.Wrap(ErrMalformed, "too large when unpacked")
 	default:
 		return plain, nil
 	}
--- a/share/pack_test.go
+++ b/share/pack_test.go
@@ -13,7 +13,7 @@
 var _ = ginkgo.Describe("messages", func() {
 	ginkgo.It("are packed when they are large, and read as they were", func() {
 		for _, size := range []int{1, 100, 30 << 10} {
-			told := Told{Host: "h", Topic: "spans", Before: 3, Records: []cherrykeel.KeyedRecord{{Key: "table", Value: bytes.Repeat([]byte("span "), size/5), Offset: 4}}}
+			told := Announcement{Host: "h", Topic: "spans", PreviousOffset: 3, Records: []cherrykeel.KeyedRecord{{Key: "table", Value: bytes.Repeat([]byte("span "), size/5), Offset: 4}}}
 			data, err := encode(methodTell, told)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(len(data)).To(BeNumerically("<", 5<<10))
@@ -27,7 +27,7 @@
 	ginkgo.It("without a method or parameters, and what is no message at all, are dropped", func() {
 		for _, data := range []string{`{}`, `{"method":"Load"}`, `{"params":{}}`, `{"method":7,"params":{}}`, `[]`, `{"method":"Load","params":{}`, `7`, `{"method":"Load","params":{}}x`} {
 			_, _, err := decode([]byte(data))
-			Expect(err).To(MatchError(ErrMessage), data)
+			Expect(err).To(MatchError(ErrMalformed), data)
 		}
 		method, _, err := decode([]byte(`{"meta":{"a":[1]},"method":"Load","params":{},"more":1}`))
 		Expect(err).NotTo(HaveOccurred())
@@ -42,7 +42,7 @@
 		Expect(writer.Close()).To(Succeed())
 		for _, data := range [][]byte{packed.Bytes(), packed.Bytes()[:50], {packedMark}, {packedMark, 0x8b, 8}, {}} {
 			_, _, err := decode(data)
-			Expect(err).To(MatchError(ErrMessage))
+			Expect(err).To(MatchError(ErrMalformed))
 		}
 	})
 
--- a/share/send.go
+++ b/share/send.go
@@ -54,12 +54,12 @@
 }
 
 func (mesh *Mesh) sendReport(sender *sender, now cherrykeel.Instant) {
-	report := Report{Host: mesh.self.Name, Life: mesh.self.Incarnation, Term: -1}
-	mesh.state.Report(&report)
-	mesh.noteStore(report.StoreWell)
+	report := Report{Host: mesh.self.Name, Incarnation: mesh.self.Incarnation, Term: -1}
+	mesh.state.FillReport(&report)
+	mesh.noteStore(report.StoreAvailable)
 	// Times are other ones in each report; that alone is no change to tell of.
-	ages, finals := report.Ages, report.Finals
-	report.Ages, report.Finals = nil, nil
+	ages, finals := report.Ages, report.FinalGrants
+	report.Ages, report.FinalGrants = nil, nil
 	pace := reportEvery
 	if !mesh.currentPlan().FullMesh {
 		pace *= reportSlowdown
@@ -70,19 +70,19 @@
 	sender.report = report
 	sender.reportAt = now
 	report.Sequence = mesh.nextSequence()
-	report.Ages, report.Finals, report.Ended = ages, finals, mesh.hasEnded()
+	report.Ages, report.FinalGrants, report.Stopped = ages, finals, mesh.hasEnded()
 	mesh.send(methodReport, report, mesh.reportTo(now))
 }
 
-// ReportEnd reports to all hosts once more, whatever was reported before, and says that this host has ended. Each of them
+// ReportStopped reports to all hosts once more, whatever was reported before, and says that this host has ended. Each of them
 // would else warn of its silence: its record stays while the store is away.
-func (mesh *Mesh) ReportEnd() {
+func (mesh *Mesh) ReportStopped() {
 	mesh.mutex.Lock()
 	mesh.ended = true
 	names := mesh.names()
 	mesh.mutex.Unlock()
-	report := Report{Host: mesh.self.Name, Life: mesh.self.Incarnation, Term: -1, Ended: true}
-	mesh.state.Report(&report)
+	report := Report{Host: mesh.self.Name, Incarnation: mesh.self.Incarnation, Term: -1, Stopped: true}
+	mesh.state.FillReport(&report)
 	report.Sequence = mesh.nextSequence()
 	mesh.send(methodReport, report, names)
 }
@@ -115,7 +115,7 @@
 		mesh.spoken.expect(name, now)
 	}
 	for name, heard := range mesh.heard {
-		if now.Sub(heard.At) < replyFor {
+		if now.Sub(heard.ReceivedAt) < replyFor {
 			to[name] = true
 		}
 	}
@@ -123,9 +123,9 @@
 }
 
 func (mesh *Mesh) sendLoad(sender *sender, now cherrykeel.Instant) {
-	load := Load{Host: mesh.self.Name, Life: mesh.self.Incarnation}
+	load := Load{Host: mesh.self.Name, Incarnation: mesh.self.Incarnation}
 	pace := calmEvery
-	if mesh.state.Load(&load) {
+	if mesh.state.FillLoad(&load) {
 		pace = busyEvery
 	}
 	if reflect.DeepEqual(load, sender.load) {
@@ -165,7 +165,7 @@
 		return
 	}
 	sum := mesh.loads.sum(plan, mesh.self, now)
-	rest := Sum{Host: sum.Host, Life: sum.Life, Group: restOf(plan.GroupLabel), Counts: mesh.loads.rest(plan, now)}
+	rest := Sum{Host: sum.Host, Incarnation: sum.Incarnation, Group: restOf(plan.GroupLabel), Counts: mesh.loads.rest(plan, now)}
 	heads := map[string]bool{}
 	for _, name := range plan.Aggregators {
 		heads[name] = true
@@ -181,7 +181,7 @@
 		return
 	}
 	sender.sumAt = now
-	sum.Included = nil
+	sum.IncludedSequences = nil
 	mesh.send(methodSum, sum, keys(heads))
 	rest.Sequence = mesh.nextSequence()
 	mesh.send(methodSum, rest, plan.Group)
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -34,19 +34,19 @@
 	running map[string]int
 	term    int64
 	demands []share.Demand
-	told    []share.Told
+	told    []share.Announcement
 	changes atomic.Int64
 }
 
-func (member *member) Report(report *share.Report) {
+func (member *member) FillReport(report *share.Report) {
 	member.mutex.Lock()
 	defer member.mutex.Unlock()
 	report.Term = member.term
-	report.StoreWell = true
+	report.StoreAvailable = true
 	report.Offsets = map[string]int64{"spans": member.term}
 }
 
-func (member *member) Load(load *share.Load) bool {
+func (member *member) FillLoad(load *share.Load) bool {
 	member.mutex.Lock()
 	defer member.mutex.Unlock()
 	load.Running = map[string]int{}
@@ -72,7 +72,7 @@
 	member := &member{peer: cherrykeel.Peer{Name: name, Incarnation: life, InternalAddress: fakes.FreeAddress(), Zone: zone}, running: map[string]int{}}
 	member.mesh = share.New(member.peer, cherrykeel.SystemClock(), logger, member, func() { member.changes.Add(1) }, func() { member.changes.Add(1) },
 		func(demand share.Demand) { member.set(func() { member.demands = append(member.demands, demand) }) },
-		func(told share.Told) { member.set(func() { member.told = append(member.told, told) }) })
+		func(told share.Announcement) { member.set(func() { member.told = append(member.told, told) }) })
 	Expect(member.mesh.Listen()).To(Succeed())
 	ctx, stop := context.WithCancel(context.Background())
 	member.stop = stop
@@ -114,14 +114,14 @@
 
 	running := func(member *member, id string) func() int {
 		return func() int {
-			return member.mesh.Others().Running[id]
+			return member.mesh.OtherCounts().Running[id]
 		}
 	}
 
 	It("tell each other their requests and the newest term", func() {
 		two.set(func() { two.running["u1"] = 3; two.term = 7 })
 		Eventually(running(one, "u1"), generous).Should(Equal(3))
-		Eventually(func() int64 { return one.mesh.Fresh()[0].Report.Term }, generous).Should(Equal(int64(7)))
+		Eventually(func() int64 { return one.mesh.FreshReports()[0].Report.Term }, generous).Should(Equal(int64(7)))
 		two.set(func() { delete(two.running, "u1") })
 		Eventually(running(one, "u1"), generous).Should(BeZero())
 		Expect(one.changes.Load()).NotTo(BeZero())
@@ -142,44 +142,44 @@
 
 	// A host is replaced under the same name. What its former life said, also late, is not the new one's word.
 	It("believe only the present life of a host", func() {
-		Eventually(func() int { return len(one.mesh.Fresh()) }, generous).Should(Equal(1))
+		Eventually(func() int { return len(one.mesh.FreshReports()) }, generous).Should(Equal(1))
 		next := two.peer
 		next.Incarnation = "c"
 		one.mesh.SetPeers([]cherrykeel.Peer{one.peer, next})
-		Consistently(func() int { return len(one.mesh.Fresh()) }, "600ms").Should(BeZero())
+		Consistently(func() int { return len(one.mesh.FreshReports()) }, "600ms").Should(BeZero())
 	})
 
 	It("do not believe a host that has not announced itself", func() {
 		three := newMember("host-3", "x", "zone")
 		three.mesh.SetPeers([]cherrykeel.Peer{one.peer, three.peer})
-		Consistently(func() int { return len(one.mesh.Fresh()) }, "600ms").Should(BeNumerically("<=", 1))
+		Consistently(func() int { return len(one.mesh.FreshReports()) }, "600ms").Should(BeNumerically("<=", 1))
 	})
 
 	It("shorten names in what they send most often", func() {
-		short := share.Shorten(map[string]int{"i-667efb5e2c": 2, "i-abb2493e2e": 1})
+		short := share.ShortenKeys(map[string]int{"i-667efb5e2c": 2, "i-abb2493e2e": 1})
 		Expect(short).To(HaveLen(2))
-		Expect(short).To(HaveKeyWithValue(share.Short("i-667efb5e2c"), 2))
-		Expect(share.Short("i-667efb5e2c")).To(HaveLen(4))
+		Expect(short).To(HaveKeyWithValue(share.ShortName("i-667efb5e2c"), 2))
+		Expect(share.ShortName("i-667efb5e2c")).To(HaveLen(4))
 	})
 
 	It("tell the keeper which keys are asked for, which may be the host itself", func() {
-		one.mesh.Asked("halls", 7)
-		one.mesh.Asked("halls", 9)
-		one.mesh.TellDemand("host-2", noWork)
+		one.mesh.RecordKeyRequest("halls", 7)
+		one.mesh.RecordKeyRequest("halls", 9)
+		one.mesh.ReportDemand("host-2", noWork)
 		Eventually(func() []share.Demand { two.mutex.Lock(); defer two.mutex.Unlock(); return two.demands }, generous).
 			Should(Equal([]share.Demand{{Host: "host-1", Service: "halls", Keys: []int{7, 9}}}))
-		one.mesh.Asked("halls", 8)
-		one.mesh.TellDemand("host-1", noWork)
+		one.mesh.RecordKeyRequest("halls", 8)
+		one.mesh.ReportDemand("host-1", noWork)
 		Expect(one.demands).To(HaveLen(1))
-		one.mesh.TellDemand("host-1", noWork)
+		one.mesh.ReportDemand("host-1", noWork)
 		Expect(one.demands).To(HaveLen(1))
 	})
 
 	It("pass on records that they have read", func() {
 		record := cherrykeel.KeyedRecord{Key: "table", Value: []byte("x"), Offset: 4}
-		one.mesh.Tell("spans", []cherrykeel.KeyedRecord{record}, 3)
-		Eventually(func() []share.Told { two.mutex.Lock(); defer two.mutex.Unlock(); return two.told }, generous).
-			Should(Equal([]share.Told{{Host: "host-1", Topic: "spans", Records: []cherrykeel.KeyedRecord{record}, Before: 3}}))
+		one.mesh.Announce("spans", []cherrykeel.KeyedRecord{record}, 3)
+		Eventually(func() []share.Announcement { two.mutex.Lock(); defer two.mutex.Unlock(); return two.told }, generous).
+			Should(Equal([]share.Announcement{{Host: "host-1", Topic: "spans", Records: []cherrykeel.KeyedRecord{record}, PreviousOffset: 3}}))
 	})
 
 	It("go on after a message that cannot be read", func() {
--- a/share/take.go
+++ b/share/take.go
@@ -55,7 +55,7 @@
 			mesh.counted()
 		}
 	case methodTell:
-		var told Told
+		var told Announcement
 		err = json.Unmarshal(params, &told)
 		if err == nil {
 			mesh.forward(told)
@@ -81,7 +81,7 @@
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	peer, known := mesh.peers[report.Host]
-	if !known || peer.Incarnation != report.Life {
+	if !known || peer.Incarnation != report.Incarnation {
 		mesh.unknown = true
 		return false
 	}
@@ -90,7 +90,7 @@
 		return false
 	}
 	now := mesh.clock.Now()
-	mesh.heard[report.Host] = Heard{Report: report, At: now}
+	mesh.heard[report.Host] = ReceivedReport{Report: report, ReceivedAt: now}
 	mesh.spoken.heard(report.Host, now)
 	if mesh.silent[report.Host] || !heard {
 		delete(mesh.silent, report.Host)
@@ -99,9 +99,9 @@
 	return true
 }
 
-// HeardUnknown reports whether a host that is not among the peers, or an unknown life of one, has reported since the last
+// HasUnknownSender reports whether a host that is not among the peers, or an unknown life of one, has reported since the last
 // call.
-func (mesh *Mesh) HeardUnknown() bool {
+func (mesh *Mesh) HasUnknownSender() bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	heard := mesh.unknown
@@ -114,7 +114,7 @@
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	peer, known := mesh.peers[load.Host]
-	if !known || peer.Incarnation != load.Life {
+	if !known || peer.Incarnation != load.Incarnation {
 		return false
 	}
 	return mesh.loads.take(load, mesh.clock.Now())
@@ -126,7 +126,7 @@
 	defer mesh.mutex.Unlock()
 	peer, known := mesh.peers[sum.Host]
 	now := mesh.clock.Now()
-	if !known || peer.Incarnation != sum.Life || !mesh.loads.takeSum(sum, now) {
+	if !known || peer.Incarnation != sum.Incarnation || !mesh.loads.takeSum(sum, now) {
 		return false
 	}
 	mesh.spoken.heard(sum.Host, now)
--- a/share/tell.go
+++ b/share/tell.go
@@ -11,20 +11,20 @@
 // up to 60 KB for each host, and was not sent at all beyond that; a link that is full drops such ones first.
 const tellBytes = 12 << 10
 
-// Tell passes records on to all other hosts. Among many hosts they go to this host's group and to two hosts of each
+// Announce passes records on to all other hosts. Among many hosts they go to this host's group and to two hosts of each
 // other group, which pass them on: sent to 194 hosts one by one a table's change took the sender's link for tens of
 // milliseconds, and reports of it overtook it. What is too large for a datagram the hosts read for themselves.
-func (mesh *Mesh) Tell(topic string, records []cherrykeel.KeyedRecord, before int64) {
+func (mesh *Mesh) Announce(topic string, records []cherrykeel.KeyedRecord, before int64) {
 	if mesh.socket == nil {
 		return
 	}
 	direct, relays := mesh.tellTo()
 	for _, part := range split(records) {
-		told := Told{Host: mesh.self.Name, Topic: topic, Records: part, Before: before}
+		told := Announcement{Host: mesh.self.Name, Topic: topic, Records: part, PreviousOffset: before}
 		mesh.sendTold(told, direct)
 		told.Forward = true
 		mesh.sendTold(told, relays)
-		if before != NoChange {
+		if before != NoPreviousChange {
 			before = part[len(part)-1].Offset
 		}
 	}
@@ -41,7 +41,7 @@
 }
 
 // forward passes a message on to this host's group if it is asked to.
-func (mesh *Mesh) forward(told Told) {
+func (mesh *Mesh) forward(told Announcement) {
 	if !told.Forward {
 		return
 	}
@@ -52,7 +52,7 @@
 	mesh.sendTold(told, group)
 }
 
-func (mesh *Mesh) sendTold(told Told, names []string) {
+func (mesh *Mesh) sendTold(told Announcement, names []string) {
 	if len(names) == 0 {
 		return
 	}
--- a/sock/intake.go
+++ b/sock/intake.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Intake reads a connection and counts each byte in the step that takes it from the socket, so that one can tell at any
+// Reader reads a connection and counts each byte in the step that takes it from the socket, so that one can tell at any
 // moment whether something has come that nobody has looked at yet.
-type Intake struct {
+type Reader struct {
 	conn net.Conn
 	// raw is nil if the connection is not a socket; its bytes are counted just after they were read.
 	raw    syscall.RawConn
@@ -24,9 +24,9 @@
 	shut     bool
 }
 
-// NewIntake returns the intake of a connection, which nobody else may read.
-func NewIntake(conn net.Conn) *Intake {
-	intake := &Intake{conn: conn}
+// NewReader returns the intake of a connection, which nobody else may read.
+func NewReader(conn net.Conn) *Reader {
+	intake := &Reader{conn: conn}
 	source, ok := conn.(syscall.Conn)
 	if !ok {
 		return intake
@@ -41,7 +41,7 @@
 }
 
 // Read implements io.Reader; its errors are those of the connection, and net.ErrClosed once it is shut.
-func (intake *Intake) Read(buffer []byte) (int, error) {
+func (intake *Reader) Read(buffer []byte) (int, error) {
 	if intake.raw == nil {
 		count, err := intake.conn.Read(buffer)
 		intake.mutex.Lock()
@@ -67,8 +67,8 @@
 	}
 }
 
-// ReadArrived reads what lies in the socket, whatever the connection's deadline; it returns 0 if nothing does.
-func (intake *Intake) ReadArrived(buffer []byte) int {
+// ReadAvailable reads what lies in the socket, whatever the connection's deadline; it returns 0 if nothing does.
+func (intake *Reader) ReadAvailable(buffer []byte) int {
 	if intake.raw == nil {
 		return 0
 	}
@@ -79,7 +79,7 @@
 	return count
 }
 
-func (intake *Intake) take(descriptor int, buffer []byte) (int, error) {
+func (intake *Reader) take(descriptor int, buffer []byte) (int, error) {
 	intake.mutex.Lock()
 	defer intake.mutex.Unlock()
 	if intake.shut {
@@ -95,7 +95,7 @@
 }
 
 // readError gives an error the form that net gives errors of reads, which net/http tells apart.
-func (intake *Intake) readError(err error) error {
+func (intake *Reader) readError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) {
 		err = operation.Err
@@ -107,28 +107,28 @@
 	return &net.OpError{Op: "read", Net: intake.conn.LocalAddr().Network(), Source: intake.conn.LocalAddr(), Addr: intake.conn.RemoteAddr(), Err: err}
 }
 
-// Received returns how many bytes were read.
-func (intake *Intake) Received() int64 {
+// ReceivedBytes returns how many bytes were read.
+func (intake *Reader) ReceivedBytes() int64 {
 	intake.mutex.Lock()
 	defer intake.mutex.Unlock()
 	return intake.received
 }
 
-// Unread reports whether more bytes have come than the counted ones, read or not.
-func (intake *Intake) Unread(counted int64) bool {
+// HasMoreThan reports whether more bytes have come than the counted ones, read or not.
+func (intake *Reader) HasMoreThan(counted int64) bool {
 	intake.mutex.Lock()
 	defer intake.mutex.Unlock()
 	return intake.holdsMore(counted)
 }
 
-// Unsent reports whether bytes that were written to the connection have not arrived yet.
-func (intake *Intake) Unsent() bool {
-	return intake.source != nil && Unsent(intake.source)
+// HasUnacknowledged reports whether bytes that were written to the connection have not arrived yet.
+func (intake *Reader) HasUnacknowledged() bool {
+	return intake.source != nil && HasUnacknowledged(intake.source)
 }
 
-// ShutUnlessUnread reads nothing more from now on, unless more bytes have come than the counted ones; it reports whether
+// StopUnlessMoreThan reads nothing more from now on, unless more bytes have come than the counted ones; it reports whether
 // it did. What comes later stays in the socket, so that its sender learns by the reset that nobody has read it.
-func (intake *Intake) ShutUnlessUnread(counted int64) bool {
+func (intake *Reader) StopUnlessMoreThan(counted int64) bool {
 	intake.mutex.Lock()
 	defer intake.mutex.Unlock()
 	if intake.holdsMore(counted) {
@@ -138,8 +138,8 @@
 	return true
 }
 
-// ShutUnlessRead reads nothing from now on, unless something was read already; it reports whether it did.
-func (intake *Intake) ShutUnlessRead() bool {
+// StopUnlessReceived reads nothing from now on, unless something was read already; it reports whether it did.
+func (intake *Reader) StopUnlessReceived() bool {
 	intake.mutex.Lock()
 	defer intake.mutex.Unlock()
 	if intake.received > 0 {
@@ -150,6 +150,6 @@
 }
 
 // holdsMore is Unread while Intake.mutex is held.
-func (intake *Intake) holdsMore(counted int64) bool {
-	return intake.received > counted || intake.source != nil && Readable(intake.source)
+func (intake *Reader) holdsMore(counted int64) bool {
+	return intake.received > counted || intake.source != nil && IsReadable(intake.source)
 }
--- a/sock/readable.go
+++ b/sock/readable.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Readable reports whether the socket has something to read, or to accept, at this moment: bytes, a connection, its
+// IsReadable reports whether the socket has something to read, or to accept, at this moment: bytes, a connection, its
 // end or an error. It does not wait, and reports false for a socket that is closed.
-func Readable(socket syscall.Conn) bool {
+func IsReadable(socket syscall.Conn) bool {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
@@ -21,8 +21,8 @@
 	return err == nil && ready > 0
 }
 
-// Unsent reports whether bytes that were written to the socket have not arrived yet: its peer has not confirmed them.
-func Unsent(socket syscall.Conn) bool {
+// HasUnacknowledged reports whether bytes that were written to the socket have not arrived yet: its peer has not confirmed them.
+func HasUnacknowledged(socket syscall.Conn) bool {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
--- a/sock/refuse.go
+++ b/sock/refuse.go
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrReached is returned by RefuseNew if callers may come by each device that the machine has.
-var ErrReached = errors.New("the address is reached by each network device")
+// ErrNoUnusedDevice is returned by RefuseNew if callers may come by each device that the machine has.
+var ErrNoUnusedDevice = errors.New("the address is reached by each network device")
 
-// RefuseNew makes the system refuse new connections to a listening socket; those that are complete or in their handshake
+// RefuseNewConnections makes the system refuse new connections to a listening socket; those that are complete or in their handshake
 // are not touched, and can be accepted. The socket is bound to a network device by which its address is not reached, so
 // that the system finds no listener for new callers. Errors are the system's, and ErrReached.
-func RefuseNew(listener *net.TCPListener) error {
+func RefuseNewConnections(listener *net.TCPListener) error {
 	devices, err := net.Interfaces()
 	if err != nil {
 		return errors.WithStack(err)
@@ -22,7 +22,7 @@
 	address := listener.Addr().(*net.TCPAddr)
 	device, found := unreached(address.IP, devices)
 	if !found {
-		return errors.WithStack(ErrReached)
+		return errors.WithStack(ErrNoUnusedDevice)
 	}
 	return bindTo(listener, device)
 }
--- a/sock/refuse_test.go
+++ b/sock/refuse_test.go
@@ -19,7 +19,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(early.Close)
 
-		Expect(sock.RefuseNew(listener.(*net.TCPListener))).To(Succeed())
+		Expect(sock.RefuseNewConnections(listener.(*net.TCPListener))).To(Succeed())
 
 		_, err = net.Dial("tcp", listener.Addr().String())
 		Expect(err).To(MatchError(syscall.ECONNREFUSED))
