--- a/cmd/cherrykeel/entry.go
+++ b/cmd/cherrykeel/entry.go
@@ -72,11 +72,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	go command.watch(ctx, hangup.Taken(), logger, func(settings cherrykeel.EntrySettings) {
+	go command.watch(ctx, hangup.Signals(), logger, func(settings cherrykeel.EntrySettings) {
 		store.Move(settings.StoreURL)
 		host.Reload(settings)
 	})
-	return orOver(host.Over(), func() error {
+	return orOver(host.MustExit(), func() error {
 		defer closeOutputs()
 		return host.Run(ctx)
 	})
--- a/cmd/cherrykeel/main.go
+++ b/cmd/cherrykeel/main.go
@@ -50,7 +50,7 @@
 		os.Exit(opctl.ExitInvalid)
 	}
 	if context.Command() != entryName {
-		hangup.Release()
+		hangup.RestoreDefault()
 	}
 	os.Exit(code(context.Run()))
 }
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -33,7 +33,7 @@
 	wait := announcePause
 	written := int64(-1)
 	for ctx.Err() == nil {
-		life, _ := host.peers.Life(host.self.Name)
+		life, _ := host.peers.Incarnation(host.self.Name)
 		if life != host.self.Incarnation && !host.stopping.Load() {
 			offset, err := host.platform.Hosts.Put(ctx, host.self.Name, value)
 			if err != nil {
@@ -42,7 +42,7 @@
 			} else {
 				wait = announcePause
 				written = offset
-				host.topics.hosts.Told([]cherrykeel.KeyedRecord{{Key: host.self.Name, Value: value, Offset: offset}})
+				host.topics.hosts.ApplyReceived([]cherrykeel.KeyedRecord{{Key: host.self.Name, Value: value, Offset: offset}})
 				host.mesh.Announce(topicHosts, []cherrykeel.KeyedRecord{{Key: host.self.Name, Value: value, Offset: offset}}, share.NoPreviousChange)
 			}
 		}
@@ -54,8 +54,8 @@
 // readBefore reads the hosts' records if there are any before this host's own that it does not know. Hosts that start at
 // the same moment have read them before any had written its own, and nobody else may be there to tell them.
 func (host *Host) readBefore(written int64) {
-	if host.overdue(ownRecord, host.topics.hosts.Next()-1, written, host.clock.Now()) {
-		host.topics.hosts.Nudge()
+	if host.overdue(ownRecord, host.topics.hosts.NextOffset()-1, written, host.clock.Now()) {
+		host.topics.hosts.TriggerRead()
 	}
 }
 
--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -29,13 +29,13 @@
 	host.denied = deny.New(deny.Settings{
 		Clock: host.clock, Logger: host.logger, Probe: host.conns.Refused,
 		Tell: host.tellDenied, Keep: host.kept.Add, KeptEnds: keptEnds,
-		Planned: func(life poison.Life) bool { return host.upstreams.Leaving(life.Upstream, life.Born) },
+		Planned: func(life poison.Life) bool { return host.upstreams.IsLeaving(life.Upstream, life.Born) },
 	})
 	host.relay = relay.New(relay.Settings{
 		Zone: host.settings.Zone, Bounds: host.currentBounds, Clock: host.clock, Dialect: host.platform.Dialect,
 		Pool:   host.conns,
 		Logger: host.logger, Scope: host.scope, Owner: host.spans.Owner, OnKeyRequest: host.mesh.RecordKeyRequest, HostCount: host.mesh.HostCount,
-		OnMisdirected: host.misdirected, OnUpstreamReplaced: func(id string) { host.upstreams.End(id) }, DenyList: host.denied,
+		OnMisdirected: host.misdirected, OnUpstreamReplaced: func(id string) { host.upstreams.MarkEnded(id) }, DenyList: host.denied,
 	})
 	host.server = caller.New(host.relay, caller.WithLimits(host.limits), caller.WithLogger(host.logger),
 		caller.WithMemory(int64(bodyShare*float64(host.settings.MemoryBytes))))
@@ -48,8 +48,8 @@
 	host.topics.upstreams = host.follow(topicUpstreams, host.platform.Upstreams, host.upstreams.Apply, host.upstreamsSchedule)
 	host.topics.hosts = host.follow(topicHosts, host.platform.Hosts, host.applyHosts, host.tableSchedule)
 	host.topics.spans = host.follow(topicSpans, host.platform.Spans, host.spans.Apply, host.tableSchedule)
-	host.spans.SetLongestHold(func() time.Duration { return host.currentBounds().MaxLeaseDuration })
-	host.upstreams.SetHealth(host.topics.upstreams.WellFor)
+	host.spans.SetMaxLeaseDuration(func() time.Duration { return host.currentBounds().MaxLeaseDuration })
+	host.upstreams.SetTopicAvailability(host.topics.upstreams.AvailableFor)
 	host.keeper = grants.New(host.self, host.clock, host.logger, host.platform.Spans, watch.SpansKey, &ownTable{host: host},
 		&world{host: host}, host.mesh, host.platform.Granter, host.currentBounds, grants.WithMetrics(host.scope))
 }
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -23,7 +23,7 @@
 // second later only, and in the meantime all callers would be sent to them.
 func (host *Host) coldSinceTakenBack(zone string, service cherrykeel.RoutedService) cherrykeel.Instant {
 	state, ordered := host.zones.State(zone)
-	if !ordered || state.Evacuated || state.AtStart || service.SlowStartRate <= 0 {
+	if !ordered || state.Evacuated || state.FoundAtStart || service.SlowStartRate <= 0 {
 		return 0
 	}
 	return state.Since.Add(service.SlowStart)
@@ -31,7 +31,7 @@
 
 // knownHosts names the hosts that share what cold upstreams bear; none while this host does not know them.
 func (host *Host) knownHosts() []string {
-	if !host.topics.hosts.Known() {
+	if !host.topics.hosts.HasRead() {
 		return nil
 	}
 	host.mutex.Lock()
--- a/entry/denied.go
+++ b/entry/denied.go
@@ -81,7 +81,7 @@
 	update.Records = peers
 	host.applyDenied(denied, host.denied.MergeKept)
 	host.peers.Apply(update)
-	if update.Whole {
+	if update.Snapshot {
 		// A host is ready once it has read the whole list; until it is in force it would spend the retries of all hosts.
 		host.putPeersInForce()
 	}
@@ -105,7 +105,7 @@
 // knowsDenied reports whether this host has read which requests end upstreams. It does not wait for that for ever:
 // one partition of the store may be away while the others are not, and nobody would be served.
 func (host *Host) knowsDenied() bool {
-	return host.topics.hosts.Applied() || host.clock.Now().Sub(host.started) > deniedPatience
+	return host.topics.hosts.HasAppliedSnapshot() || host.clock.Now().Sub(host.started) > deniedPatience
 }
 
 // forgetDenied drops what is too old, at one host from the store too, and shows how much is left.
@@ -154,11 +154,11 @@
 		return false
 	}
 	written := []cherrykeel.KeyedRecord{{Key: key, Value: value, Offset: offset}}
-	unread := host.topics.hosts.Next() < offset
-	host.topics.hosts.Told(written)
+	unread := host.topics.hosts.NextOffset() < offset
+	host.topics.hosts.ApplyReceived(written)
 	if unread {
 		// Another host may have written of the same request at the same moment.
-		host.topics.hosts.Nudge()
+		host.topics.hosts.TriggerRead()
 	}
 	host.mesh.Announce(topicHosts, written, share.NoPreviousChange)
 	return true
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -79,21 +79,21 @@
 
 func (host *Host) upstreamsSchedule() watch.Schedule {
 	bound := host.currentBounds().Drain
-	return host.schedule(host.topics.upstreams, topicUpstreams, bound, watch.Schedule{Pace: part(bound, upstreamsPace)})
+	return host.schedule(host.topics.upstreams, topicUpstreams, bound, watch.Schedule{Interval: part(bound, upstreamsPace)})
 }
 
 // schedule returns the first host's schedule to that one, and lets the others read when what they know is
 // too old for the bound.
 func (host *Host) schedule(topic *watch.Follower, name string, bound time.Duration, first watch.Schedule) watch.Schedule {
 	rank := host.rank()
-	schedule := watch.Schedule{Pace: seldom(host.mesh.HostCount())}
+	schedule := watch.Schedule{Interval: seldom(host.mesh.HostCount())}
 	switch {
 	case rank == 0:
 		schedule = first
-	case watch.Overdue(bound, rank, host.age(topic, name)):
-		schedule.Pace = 0
+	case watch.IsReadOverdue(bound, rank, host.age(topic, name)):
+		schedule.Interval = 0
 	}
-	schedule.Patience = host.patience()
+	schedule.BackoffFactor = host.patience()
 	return schedule
 }
 
@@ -126,15 +126,15 @@
 // tableSchedule is closer at the keeper, for whom no other host could notice that its store calls hang.
 func (host *Host) tableSchedule() watch.Schedule {
 	if host.keeps() {
-		return watch.Schedule{Pace: keeperPace, Look: keeperLook}
+		return watch.Schedule{Interval: keeperPace, RecheckInterval: keeperLook}
 	}
-	return watch.Schedule{Pace: seldom(host.mesh.HostCount()), Look: keeperLook, Patience: host.patience()}
+	return watch.Schedule{Interval: seldom(host.mesh.HostCount()), RecheckInterval: keeperLook, BackoffFactor: host.patience()}
 }
 
 // dropSilent takes away the records of hosts that have been silent for long; one host does so for all.
 // More than half of the hosts may be lost for good, and without this no keeper would be confirmed again.
 func (host *Host) dropSilent(ctx context.Context, uptime time.Duration) {
-	if host.rank() > 0 || host.topics.upstreams.WellFor() < goneAfter/2 || host.stopping.Load() {
+	if host.rank() > 0 || host.topics.upstreams.AvailableFor() < goneAfter/2 || host.stopping.Load() {
 		return
 	}
 	patience := goneAfter
@@ -144,7 +144,7 @@
 	for _, peer := range host.peers.Current() {
 		silence, heard := host.mesh.TimeSinceReport(peer.Name)
 		if !heard {
-			silence = min(uptime, host.peers.Age(peer.Name))
+			silence = min(uptime, host.peers.RecordAge(peer.Name))
 		}
 		// Before this host became one that hears from all, silence said nothing.
 		silence = min(silence, host.mesh.HubDuration())
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -89,7 +89,7 @@
 func (host *Host) chainUpstreams(told share.Announcement) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	if told.PreviousOffset > max(host.upstreamsChained, host.topics.upstreams.Next()-1) {
+	if told.PreviousOffset > max(host.upstreamsChained, host.topics.upstreams.NextOffset()-1) {
 		return
 	}
 	for _, record := range told.Records {
@@ -106,21 +106,21 @@
 	chained := host.upstreamsChained
 	host.mutex.Unlock()
 	return map[string]int64{
-		topicSettings:  host.topics.operator.Next() - 1,
-		topicUpstreams: max(chained, host.topics.upstreams.Next()-1),
-		topicHosts:     host.topics.hosts.Next() - 1,
-		topicSpans:     host.topics.spans.Next() - 1,
+		topicSettings:  host.topics.operator.NextOffset() - 1,
+		topicUpstreams: max(chained, host.topics.upstreams.NextOffset()-1),
+		topicHosts:     host.topics.hosts.NextOffset() - 1,
+		topicSpans:     host.topics.spans.NextOffset() - 1,
 	}
 }
 
 // storeWell is how long the store has served this host; 0 while any topic cannot be read.
 func (host *Host) storeWell() time.Duration {
 	for _, topic := range []*watch.Follower{host.topics.operator, host.topics.hosts, host.topics.spans} {
-		if topic.Lost() {
+		if topic.IsUnavailable() {
 			return 0
 		}
 	}
-	return host.topics.upstreams.WellFor()
+	return host.topics.upstreams.AvailableFor()
 }
 
 // heardPace is how often reports are looked through at the most. Watchers and the keeper get two a second from each
@@ -158,7 +158,7 @@
 func (host *Host) misdirected() {
 	version := host.spans.Version()
 	if host.overdue(misdirectedTable, version, version+1, host.clock.Now()) {
-		host.topics.spans.Nudge()
+		host.topics.spans.TriggerRead()
 	}
 }
 
@@ -176,13 +176,13 @@
 func (host *Host) nudge(topic string) {
 	switch topic {
 	case topicSettings:
-		host.topics.operator.Nudge()
+		host.topics.operator.TriggerRead()
 	case topicUpstreams:
-		host.topics.upstreams.Nudge()
+		host.topics.upstreams.TriggerRead()
 	case topicHosts:
-		host.topics.hosts.Nudge()
+		host.topics.hosts.TriggerRead()
 	case topicSpans:
-		host.topics.spans.Nudge()
+		host.topics.spans.TriggerRead()
 	}
 }
 
@@ -190,12 +190,12 @@
 func (host *Host) told(told share.Announcement) {
 	switch told.Topic {
 	case topicSettings:
-		host.topics.operator.Told(told.Records)
+		host.topics.operator.ApplyReceived(told.Records)
 	case topicUpstreams:
-		host.topics.upstreams.Told(told.Records)
+		host.topics.upstreams.ApplyReceived(told.Records)
 		host.chainUpstreams(told)
 	case topicHosts:
-		host.topics.hosts.Told(told.Records)
+		host.topics.hosts.ApplyReceived(told.Records)
 	case topicSpans:
 		host.toldSpans(told)
 	case topicDenied:
@@ -218,10 +218,10 @@
 			events.Log(host.logger, events.RecordInvalid, zap.String("Key", record.Key), zap.Int64("Offset", record.Offset), zap.Error(err))
 			continue
 		}
-		if !host.spans.Patch(change, follows) {
+		if !host.spans.ApplyChange(change, follows) {
 			continue
 		}
-		host.topics.spans.Told([]cherrykeel.KeyedRecord{{Key: record.Key, Offset: record.Offset}})
+		host.topics.spans.ApplyReceived([]cherrykeel.KeyedRecord{{Key: record.Key, Offset: record.Offset}})
 	}
 }
 
--- a/entry/listed_test.go
+++ b/entry/listed_test.go
@@ -57,16 +57,16 @@
 	It("is in force at once when it was read whole, however lately it was before", func() {
 		first := announcements(1, "first", 0)
 		host.told(share.Announcement{Topic: topicHosts, Records: first})
-		host.applyHosts(watch.Update{Records: announcements(hosts, "first", 0), Whole: true, Next: hosts})
+		host.applyHosts(watch.Update{Records: announcements(hosts, "first", 0), Snapshot: true, Next: hosts})
 		Expect(host.mesh.HostCount()).To(Equal(hosts))
 	})
 
 	// Guards against hosts that start unnoticed because others have started within the same pause.
 	It("says that there are newcomers until they are told, also when several start in one pause", func() {
-		host.applyHosts(watch.Update{Records: announcements(3, "first", 0), Whole: true, Next: 3})
+		host.applyHosts(watch.Update{Records: announcements(3, "first", 0), Snapshot: true, Next: 3})
 		Expect(host.takeLives(host.peers.Current())).To(BeFalse())
-		host.peers.Apply(watch.Update{Records: announcements(2, "second", 3), Told: true, Next: 5})
-		life, known := host.peers.Life("host-1")
+		host.peers.Apply(watch.Update{Records: announcements(2, "second", 3), FromPeer: true, Next: 5})
+		life, known := host.peers.Incarnation("host-1")
 		Expect(known).To(BeTrue())
 		Expect(life).To(Equal("second"))
 		Expect(host.takeLives(host.peers.Current())).To(BeTrue())
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -34,8 +34,8 @@
 	finishTimeout = 50 * time.Millisecond
 )
 
-// ErrNotAllTaken means that connections still waited to be taken when the listener was closed; they are reset.
-var ErrNotAllTaken = errors.New("connections still waited to be taken")
+// ErrConnectionsNotAccepted means that connections still waited to be taken when the listener was closed; they are reset.
+var ErrConnectionsNotAccepted = errors.New("connections still waited to be taken")
 
 // stop serves what the balancer still sends, lets each connection end with its next answer, and returns
 // when none is left or the grace has passed.
@@ -69,8 +69,8 @@
 	close(host.over)
 }
 
-// Over is closed when the process has to end, whatever it still waits for, since its grace is all but over.
-func (host *Host) Over() <-chan struct{} {
+// MustExit is closed when the process has to end, whatever it still waits for, since its grace is all but over.
+func (host *Host) MustExit() <-chan struct{} {
 	return host.over
 }
 
@@ -109,7 +109,7 @@
 		return err
 	case <-ctx.Done():
 		_ = host.listener.Close()
-		return errors.WithStack(ErrNotAllTaken)
+		return errors.WithStack(ErrConnectionsNotAccepted)
 	}
 }
 
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -208,7 +208,7 @@
 		stopping.clock.Advance(stopsGrace - endMargin - withdrawTimeout/2)
 		closed := func() []observer.LoggedEntry { return stopping.logged.FilterMessage(events.EntryClosed.Text).All() }
 		Eventually(closed, generous).Should(HaveLen(1))
-		Expect(closed()[0].ContextMap()).NotTo(HaveKeyWithValue("Error", ErrNotAllTaken.Error()))
+		Expect(closed()[0].ContextMap()).NotTo(HaveKeyWithValue("Error", ErrConnectionsNotAccepted.Error()))
 		Eventually(stopping.ended, generous).Should(BeClosed())
 	})
 })
--- a/entry/tend.go
+++ b/entry/tend.go
@@ -53,7 +53,7 @@
 				ready.Stop()
 			}
 		case <-settle.C:
-			host.upstreams.Settle()
+			host.upstreams.RemoveMissing()
 			host.heard()
 			host.countUnreadable()
 			host.countUnused()
@@ -77,7 +77,7 @@
 // whether it is.
 func (host *Host) noteReady() bool {
 	_, known := host.routes.Current()
-	if !known || !host.topics.operator.Applied() || !host.topics.upstreams.Applied() || !host.knowsDenied() {
+	if !known || !host.topics.operator.HasAppliedSnapshot() || !host.topics.upstreams.HasAppliedSnapshot() || !host.knowsDenied() {
 		return false
 	}
 	host.ready.Store(true)
@@ -113,9 +113,9 @@
 	for name, topic := range map[string]*watch.Follower{
 		topicSettings: host.topics.operator, topicUpstreams: host.topics.upstreams, topicHosts: host.topics.hosts, topicSpans: host.topics.spans,
 	} {
-		count := topic.Unreadable()
+		count := topic.UnreadableCount()
 		if name == topicUpstreams {
-			count += host.upstreams.Refused()
+			count += host.upstreams.InvalidCount()
 		}
 		host.scope.Tagged(map[string]string{"topic": name}).Gauge("unreadable_records").Update(float64(count))
 	}
--- a/entry/told_bench_test.go
+++ b/entry/told_bench_test.go
@@ -10,14 +10,14 @@
 // benchHosts is how many hosts start at the same moment.
 const benchHosts = 195
 
-// BenchmarkToldHosts is what a host does with the announcements of all others that start with it, one by one.
-func BenchmarkToldHosts(b *testing.B) {
+// BenchmarkHostAnnouncements is what a host does with the announcements of all others that start with it, one by one.
+func BenchmarkHostAnnouncements(b *testing.B) {
 	first := announcements(benchHosts, "first", 0)
 	second := announcements(benchHosts, "second", benchHosts)
 	b.ReportAllocs()
 	for b.Loop() {
 		host := bareHost(nil)
-		host.topics.hosts.Told(first)
+		host.topics.hosts.ApplyReceived(first)
 		for _, record := range second {
 			host.told(share.Announcement{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
 		}
--- a/entry/usable.go
+++ b/entry/usable.go
@@ -40,7 +40,7 @@
 func (host *Host) putUpstreamsInForce() {
 	host.usable.mutex.Lock()
 	defer host.usable.mutex.Unlock()
-	if !host.zones.Known() {
+	if !host.zones.HasRead() {
 		return
 	}
 	listed := host.upstreams.Current()
@@ -66,7 +66,7 @@
 	closedAt := state.Since
 	routes, _ := host.routes.Current()
 	switch {
-	case state.AtStart:
+	case state.FoundAtStart:
 		closedAt = closedAt.Add(-longAgo)
 	case routes.Services[upstream.Service].Keyed:
 		closedAt = closedAt.Add(part(host.currentBounds().Evacuate, handoverShare))
--- a/entry/world.go
+++ b/entry/world.go
@@ -36,22 +36,22 @@
 
 // IsReplaced implements grants.World.
 func (world *world) IsReplaced(id, address string) bool {
-	return world.host.upstreams.Replaced(id, address)
+	return world.host.upstreams.IsReplaced(id, address)
 }
 
 // NotifyEnded implements grants.World.
 func (world *world) NotifyEnded(id string) {
-	world.host.upstreams.End(id)
+	world.host.upstreams.MarkEnded(id)
 }
 
 // RereadTable implements grants.World.
 func (world *world) RereadTable() {
-	world.host.topics.spans.Nudge()
+	world.host.topics.spans.TriggerRead()
 }
 
 // StoreAvailableFor implements grants.World.
 func (world *world) StoreAvailableFor() time.Duration {
-	if !world.host.topics.spans.Known() {
+	if !world.host.topics.spans.HasRead() {
 		return 0
 	}
 	return world.host.storeWell()
@@ -59,8 +59,8 @@
 
 // PeerIncarnation implements grants.World.
 func (world *world) PeerIncarnation(name string) (string, time.Duration, bool) {
-	life, known := world.host.peers.Life(name)
-	return life, world.host.peers.Age(name), known
+	life, known := world.host.peers.Incarnation(name)
+	return life, world.host.peers.RecordAge(name), known
 }
 
 // Rank implements grants.World.
@@ -80,14 +80,14 @@
 
 // IsCorrupt implements grants.Table.
 func (table *ownTable) IsCorrupt() bool {
-	return table.host.spans.Garbled()
+	return table.host.spans.IsCorrupt()
 }
 
 // ApplyOwnWrite implements grants.Table.
 func (table *ownTable) ApplyOwnWrite(value []byte, offset int64) {
 	record := cherrykeel.KeyedRecord{Key: watch.SpansKey, Value: value, Offset: offset}
 	before, _, _ := table.host.spans.Current()
-	table.host.topics.spans.Told([]cherrykeel.KeyedRecord{record})
+	table.host.topics.spans.ApplyReceived([]cherrykeel.KeyedRecord{record})
 	after, _, _ := table.host.spans.Current()
 	if after.Version == offset {
 		table.host.tellSpans(after.Diff(before), before.Version)
--- a/hangup/hangup.go
+++ b/hangup/hangup.go
@@ -14,12 +14,12 @@
 	signal.Notify(taken, syscall.SIGHUP)
 }
 
-// Taken gives a value after the signal has come.
-func Taken() <-chan os.Signal {
+// Signals gives a value after the signal has come.
+func Signals() <-chan os.Signal {
 	return taken
 }
 
-// Release lets the signal end the process, as is usual when a terminal is closed.
-func Release() {
+// RestoreDefault lets the signal end the process, as is usual when a terminal is closed.
+func RestoreDefault() {
 	signal.Reset(syscall.SIGHUP)
 }
--- a/hangup/hangup_test.go
+++ b/hangup/hangup_test.go
@@ -20,6 +20,6 @@
 	// Guards against a host that is told of new settings while it starts, and ends by the signal.
 	It("takes the signal without a call", func() {
 		Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
-		Eventually(hangup.Taken(), "10s").Should(Receive(Equal(syscall.SIGHUP)))
+		Eventually(hangup.Signals(), "10s").Should(Receive(Equal(syscall.SIGHUP)))
 	})
 })
--- a/watch/follow.go
+++ b/watch/follow.go
@@ -28,23 +28,23 @@
 type Schedule struct {
 	// Wait lets a read wait for a record, so that a change is known as soon as it is there.
 	Wait time.Duration
-	// Pace is the time from one read to the next.
-	Pace time.Duration
-	// Look is how soon another schedule has to be noticed, nudgePace at the least.
-	Look time.Duration
-	// Patience is by how much the waits between tries are longer while the store is away; at least 1.
-	Patience int
+	// Interval is the time from one read to the next.
+	Interval time.Duration
+	// RecheckInterval is how soon another schedule has to be noticed, nudgePace at the least.
+	RecheckInterval time.Duration
+	// BackoffFactor is by how much the waits between tries are longer while the store is away; at least 1.
+	BackoffFactor int
 }
 
 // Update is what a topic brought.
 type Update struct {
 	Records []cherrykeel.KeyedRecord
-	// Whole says that the records are the newest of all keys there are.
-	Whole bool
+	// Snapshot says that the records are the newest of all keys there are.
+	Snapshot bool
 	// Next is the offset that the next record will get.
 	Next int64
-	// Told says that another host has read the records, and some of them may have been left out.
-	Told bool
+	// FromPeer says that another host has read the records, and some of them may have been left out.
+	FromPeer bool
 }
 
 // Follower reads a topic from its newest records on.
@@ -102,7 +102,7 @@
 
 // recover waits until the next try. Who has more patience than others is nudged when one of them reports a change.
 func (follower *Follower) recover(ctx context.Context, pause time.Duration) {
-	patience := time.Duration(max(1, follower.schedule().Patience))
+	patience := time.Duration(max(1, follower.schedule().BackoffFactor))
 	wait(ctx, pause)
 	follower.sleep(ctx, (patience-1)*pause)
 }
@@ -113,11 +113,11 @@
 	begun := follower.clock.Now()
 	for ctx.Err() == nil {
 		schedule := follower.schedule()
-		left := schedule.Pace - follower.clock.Now().Sub(begun)
+		left := schedule.Interval - follower.clock.Now().Sub(begun)
 		if left <= 0 {
 			return
 		}
-		if follower.sleep(ctx, min(left, max(schedule.Look, nudgePace))) {
+		if follower.sleep(ctx, min(left, max(schedule.RecheckInterval, nudgePace))) {
 			wait(ctx, nudgePace-follower.clock.Now().Sub(begun))
 			return
 		}
@@ -136,9 +136,9 @@
 	}
 }
 
-// Nudge makes the follower read now, also when it waits for an answer; a waiting read can hang on a
+// TriggerRead makes the follower read now, also when it waits for an answer; a waiting read can hang on a
 // connection that went silent.
-func (follower *Follower) Nudge() {
+func (follower *Follower) TriggerRead() {
 	follower.mutex.Lock()
 	now := follower.clock.Now()
 	tooSoon := now.Sub(follower.nudgedAt) < nudgePace
@@ -156,8 +156,8 @@
 	}
 }
 
-// Told takes records that another host has read; they count as read if nothing is missing between.
-func (follower *Follower) Told(records []cherrykeel.KeyedRecord) {
+// ApplyReceived takes records that another host has read; they count as read if nothing is missing between.
+func (follower *Follower) ApplyReceived(records []cherrykeel.KeyedRecord) {
 	follower.mutex.Lock()
 	for _, record := range records {
 		if follower.known && record.Offset == follower.next {
@@ -166,7 +166,7 @@
 	}
 	next := follower.next
 	follower.mutex.Unlock()
-	follower.apply(Update{Records: records, Next: next, Told: true})
+	follower.apply(Update{Records: records, Next: next, FromPeer: true})
 }
 
 // sleep reports whether it was ended by a nudge.
@@ -248,7 +248,7 @@
 		return nil
 	}
 	follower.noteUnreadable(batch.Unreadable)
-	follower.apply(Update{Records: batch.Records, Whole: true, Next: batch.Next})
+	follower.apply(Update{Records: batch.Records, Snapshot: true, Next: batch.Next})
 	follower.mutex.Lock()
 	follower.applied = true
 	follower.mutex.Unlock()
--- a/watch/fresh.go
+++ b/watch/fresh.go
@@ -15,13 +15,13 @@
 	halfSpread = 3
 )
 
-// Overdue reports whether a host has to read for itself, since what it knows of a topic is too old for a
+// IsReadOverdue reports whether a host has to read for itself, since what it knows of a topic is too old for a
 // change that has to be known within bound. Rank is its place among the hosts that could read, from 0; age
 // is the time since the youngest read that it knows of, its own or another host's, was begun.
 //
 // It does not matter how many readers were lost, nor why: a reader that hangs, is cut off or dies tells no
 // young reads any more, and each host that is left notices by itself within the bound.
-func Overdue(bound time.Duration, rank int, age time.Duration) bool {
+func IsReadOverdue(bound time.Duration, rank int, age time.Duration) bool {
 	place := float64(rank) / float64(rank+halfSpread)
 	limit := float64(bound) * (overdueShare + spreadShare*place)
 	return float64(age) >= limit
--- a/watch/fresh_test.go
+++ b/watch/fresh_test.go
@@ -41,7 +41,7 @@
 	if rank == 0 {
 		return closePace
 	}
-	if watch.Overdue(drainBound, rank, age) {
+	if watch.IsReadOverdue(drainBound, rank, age) {
 		return 0
 	}
 	return seldomPace
@@ -127,9 +127,9 @@
 
 	It("lets the first ranks read first", func() {
 		for rank := range 90 {
-			Expect(watch.Overdue(drainBound, rank, drainBound*3/4)).To(BeTrue())
+			Expect(watch.IsReadOverdue(drainBound, rank, drainBound*3/4)).To(BeTrue())
 		}
-		Expect(watch.Overdue(drainBound, 1, drainBound/2)).To(BeFalse())
-		Expect(watch.Overdue(drainBound, 0, drainBound/2)).To(BeTrue())
+		Expect(watch.IsReadOverdue(drainBound, 1, drainBound/2)).To(BeFalse())
+		Expect(watch.IsReadOverdue(drainBound, 0, drainBound/2)).To(BeTrue())
 	})
 })
--- a/watch/known.go
+++ b/watch/known.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Unreadable returns how many records of the topic could not be read.
-func (follower *Follower) Unreadable() int64 {
+// UnreadableCount returns how many records of the topic could not be read.
+func (follower *Follower) UnreadableCount() int64 {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.unreadable
@@ -76,23 +76,23 @@
 	return follower.clock.Now().Sub(follower.currentAt), true
 }
 
-// Known reports whether the topic has been read since the start.
-func (follower *Follower) Known() bool {
+// HasRead reports whether the topic has been read since the start.
+func (follower *Follower) HasRead() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.known
 }
 
-// Applied reports whether all that the topic had at the start is in force. Of many records that takes a while after they
+// HasAppliedSnapshot reports whether all that the topic had at the start is in force. Of many records that takes a while after they
 // were read, and who counted as ready in it refused all callers.
-func (follower *Follower) Applied() bool {
+func (follower *Follower) HasAppliedSnapshot() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.applied
 }
 
-// WellFor returns how long the topic has been read without a failure; 0 while it is not.
-func (follower *Follower) WellFor() time.Duration {
+// AvailableFor returns how long the topic has been read without a failure; 0 while it is not.
+func (follower *Follower) AvailableFor() time.Duration {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	if follower.lost || !follower.known {
@@ -101,15 +101,15 @@
 	return follower.clock.Now().Sub(follower.wellSince)
 }
 
-// Lost reports whether the last read failed.
-func (follower *Follower) Lost() bool {
+// IsUnavailable reports whether the last read failed.
+func (follower *Follower) IsUnavailable() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.lost
 }
 
-// Next returns the offset that the next record will get, as far as is known.
-func (follower *Follower) Next() int64 {
+// NextOffset returns the offset that the next record will get, as far as is known.
+func (follower *Follower) NextOffset() int64 {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.next
--- a/watch/newest.go
+++ b/watch/newest.go
@@ -32,7 +32,7 @@
 
 // tellRead tells records, unless they were told to this host.
 func (newest *newest) tellRead(update Update, records ...cherrykeel.KeyedRecord) {
-	if update.Told {
+	if update.FromPeer {
 		return
 	}
 	for _, record := range records {
--- a/watch/peers.go
+++ b/watch/peers.go
@@ -56,7 +56,7 @@
 		return
 	}
 	peers.change()
-	if update.Told || update.Whole {
+	if update.FromPeer || update.Snapshot {
 		return
 	}
 	for _, record := range news {
@@ -126,16 +126,16 @@
 	return all
 }
 
-// Life returns a host's life; false if it has not announced itself.
-func (peers *Peers) Life(name string) (string, bool) {
+// Incarnation returns a host's life; false if it has not announced itself.
+func (peers *Peers) Incarnation(name string) (string, bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	peer, known := peers.peers[name]
 	return peer.Incarnation, known
 }
 
-// Age returns how long ago a host's record was read.
-func (peers *Peers) Age(name string) time.Duration {
+// RecordAge returns how long ago a host's record was read.
+func (peers *Peers) RecordAge(name string) time.Duration {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	return peers.clock.Now().Sub(peers.since[name])
--- a/watch/replaced_test.go
+++ b/watch/replaced_test.go
@@ -21,9 +21,9 @@
 			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: born[id]}, nil
 		}
 		view := watch.NewUpstreams(decode, cherrykeel.SystemClock(), zap.NewNop(), func() {}, func([]cherrykeel.KeyedRecord, int64) {})
-		view.SetHealth(func() time.Duration { return time.Hour })
-		view.Apply(watch.Update{Whole: true, Records: []cherrykeel.KeyedRecord{record("later", "10.0.0.1:1", 190), record("earlier", "10.0.0.1:1", 200)}})
-		Expect(view.Replaced("later", "10.0.0.1:1")).To(BeFalse())
+		view.SetTopicAvailability(func() time.Duration { return time.Hour })
+		view.Apply(watch.Update{Snapshot: true, Records: []cherrykeel.KeyedRecord{record("later", "10.0.0.1:1", 190), record("earlier", "10.0.0.1:1", 200)}})
+		Expect(view.IsReplaced("later", "10.0.0.1:1")).To(BeFalse())
 	})
 })
 
@@ -38,11 +38,11 @@
 			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: born[id]}, nil
 		}
 		view := watch.NewUpstreams(decode, cherrykeel.SystemClock(), zap.NewNop(), func() {}, func([]cherrykeel.KeyedRecord, int64) {})
-		view.SetHealth(func() time.Duration { return time.Hour })
-		view.Apply(watch.Update{Whole: true, Next: 6, Records: []cherrykeel.KeyedRecord{record("earlier", "10.0.0.1:1", 5)}})
+		view.SetTopicAvailability(func() time.Duration { return time.Hour })
+		view.Apply(watch.Update{Snapshot: true, Next: 6, Records: []cherrykeel.KeyedRecord{record("earlier", "10.0.0.1:1", 5)}})
 		view.Apply(watch.Update{Next: 8, Records: []cherrykeel.KeyedRecord{{Key: "earlier", Offset: 7}}})
 		view.Apply(watch.Update{Next: 10, Records: []cherrykeel.KeyedRecord{record("later", "10.0.0.1:1", 9)}})
 		Expect(view.Current()).To(HaveLen(1))
-		Expect(view.Replaced("later", "10.0.0.1:1")).To(BeFalse())
+		Expect(view.IsReplaced("later", "10.0.0.1:1")).To(BeFalse())
 	})
 })
--- a/watch/table.go
+++ b/watch/table.go
@@ -54,8 +54,8 @@
 	return &Spans{longest: func() time.Duration { return longestHold }, clock: clock, logger: logger, change: change, tell: tell, table: spans.Table{Version: -1, Term: -1}}
 }
 
-// Wrote takes a table that this host has written.
-func (view *Spans) Wrote(value []byte, offset int64) {
+// ApplyOwnWrite takes a table that this host has written.
+func (view *Spans) ApplyOwnWrite(value []byte, offset int64) {
 	view.Apply(Update{Records: []cherrykeel.KeyedRecord{{Key: SpansKey, Value: value, Offset: offset}}, Next: offset + 1})
 }
 
@@ -67,7 +67,7 @@
 		view.take(record)
 		view.next = max(view.next, record.Offset+1)
 	}
-	if !update.Told {
+	if !update.FromPeer {
 		// What others tell is newer than nothing, but only a read of one's own shows that nothing is newer.
 		view.next = max(view.next, update.Next)
 		view.known = true
@@ -78,14 +78,14 @@
 		return
 	}
 	view.change()
-	if !update.Told {
+	if !update.FromPeer {
 		view.tell(table.Diff(before), before.Version)
 	}
 }
 
-// Patch takes a change that another host told, if it follows the version known; it reports whether the
+// ApplyChange takes a change that another host told, if it follows the version known; it reports whether the
 // table is at the change's version now.
-func (view *Spans) Patch(change spans.Table, before int64) bool {
+func (view *Spans) ApplyChange(change spans.Table, before int64) bool {
 	view.mutex.Lock()
 	if change.Version <= view.table.Version {
 		view.mutex.Unlock()
@@ -133,16 +133,16 @@
 	return view.table.Version
 }
 
-// Garbled reports whether the newest record in the table's place cannot be read. Its keeper knows the table and
+// IsCorrupt reports whether the newest record in the table's place cannot be read. Its keeper knows the table and
 // writes it again.
-func (view *Spans) Garbled() bool {
+func (view *Spans) IsCorrupt() bool {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	return view.garbled
 }
 
-// SetLongestHold tells where the longest hold is read.
-func (view *Spans) SetLongestHold(longest func() time.Duration) {
+// SetMaxLeaseDuration tells where the longest hold is read.
+func (view *Spans) SetMaxLeaseDuration(longest func() time.Duration) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	view.longest = longest
--- a/watch/table_test.go
+++ b/watch/table_test.go
@@ -23,7 +23,7 @@
 			table := spans.Table{Services: map[string][]spans.Owned{"s": {{First: 0, Last: cherrykeel.MaxKey, Owner: owner, Fence: offset}}}}
 			value, err := table.Encode()
 			Expect(err).NotTo(HaveOccurred())
-			view.Wrote(value, offset)
+			view.ApplyOwnWrite(value, offset)
 		}
 		write("a", 1)
 		clock.Advance(time.Second)
@@ -46,7 +46,7 @@
 		view := watch.NewSpans(clock, zap.NewNop(), func() {}, func(spans.Table, int64) {})
 		for offset, value := range []string{`{}`, `[]`, `{"Term":-3}`, `{"Term":0,"Services":{"s":[{"First":9,"Last":3,"Owner":"a"}]}}`, "\xff"} {
 			view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{{Key: watch.SpansKey, Value: []byte(value), Offset: int64(offset)}}, Next: int64(offset) + 1})
-			Expect(view.Garbled()).To(BeTrue(), value)
+			Expect(view.IsCorrupt()).To(BeTrue(), value)
 		}
 		_, _, known := view.Current()
 		Expect(known).To(BeFalse())
@@ -76,12 +76,12 @@
 		}
 		Expect(told).To(HaveLen(3))
 		reader := watch.NewSpans(clock, zap.NewNop(), func() {}, func(spans.Table, int64) {})
-		Expect(reader.Patch(told[0], befores[0])).To(BeTrue())
-		Expect(reader.Patch(told[2], befores[2])).To(BeFalse(), "the second was lost")
+		Expect(reader.ApplyChange(told[0], befores[0])).To(BeTrue())
+		Expect(reader.ApplyChange(told[2], befores[2])).To(BeFalse(), "the second was lost")
 		Expect(reader.Owner("s", 7).ID).To(Equal("a"))
-		Expect(reader.Patch(told[1], befores[1])).To(BeTrue())
-		Expect(reader.Patch(told[2], befores[2])).To(BeTrue())
-		Expect(reader.Patch(told[1], befores[1])).To(BeTrue(), "one that comes again changes nothing")
+		Expect(reader.ApplyChange(told[1], befores[1])).To(BeTrue())
+		Expect(reader.ApplyChange(told[2], befores[2])).To(BeTrue())
+		Expect(reader.ApplyChange(told[1], befores[1])).To(BeTrue(), "one that comes again changes nothing")
 		want, _, _ := writer.Current()
 		got, _, _ := reader.Current()
 		Expect(got).To(Equal(want))
--- a/watch/upstreams.go
+++ b/watch/upstreams.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// SetHealth tells where the topic's health is read.
-func (upstreams *Upstreams) SetHealth(wellFor func() time.Duration) {
+// SetTopicAvailability tells where the topic's health is read.
+func (upstreams *Upstreams) SetTopicAvailability(wellFor func() time.Duration) {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	upstreams.wellFor = wellFor
@@ -88,7 +88,7 @@
 	listed := map[string]bool{}
 	for _, record := range update.Records {
 		listed[record.Key] = true
-		if update.Told && len(record.Value) == 0 {
+		if update.FromPeer && len(record.Value) == 0 {
 			changed = upstreams.end(record.Key, record.Offset) || changed
 			continue
 		}
@@ -96,12 +96,12 @@
 			changed = upstreams.drop(record.Key, record.Offset) || changed
 			continue
 		}
-		changed = upstreams.put(record, update.Whole) || changed
+		changed = upstreams.put(record, update.Snapshot) || changed
 	}
-	if update.Whole {
+	if update.Snapshot {
 		changed = upstreams.dropUnlisted(listed) || changed
 	}
-	if update.Told {
+	if update.FromPeer {
 		upstreams.untold = nil
 	}
 	upstreams.changed(changed)
@@ -150,8 +150,8 @@
 		zap.Duration("StoreWell", well), zap.Int64("Offset", entry.offset))
 }
 
-// Settle lets missing entries go whose upstreams had time to come back.
-func (upstreams *Upstreams) Settle() {
+// RemoveMissing lets missing entries go whose upstreams had time to come back.
+func (upstreams *Upstreams) RemoveMissing() {
 	upstreams.mutex.Lock()
 	changed := false
 	for _, entry := range upstreams.entries {
@@ -178,8 +178,8 @@
 	return upstreams.list
 }
 
-// End takes it that an upstream's process has ended: another one has answered at its address.
-func (upstreams *Upstreams) End(id string) {
+// MarkEnded takes it that an upstream's process has ended: another one has answered at its address.
+func (upstreams *Upstreams) MarkEnded(id string) {
 	upstreams.mutex.Lock()
 	old, known := upstreams.entries[id]
 	changed := known && !old.ended
@@ -192,24 +192,24 @@
 	upstreams.changed(changed)
 }
 
-// Leaving reports whether a life of an upstream has said that it leaves, also after its end.
-func (upstreams *Upstreams) Leaving(id string, born int64) bool {
+// IsLeaving reports whether a life of an upstream has said that it leaves, also after its end.
+func (upstreams *Upstreams) IsLeaving(id string, born int64) bool {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	known, exists := upstreams.entries[id]
 	return exists && known.upstream.StartedAt == born && known.upstream.Leaving
 }
 
-// Refused returns how many entries named no upstream.
-func (upstreams *Upstreams) Refused() int64 {
+// InvalidCount returns how many entries named no upstream.
+func (upstreams *Upstreams) InvalidCount() int64 {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	return upstreams.refused
 }
 
-// Replaced reports whether another upstream has registered at the address after the given one, or has answered there: its
+// IsReplaced reports whether another upstream has registered at the address after the given one, or has answered there: its
 // process has therefore ended.
-func (upstreams *Upstreams) Replaced(id, address string) bool {
+func (upstreams *Upstreams) IsReplaced(id, address string) bool {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	this, known := upstreams.entries[id]
--- a/watch/upstreams_test.go
+++ b/watch/upstreams_test.go
@@ -33,8 +33,8 @@
 				told = append(told, records...)
 				before = after
 			})
-		view.SetHealth(func() time.Duration { return well })
-		view.Apply(watch.Update{Whole: true, Records: []cherrykeel.KeyedRecord{record("a", "10.0.0.1:1", 1), record("b", "10.0.0.2:1", 2)}})
+		view.SetTopicAvailability(func() time.Duration { return well })
+		view.Apply(watch.Update{Snapshot: true, Records: []cherrykeel.KeyedRecord{record("a", "10.0.0.1:1", 1), record("b", "10.0.0.2:1", 2)}})
 	})
 
 	names := func() []string {
@@ -55,21 +55,21 @@
 	// seconds of the store's return. Taken for gone, all servers would lose their requests at once.
 	It("stay for a while when their entry lapsed in the store's trouble", func() {
 		well = 100 * time.Millisecond
-		view.Apply(watch.Update{Whole: true, Next: 9, Records: []cherrykeel.KeyedRecord{record("b", "10.0.0.2:1", 8)}})
+		view.Apply(watch.Update{Snapshot: true, Next: 9, Records: []cherrykeel.KeyedRecord{record("b", "10.0.0.2:1", 8)}})
 		Expect(names()).To(Equal([]string{"a", "b"}))
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "10.0.0.1:1", 9)}})
 		well = 3 * time.Second
-		view.Settle()
+		view.RemoveMissing()
 		Expect(names()).To(Equal([]string{"a", "b"}))
 	})
 
 	It("go when the store has been back for long enough and they are not", func() {
 		well = 100 * time.Millisecond
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "", 3)}})
-		view.Settle()
+		view.RemoveMissing()
 		Expect(names()).To(Equal([]string{"a", "b"}))
 		well = 3 * time.Second
-		view.Settle()
+		view.RemoveMissing()
 		Expect(names()).To(Equal([]string{"b"}))
 	})
 
@@ -82,8 +82,8 @@
 	It("are not ended by the lapse of an earlier life at their address", func() {
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("c", "10.0.0.1:1", 5)}})
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "", 9)}})
-		Expect(view.Replaced("a", "10.0.0.1:1")).To(BeTrue())
-		Expect(view.Replaced("c", "10.0.0.1:1")).To(BeFalse())
+		Expect(view.IsReplaced("a", "10.0.0.1:1")).To(BeTrue())
+		Expect(view.IsReplaced("c", "10.0.0.1:1")).To(BeFalse())
 	})
 
 	// A server crashes and starts again under its ID, knowing nothing. A late word of its earlier life, that it
@@ -100,12 +100,12 @@
 			view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", value, offset)}})
 		}
 		apply(`{"Born":100}`, 1)
-		view.End("a")
+		view.MarkEnded("a")
 		apply(`{"Born":100}`, 2)
 		Expect(names()).To(BeEmpty())
 		apply(`{"Born":200}`, 3)
 		Expect(names()).To(Equal([]string{"a"}))
-		Expect(view.Replaced("a", "")).To(BeFalse())
+		Expect(view.IsReplaced("a", "")).To(BeFalse())
 		apply(`{"Born":100,"Leaving":true}`, 4)
 		Expect(view.Current()).To(Equal([]cherrykeel.Upstream{{ID: "a", StartedAt: 200}}))
 	})
@@ -118,13 +118,13 @@
 			return cherrykeel.Upstream{ID: id}, nil
 		}, cherrykeel.SystemClock(), zap.NewNop(), func() {}, func([]cherrykeel.KeyedRecord, int64) {})
 		whole := []cherrykeel.KeyedRecord{record("a", "1", 1), record("b", "1", 2)}
-		view.Apply(watch.Update{Whole: true, Records: whole})
+		view.Apply(watch.Update{Snapshot: true, Records: whole})
 		whole = []cherrykeel.KeyedRecord{record("a", "?", 3), record("b", "1", 2), record("c", "?", 4)}
-		view.Apply(watch.Update{Whole: true, Records: whole})
+		view.Apply(watch.Update{Snapshot: true, Records: whole})
 		Expect(names()).To(Equal([]string{"a", "b"}))
-		Expect(view.Refused()).To(Equal(int64(2)))
-		view.Apply(watch.Update{Whole: true, Records: whole})
-		Expect(view.Refused()).To(Equal(int64(2)), "each is counted once")
+		Expect(view.InvalidCount()).To(Equal(int64(2)))
+		view.Apply(watch.Update{Snapshot: true, Records: whole})
+		Expect(view.InvalidCount()).To(Equal(int64(2)), "each is counted once")
 	})
 
 	It("tell of a change together with the one before", func() {
@@ -144,19 +144,19 @@
 
 	It("go on another host's word, unless this host has read of them since", func() {
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("b", "10.0.0.2:1", 7)}})
-		view.Apply(watch.Update{Told: true, Records: []cherrykeel.KeyedRecord{record("a", "", 1), record("b", "", 2)}})
+		view.Apply(watch.Update{FromPeer: true, Records: []cherrykeel.KeyedRecord{record("a", "", 1), record("b", "", 2)}})
 		Expect(names()).To(Equal([]string{"b"}))
 	})
 
 	// Another server answers at the address. The one before has ended whatever its entry says, holds no key
 	// any more, and does not come back with a late heartbeat.
 	It("end when another one answers at their address", func() {
-		view.End("a")
+		view.MarkEnded("a")
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "10.0.0.1:1", 9)}})
 		Expect(names()).To(Equal([]string{"b"}))
-		Expect(view.Replaced("a", "10.0.0.1:1")).To(BeTrue())
-		Expect(view.Replaced("b", "10.0.0.2:1")).To(BeFalse())
+		Expect(view.IsReplaced("a", "10.0.0.1:1")).To(BeTrue())
+		Expect(view.IsReplaced("b", "10.0.0.2:1")).To(BeFalse())
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("c", "10.0.0.2:1", 11)}})
-		Expect(view.Replaced("b", "10.0.0.2:1")).To(BeTrue())
+		Expect(view.IsReplaced("b", "10.0.0.2:1")).To(BeTrue())
 	})
 })
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -104,11 +104,11 @@
 		}
 		log.mutex.Unlock()
 		time.Sleep(120 * time.Millisecond)
-		follower.Nudge()
+		follower.TriggerRead()
 		var update watch.Update
 		Eventually(updates, generous).Should(Receive(&update))
 		Expect(update.Records[0].Offset).To(Equal(int64(5)))
-		Expect(follower.WellFor()).NotTo(BeZero(), "an interrupted read says nothing of the store")
+		Expect(follower.AvailableFor()).NotTo(BeZero(), "an interrupted read says nothing of the store")
 	})
 
 	// A host of a sixth of a core needs a tenth of a second to put 659 upstreams in force. Guards against one that is ready
@@ -119,15 +119,15 @@
 		follower := watch.NewFollower("topic", log, cherrykeel.SystemClock(), zap.NewNop(), func(watch.Update) {
 			close(begun)
 			<-release
-		}, func() watch.Schedule { return watch.Schedule{Pace: time.Hour} })
+		}, func() watch.Schedule { return watch.Schedule{Interval: time.Hour} })
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go follower.Run(ctx)
 		Eventually(begun, generous).Should(BeClosed())
-		Expect(follower.Known()).To(BeTrue())
-		Expect(follower.Applied()).To(BeFalse())
+		Expect(follower.HasRead()).To(BeTrue())
+		Expect(follower.HasAppliedSnapshot()).To(BeFalse())
 		close(release)
-		Eventually(follower.Applied, generous).Should(BeTrue())
+		Eventually(follower.HasAppliedSnapshot, generous).Should(BeTrue())
 	})
 
 	// A host is nudged when another one reports a change, however seldom it looks for a closer schedule by itself.
@@ -140,14 +140,14 @@
 		}
 		follower := watch.NewFollower("topic", log, cherrykeel.SystemClock(), zap.NewNop(), func(watch.Update) {}, func() watch.Schedule {
 			looks.Add(1)
-			return watch.Schedule{Pace: 2 * time.Hour, Look: time.Hour}
+			return watch.Schedule{Interval: 2 * time.Hour, RecheckInterval: time.Hour}
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go follower.Run(ctx)
 		Eventually(looks.Load, generous).Should(Equal(int64(1)))
 		Consistently(looks.Load, "300ms").Should(Equal(int64(1)))
-		follower.Nudge()
+		follower.TriggerRead()
 		Eventually(reads, generous).Should(Receive())
 	})
 
@@ -158,10 +158,10 @@
 			tries.Add(1)
 			return cherrykeel.KeyedBatch{}, errors.WithStack(cherrykeel.ErrStoreUnavailable)
 		}
-		follower, _ := follow(log, watch.Schedule{Patience: 100_000})
+		follower, _ := follow(log, watch.Schedule{BackoffFactor: 100_000})
 		Eventually(tries.Load, generous).Should(Equal(int64(1)))
 		Consistently(tries.Load, "500ms").Should(Equal(int64(1)))
-		follower.Nudge()
+		follower.TriggerRead()
 		Eventually(tries.Load, generous).Should(Equal(int64(2)))
 	})
 
@@ -187,7 +187,7 @@
 		Eventually(forgotten, generous).Should(Receive())
 		Eventually(forgotten, generous).Should(Receive())
 		Consistently(updates, "30ms").ShouldNot(Receive())
-		Expect(follower.Next()).To(Equal(int64(9)))
+		Expect(follower.NextOffset()).To(Equal(int64(9)))
 	})
 
 	It("goes on by itself when the store is back, and says since when it is well", func() {
@@ -203,25 +203,25 @@
 		}
 		follower, updates := follow(log, watch.Schedule{})
 		Consistently(updates, "60ms").ShouldNot(Receive())
-		Expect(follower.Known()).To(BeFalse())
-		Expect(follower.WellFor()).To(BeZero())
+		Expect(follower.HasRead()).To(BeFalse())
+		Expect(follower.AvailableFor()).To(BeZero())
 		mutex.Lock()
 		away = false
 		mutex.Unlock()
 		Eventually(updates, generous).Should(Receive())
-		Expect(follower.Known()).To(BeTrue())
+		Expect(follower.HasRead()).To(BeTrue())
 	})
 
 	It("counts told records as read only if none is missing before them", func() {
-		follower, updates := follow(log, watch.Schedule{Pace: time.Hour})
+		follower, updates := follow(log, watch.Schedule{Interval: time.Hour})
 		Eventually(updates, generous).Should(Receive())
-		follower.Told([]cherrykeel.KeyedRecord{record("k", "2", 5), record("k", "3", 6)})
-		Expect(follower.Next()).To(Equal(int64(7)))
-		follower.Told([]cherrykeel.KeyedRecord{record("k", "5", 9)})
-		Expect(follower.Next()).To(Equal(int64(7)))
+		follower.ApplyReceived([]cherrykeel.KeyedRecord{record("k", "2", 5), record("k", "3", 6)})
+		Expect(follower.NextOffset()).To(Equal(int64(7)))
+		follower.ApplyReceived([]cherrykeel.KeyedRecord{record("k", "5", 9)})
+		Expect(follower.NextOffset()).To(Equal(int64(7)))
 		var update watch.Update
 		Eventually(updates, generous).Should(Receive(&update))
-		Expect(update.Told).To(BeTrue())
+		Expect(update.FromPeer).To(BeTrue())
 	})
 })
 
@@ -240,7 +240,7 @@
 			func(cherrykeel.KeyedRecord) { told++ })
 		routes.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("config", `{"Version":5}`, 1), record("other", "x", 2)}})
 		routes.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("config", `{"Version":4}`, 3), record("config", "{", 4)}})
-		routes.Apply(watch.Update{Told: true, Records: []cherrykeel.KeyedRecord{record("config", `{"Version":9}`, 5)}})
+		routes.Apply(watch.Update{FromPeer: true, Records: []cherrykeel.KeyedRecord{record("config", `{"Version":9}`, 5)}})
 		Expect(versions).To(Equal([]int64{5, 9}))
 		Expect(told).To(Equal(1), "only what this host read itself is passed on")
 		Expect(routes.Offset()).To(Equal(int64(5)))
--- a/watch/zones.go
+++ b/watch/zones.go
@@ -29,7 +29,7 @@
 	Offset int64
 	// Since is when this host learned of the order; AtStart says that it may have been given long before.
 	Since   cherrykeel.Instant
-	AtStart bool
+	FoundAtStart bool
 }
 
 // NewZones returns a view that knows nothing; change is called when a zone was evacuated or taken back, and when the
@@ -38,8 +38,8 @@
 	return &Zones{prefix: prefix, clock: clock, logger: logger, change: change, newest: newNewest(tell), zones: map[string]ZoneState{}}
 }
 
-// Known reports whether this host has read the topic itself: until then a zone may be evacuated without its knowledge.
-func (zones *Zones) Known() bool {
+// HasRead reports whether this host has read the topic itself: until then a zone may be evacuated without its knowledge.
+func (zones *Zones) HasRead() bool {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
 	return zones.known
@@ -76,8 +76,8 @@
 			news = append(news, order)
 		}
 	}
-	first := !zones.known && !update.Told
-	zones.known = zones.known || !update.Told
+	first := !zones.known && !update.FromPeer
+	zones.known = zones.known || !update.FromPeer
 	zones.mutex.Unlock()
 	if first || len(news) > 0 {
 		zones.change()
@@ -97,7 +97,7 @@
 			listed[zone] = true
 		}
 	}
-	if !update.Whole {
+	if !update.Snapshot {
 		return orders
 	}
 	for zone := range zones.zones {
@@ -124,12 +124,12 @@
 		return false
 	}
 	zones.zones[zone] = ZoneState{
-		Evacuated: evacuated, Offset: order.Offset, Since: zones.clock.Now(), AtStart: !zones.known && !update.Told,
+		Evacuated: evacuated, Offset: order.Offset, Since: zones.clock.Now(), FoundAtStart: !zones.known && !update.FromPeer,
 	}
 	event := events.ZoneTakenBack
 	if evacuated {
 		event = events.ZoneEvacuated
 	}
-	events.Log(zones.logger, event, zap.String("Zone", zone), zap.Int64("Offset", order.Offset), zap.Bool("Told", update.Told))
+	events.Log(zones.logger, event, zap.String("Zone", zone), zap.Int64("Offset", order.Offset), zap.Bool("Told", update.FromPeer))
 	return true
 }
--- a/watch/zones_test.go
+++ b/watch/zones_test.go
@@ -30,18 +30,18 @@
 	}
 	read := func(records ...cherrykeel.KeyedRecord) { view.Apply(watch.Update{Records: records}) }
 	hear := func(records ...cherrykeel.KeyedRecord) {
-		view.Apply(watch.Update{Records: records, Told: true})
+		view.Apply(watch.Update{Records: records, FromPeer: true})
 	}
 	whole := func(next int64, records ...cherrykeel.KeyedRecord) {
-		view.Apply(watch.Update{Records: records, Whole: true, Next: next})
+		view.Apply(watch.Update{Records: records, Snapshot: true, Next: next})
 	}
 
 	It("are known once this host has read the topic itself", func() {
 		hear(record("evacuate/a", "{}", 3))
 		Expect(evacuated("a")).To(BeTrue())
-		Expect(view.Known()).To(BeFalse())
+		Expect(view.HasRead()).To(BeFalse())
 		whole(4, record("config", "x", 1), record("evacuate/a", "{}", 3))
-		Expect(view.Known()).To(BeTrue())
+		Expect(view.HasRead()).To(BeTrue())
 		Expect(calls).To(Equal(2))
 	})
 
@@ -90,6 +90,6 @@
 	It("found at the start may have been evacuated for long", func() {
 		whole(4, record("evacuate/a", "{}", 3))
 		state, _ := view.State("a")
-		Expect(state.AtStart).To(BeTrue())
+		Expect(state.FoundAtStart).To(BeTrue())
 	})
 })
