--- a/flow/member.go
+++ b/flow/member.go
@@ -9,95 +9,100 @@
 )
 
 const (
-	// defaultProcessingTime is assumed of an upstream when no upstream of the service has answered yet.
+	// defaultProcessingTime is assumed while no upstream of the service has answered yet.
 	defaultProcessingTime = 80 * time.Millisecond
-	// answerWeight is the weight of the newest answer in the mean of an upstream's work time: with
-	// some 3 answers a second from each upstream, an upstream that turns slow shows within 2 s.
+	// answerWeight is the weight of the newest answer in the mean processing time of an upstream. With about 3 answers
+	// a second from each upstream, one that becomes slow is detected within 2 s.
 	answerWeight = 0.2
-	// queuedAnswerWeight is the weight of an answer that had to wait for a slot: how long it waited follows from
-	// counts that are up to 80 ms old, and taken in full it makes a merely busy upstream look slow.
+	// queuedAnswerWeight is the weight of an answer that had to wait for a slot. The time that it waited is estimated
+	// from counts that are up to 80 ms old; with the full weight, an upstream that is merely busy would look slow.
 	queuedAnswerWeight = 0.05
-	// lateAnswerWeight is the weight of an answer that this host has read too late.
+	// lateAnswerWeight is the weight of an answer that this host read after the request's deadline.
 	lateAnswerWeight = 0.05
-	// coldSlowdown is by how much an upstream is slower for some seconds after its start.
+	// coldSlowdown is the factor by which an upstream is slower for some seconds after its start.
 	coldSlowdown = 2
-	// failureHalfLife is how fast failures are forgotten, so that an upstream that failed is tried
-	// again: none is left without requests by what one host has seen seconds ago.
+	// failureHalfLife is the half-life of the counts of failures and answers. An upstream that failed is tried again
+	// after some seconds, so that none is left without requests because of what one host observed seconds ago.
 	failureHalfLife = 2 * time.Second
-	// minFailures is the count below which failures say nothing any more; three are forgotten after 7 s.
+	// minFailures is the decayed count of failures below which they are ignored; three failures are ignored after 7 s.
 	minFailures = 0.25
-	// failureCost is the time by which a sure failure makes an upstream look slower.
+	// failureCost is the time that is added to the cost of an upstream all of whose requests fail.
 	failureCost = 2 * time.Second
-	// connectFailurePause is how long an upstream that could not be reached gets nothing.
+	// connectFailurePause is how long an upstream gets no requests after a failed connection attempt. The pause doubles
+	// with each further failure, up to maxConnectFailurePause.
 	connectFailurePause    = 300 * time.Millisecond
 	maxConnectFailurePause = 2 * time.Second
-	// maxReportAge is how long what an upstream has told of its load with an answer is believed before the hosts' counts: these
-	// are some 200 ms old.
+	// maxReportAge is how long a load that an upstream reported with an answer takes precedence over the hosts' counts,
+	// which are about 200 ms old.
 	maxReportAge = 200 * time.Millisecond
-	// maxFreeSlotSlowness is by how much an upstream has to be slower, at this moment or in the mean, that a slot which it has told
-	// to be free is no better than others.
+	// maxFreeSlotSlowness limits the preference for a reported free slot: it does not apply if the upstream's machine
+	// is slower than usual by this factor, or if its expected processing time exceeds the service's mean by this
+	// factor.
 	maxFreeSlotSlowness = 1.5
 )
 
-// member is one upstream as this host sees it.
+// member is the state that this host keeps about one upstream.
 type member struct {
 	upstream cherrykeel.Upstream
-	// firstSendAt is when this host should have tried an upstream that joined; 0 once it has, and for those that
-	// were there before.
+	// firstSendAt is the time from which on this host sends a first request to an upstream that joined. It is 0 once a
+	// request has been sent, and for upstreams that did not join later.
 	firstSendAt cherrykeel.Instant
-	// localLoad counts this host's requests there, others what the other hosts say of theirs.
+	// localLoad counts this host's requests at the upstream, remoteLoad those of the other hosts.
 	localLoad  int
 	remoteLoad int
-	// reportedAt is when it last told its own load with an answer, and slowness how slow its machine was then.
+	// reportedAt is when the upstream last reported its load with an answer, slowness by which factor its machine was
+	// slower than usual then.
 	reportedAt cherrykeel.Instant
 	slowness   float64
-	// remoteWaiting counts the other hosts' requests that wait for this upstream alone.
+	// remoteWaiting counts the other hosts' requests that wait for this upstream as their key's owner.
 	remoteWaiting int
-	// sendWindow counts what this host sends while it is cold.
+	// sendWindow counts the requests that this host sends while the upstream is cold.
 	sendWindow cold.Window
-	// slotSample is what this host drew among the hosts that wait, since the last counts.
+	// slotSample is this host's random choice for a free slot since the last counts.
 	slotSample slotSample
-	// queue is about the queue of the requests for its keys.
+	// queue is the state of the queue of requests for this upstream's keys.
 	queue standingQueue
-	// lastSentAt is when this host last sent it a request.
+	// lastSentAt is when this host last sent the upstream a request.
 	lastSentAt cherrykeel.Instant
-	// processingTime is the mean time of one request in a slot; 0 while unknown.
+	// processingTime is the mean processing time of a request; 0 while unknown.
 	processingTime time.Duration
-	// failures is a decayed count, and so is answers.
+	// failures and answers count this host's attempts; they decay, and hold for the time decayedAt.
 	failures  float64
 	answers   float64
 	decayedAt cherrykeel.Instant
-	// connectFailures counts attempts in a row that could not reach it.
+	// connectFailures counts consecutive attempts that could not connect to the upstream.
 	connectFailures int
 	pausedUntil     cherrykeel.Instant
 }
 
+// load returns the number of requests at the upstream, from all hosts.
 func (member *member) load() int {
 	return member.localLoad + member.remoteLoad
 }
 
-// limit is how many requests may be there at once: its slots and a few in its own queue, so that a slot
-// that becomes free is used at once, though other hosts learn of it some 80 ms later.
+// limit returns how many requests may be at the upstream at once: its slots, and a few in its own queue. With these, a
+// slot that becomes free is used at once although other hosts learn of it about 80 ms later.
 func (member *member) limit() int {
 	return member.upstream.Slots + (member.upstream.Slots+2)/3
 }
 
-// rate is how many requests a second it can do.
+// rate returns how many requests a second the upstream can process.
 func (member *member) rate(serviceMean time.Duration, now cherrykeel.Instant) float64 {
 	return float64(member.upstream.Slots) / member.expectedProcessingTime(serviceMean, now).Seconds()
 }
 
-// isClosed reports whether nothing more is to be sent there, since its availability zone is evacuated.
+// isClosed reports whether the upstream gets no more requests because its availability zone is evacuated.
 func (member *member) isClosed(now cherrykeel.Instant) bool {
 	return member.upstream.EvacuateAt != 0 && now >= member.upstream.EvacuateAt
 }
 
-// isAvailable reports whether it may be sent requests, if it has room for them.
+// isAvailable reports whether the upstream may be sent requests, as far as it has capacity for them.
 func (member *member) isAvailable(now cherrykeel.Instant) bool {
 	return now >= member.pausedUntil && !member.isClosed(now)
 }
 
-// setRemoteCounts takes what the other hosts setRemoteCounts there. What the upstream itself told is newer for some time.
+// setRemoteCounts records the other hosts' counts. A fresh load report of the upstream itself is newer than their count
+// of running requests and takes precedence.
 func (member *member) setRemoteCounts(running, waiting int, now cherrykeel.Instant) {
 	if !member.hasFreshReport(now) {
 		member.remoteLoad = running
@@ -106,19 +111,21 @@
 	member.slotSample = slotSample{}
 }
 
-// recordReportedLoad takes what the upstream told of its load with an answer, which is still in it.
+// recordReportedLoad records the load that the upstream reported with an answer. The answered request is still included
+// in it.
 func (member *member) recordReportedLoad(load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
 	member.reportedAt = now
 	member.slowness = load.Slowness
 	member.remoteLoad = max(0, load.Running+load.Waiting-member.localLoad-1)
 }
 
-// hasFreshReport reports whether it told its load a moment ago.
+// hasFreshReport reports whether the upstream's last load report is fresh.
 func (member *member) hasFreshReport(now cherrykeel.Instant) bool {
 	return member.reportedAt != 0 && now.Sub(member.reportedAt) < maxReportAge
 }
 
-// hasReportedFreeSlot reports whether it told a moment ago that it has a free slot, and works at about the service's pace.
+// hasReportedFreeSlot reports whether a fresh load report shows a free slot, and the upstream neither fails nor is much
+// slower than the service's mean.
 func (member *member) hasReportedFreeSlot(serviceMean time.Duration, now cherrykeel.Instant) bool {
 	if !member.hasFreshReport(now) || member.load() >= member.upstream.Slots || member.failureRate(now) > 0 {
 		return false
@@ -126,7 +133,7 @@
 	return member.slowness < maxFreeSlotSlowness && member.expectedProcessingTime(serviceMean, now) < time.Duration(maxFreeSlotSlowness*float64(serviceMean))
 }
 
-// canAccept reports whether a request may go there now.
+// canAccept reports whether a request may be sent to the upstream now.
 func (member *member) canAccept(uncertainty *uncertainty, now cherrykeel.Instant) bool {
 	if member.upstream.IsColdLimited(now) && !member.sendWindow.Allows(member.upstream.ColdQuota, now) {
 		return false
@@ -134,7 +141,8 @@
 	return member.isAvailable(now) && member.load() < member.limit()+uncertainty.extraRoom(member.upstream.Slots)
 }
 
-// expectedProcessingTime is the expected time of one request in a slot.
+// expectedProcessingTime returns the expected processing time of a request. serviceMean is used for an upstream that
+// has not answered yet.
 func (member *member) expectedProcessingTime(serviceMean time.Duration, now cherrykeel.Instant) time.Duration {
 	expected := member.processingTime
 	if expected == 0 {
@@ -146,14 +154,14 @@
 	return expected
 }
 
-// expectedTime is how long a request that is sent now will take there.
+// expectedTime returns the expected time until the answer of a request that is sent now.
 func (member *member) expectedTime(serviceMean time.Duration, now cherrykeel.Instant) time.Duration {
 	processingTime := member.expectedProcessingTime(serviceMean, now)
 	occupancy := float64(member.load()+1) / float64(member.upstream.Slots)
 	return time.Duration(float64(processingTime) * max(1, occupancy))
 }
 
-// failureRate is the share of recent attempts that failed, from 0 to 1.
+// failureRate returns the share of recent attempts that failed, from 0 to 1.
 func (member *member) failureRate(now cherrykeel.Instant) float64 {
 	member.decayCounts(now)
 	if member.failures < minFailures {
@@ -162,6 +170,7 @@
 	return member.failures / (member.answers + member.failures + 1)
 }
 
+// decayCounts reduces the counts of failures and answers by the time that has passed since it was last called.
 func (member *member) decayCounts(now cherrykeel.Instant) {
 	factor := math.Exp2(-now.Sub(member.decayedAt).Seconds() / failureHalfLife.Seconds())
 	member.decayedAt = now
@@ -169,10 +178,10 @@
 	member.answers *= factor
 }
 
-// recordProcessingTime takes an answer's time into the mean. Load is the greater one of what was counted when the request was
-// sent and what the upstream told with its answer: counts lag when many hosts send to one upstream at once,
-// and a time that was spent in its queue, taken for work, made a key's owner look three times slower than it
-// was, so that callers were refused that it could have served.
+// recordProcessingTime updates the mean processing time with the time that an answer took. load is the greater of the
+// count when the request was sent and the load that the upstream reported with its answer, because counts lag when many
+// hosts send to one upstream at once. If time spent in the upstream's queue counted as processing time, a key's owner
+// would look three times slower than it is, and requests that it could serve would be refused.
 func (member *member) recordProcessingTime(took time.Duration, load int, weight float64) {
 	occupancy := max(1, float64(load)/float64(member.upstream.Slots))
 	processingTime := time.Duration(float64(took) / occupancy)
@@ -186,15 +195,15 @@
 	member.processingTime += time.Duration(weight * float64(processingTime-member.processingTime))
 }
 
-// recordConnectFailure notes that the upstream could not be reached; it pauses longer each time.
+// recordConnectFailure records that the upstream could not be reached and pauses requests to it, longer each time.
 func (member *member) recordConnectFailure(now cherrykeel.Instant) {
 	pause := connectFailurePause << min(member.connectFailures, 3)
 	member.connectFailures++
 	member.pausedUntil = now.Add(min(pause, maxConnectFailurePause))
 }
 
-// processingTimes is the mean work time over the upstreams that have answered, kept up as they answer: asked for with
-// each request, a sum over 100 upstreams was most of what a request cost.
+// processingTimes holds the mean processing time over the upstreams that have answered, updated with each answer. A sum
+// over 100 upstreams for each request would be most of the cost of scheduling it.
 type processingTimes struct {
 	total time.Duration
 	count int
--- a/flow/owned.go
+++ b/flow/owned.go
@@ -6,27 +6,28 @@
 	"cherrykeel"
 )
 
-// minShare is the share of an owner's room, in requests, below which hosts draw. Above it all that wait have at most
-// three times the owner's room there together, which its own queue takes; drawn for there too, requests at 8 to 11
-// hosts waited for counts, and four of nine paired days were worth 0.004 to 0.016 less, one 0.004 more.
+// minShare is the share of an owner's limit, in requests, below which hosts choose at random which of them sends. With
+// at least this share each, all hosts that wait together have at most three times the owner's limit there, which its
+// own queue holds. With 8 to 11 hosts, a random choice there too would make requests wait for the next counts.
 const minShare = 1.0 / 3
 
-// extraSampledSlots is how many places are drawn for beyond an owner's limit: some that have drawn one have no request left
-// when the counts are known, and a slot would stay free until the next ones, 160 ms later.
+// extraSampledSlots is how many slots beyond an owner's limit the random choice assigns. Some hosts that win a slot
+// have no request left when the counts arrive, and a slot would stay free until the next counts 160 ms later.
 const extraSampledSlots = 1
 
 // maxUnownedWaitShare is the share of its time that a request waits for its key to get an owner.
 const maxUnownedWaitShare = 0.5
 
-// owned lets requests wait for the one upstream that has their key.
+// owned is the discipline of a service whose keys are divided: a request waits for the upstream that owns its key.
 type owned struct {
-	service   *Service
+	service *Service
+	// findOwner returns the current owner of a key.
 	findOwner func(key int) Owner
-	// keyless takes requests without a key, which any upstream may refuse.
+	// keyless schedules requests without a key. They go to any upstream, which may refuse them.
 	keyless *shared
-	// waitingCounts counts this host's waiting requests by owner, as of the last count.
+	// waitingCounts counts this host's waiting requests by owner, as of the last call of refreshCounts.
 	waitingCounts map[string]int
-	// unownedQueue is the queue of requests whose key has no owner that is known.
+	// unownedQueue is the state of the queue of requests whose key has no known owner.
 	unownedQueue standingQueue
 }
 
@@ -40,9 +41,9 @@
 
 func (owned *owned) setRemoteWaiting(int) {}
 
-// observeQueues lets a host know of a queue that stands at an owner though it has sent it nothing for long. Among 195
-// hosts each has one request for an owner in a minute; while only a host's own requests told it that a queue stands,
-// none knew, and all queues grew as far as deadlines allow.
+// observeQueues detects a standing queue at an owner to which this host has sent nothing for long. With 195 hosts, each
+// has about one request a minute for an owner. If only a host's own requests showed that a queue stands, no host would
+// detect it, and all queues would grow as far as deadlines allow.
 func (owned *owned) observeQueues(now cherrykeel.Instant) {
 	if owned.service.target == 0 {
 		return
@@ -55,7 +56,7 @@
 	}
 }
 
-// expectedTime is how long a request takes that comes behind others that wait for an owner.
+// expectedTime returns the expected time until the answer of a request for an owner, behind ahead waiting requests.
 func (owned *owned) expectedTime(member *member, ahead int, serviceMean time.Duration, now cherrykeel.Instant) time.Duration {
 	processingTime := member.expectedProcessingTime(serviceMean, now)
 	turns := float64(ahead+1+max(0, member.load()-member.upstream.Slots)) / float64(member.upstream.Slots)
@@ -89,7 +90,8 @@
 	return &member.queue
 }
 
-// chooseProbe returns the key's owner, unless this host has sent it something lately whose answer will tell.
+// chooseProbe returns the key's owner if the estimate rules it out, unless this host has recently sent it a request
+// whose answer will show its speed.
 func (owned *owned) chooseProbe(ticket *Ticket, now cherrykeel.Instant) *member {
 	if ticket.Key == cherrykeel.NoKey {
 		return owned.keyless.chooseProbe(ticket, now)
@@ -114,28 +116,28 @@
 	if !known || owner.InTransfer || !member.isAvailable(now) || !owned.canSend(member, now) {
 		return nil
 	}
-	// What the owner would answer after the deadline is work lost there, while others wait for it.
+	// An answer after the deadline wastes processing time of the owner while other requests wait for it.
 	if ticket.expiresWithin(member.expectedTime(owned.service.meanProcessingTime(), now), now) {
 		return nil
 	}
 	return member
 }
 
-// findOpenOwner returns the upstream that has the ticket's key, unless it gets nothing any more: then the key waits for
-// the next owner, as one does that has none.
+// findOpenOwner returns the upstream that owns the ticket's key, and whether it may still get requests. If not, the
+// request waits for the key's next owner, like one whose key has no owner.
 func (owned *owned) findOpenOwner(ticket *Ticket, now cherrykeel.Instant) (*member, bool) {
 	member, known := owned.service.members[owned.owner(ticket).ID]
 	return member, known && !member.isClosed(now)
 }
 
-// canSend reports whether this host may send one more request to an owner. While requests wait anywhere each
-// host has a share of the owner's room, by what it has running and waiting. Without shares whoever gets an
-// answer sends the next request at once, so that a host without a running one waits until its requests are
-// given up, and several hosts that see the same free slot all send. In the played load of 150 requests a second
-// for 158 that an owner can do, 96% are answered within their target in place of 92%.
+// canSend reports whether this host may send one more request to an owner. While requests wait on any host, each host
+// gets a share of the owner's limit in proportion to its running and waiting requests. Without shares, a host that gets
+// an answer sends its next request at once: a host without a running request then waits until its requests miss their
+// deadline, and several hosts that see the same free slot all send. In the simulation of 150 requests a second for an
+// owner that can process 158, shares raise the answers within their target from 92% to 96%.
 //
-// A cold owner gets no more than its slots take: any host may have the next request for a key, so that none has a part of
-// what it bears, and the work of keys is long enough for its slots to bound that.
+// A cold owner with a limited rate gets no more requests than it has slots. Any host may have the next request for a
+// key, so hosts have no quota of that rate, and requests with keys run long enough for the slots to limit it.
 func (owned *owned) canSend(member *member, now cherrykeel.Instant) bool {
 	if member.upstream.IsColdLimited(now) && member.load() >= member.upstream.Slots {
 		return false
@@ -153,17 +155,18 @@
 	return member.localLoad == 0 && owned.hasWonSlot(member, max(1, waiting))
 }
 
-// slotSample is one draw for a place at an owner.
+// slotSample is a random choice for a slot at an owner: whether it has been made, and whether this host won.
 type slotSample struct {
 	sampled, won bool
 }
 
-// hasWonSlot reports whether this host's requests get one of an owner's free places. Hosts of which each waits with one
-// request and whose shares are less than one request each draw once for each count, by the free places over all
-// that wait, so that about as many send as there is room for. When each might have one there whatever its share, an
-// owner of 3 slots had 17 requests of 195 hosts, beyond its own queue, and reset what came next. In the played load
-// of 3.5 requests a second for 2.3 that it can do, 58% are answered in time in place of 44%, and it rejects none in
-// place of 10%.
+// hasWonSlot reports whether this host's requests get one of an owner's free slots. Hosts that each wait with one
+// request, and whose shares are below one request, choose at random once for each update of the counts. They win with
+// the probability of free slots over waiting requests, so that about as many hosts send as there are free slots. If
+// each of them could have one request at the owner whatever its share, an owner with 3 slots would get 17 requests from
+// 195 hosts, more than its own queue holds, and reset the connections of further ones. In the simulation of 3.5
+// requests a second for an owner that can process 2.3, the random choice raises the answers in time from 44% to 58%,
+// and lowers the rejected requests from 10% to none.
 func (owned *owned) hasWonSlot(member *member, waiting int) bool {
 	free := member.limit() + extraSampledSlots - member.load()
 	if free <= 0 {
--- a/flow/service.go
+++ b/flow/service.go
@@ -7,22 +7,30 @@
 	"cherrykeel"
 )
 
-// Service schedules the requests to one service. It is not safe for use by several goroutines.
+// Service schedules the requests to one service. It is not safe for concurrent use.
 type Service struct {
-	discipline      discipline
-	members         map[string]*member
-	waiting         []*Ticket
+	// discipline chooses upstreams: for all requests from one queue, or for each key from its owner's queue.
+	discipline discipline
+	// members holds the state of each upstream by its ID.
+	members map[string]*member
+	// waiting holds the waiting tickets in the order in which they are served.
+	waiting []*Ticket
+	// processingTimes is the mean processing time over the upstreams that have answered.
 	processingTimes processingTimes
-	arrivals        uint64
-	// target is the time to the target that the last request had.
+	// arrivals numbers the tickets in the order of their arrival.
+	arrivals uint64
+	// target is the time from arrival to target of the last ticket that was submitted.
 	target time.Duration
+	// random returns a number in [0, 1).
 	random func() float64
-	// uncertainty is how far counts are wrong.
+	// uncertainty is the error of the request counts.
 	uncertainty uncertainty
-	probes      probes
+	// probes limits requests that are sent although the estimate rules out an answer in time.
+	probes probes
 }
 
-// New returns a scheduler for a service; owner is nil unless its keys are divided.
+// New returns a scheduler for a service on a host in the given availability zone. findOwner returns the owner of a key;
+// it is nil unless the service's keys are divided among its upstreams.
 func New(zone string, findOwner func(key int) Owner, random func() float64) *Service {
 	service := &Service{members: map[string]*member{}, random: random}
 	keyless := &shared{service: service, zone: zone}
@@ -33,13 +41,14 @@
 	return service
 }
 
-// SetUpstreams replaces the upstreams that may get requests; those that leave are not among them.
+// SetUpstreams replaces the upstreams that may get requests. Upstreams that are shutting down must not be among them.
 func (service *Service) SetUpstreams(upstreams []cherrykeel.Upstream, now cherrykeel.Instant) {
 	members := map[string]*member{}
 	for _, upstream := range upstreams {
 		current, known := service.members[upstream.ID]
 		if !known || current.upstream.StartedAt != upstream.StartedAt {
-			// Another life of an upstream knows nothing, and nothing that was learned is about it.
+			// A new incarnation runs none of the previous one's requests, and nothing learned about that one applies to
+			// it.
 			current = &member{decayedAt: now}
 			if service.hasAnswers() {
 				current.firstSendAt = now.Add(time.Duration(service.random() * float64(firstSendSpread)))
@@ -57,17 +66,19 @@
 	service.Dispatch(now)
 }
 
-// hasAnswers reports whether any upstream has hasAnswers yet. Before that all are unknown, and none has joined.
+// hasAnswers reports whether any upstream has answered yet. Before that, all upstreams are unknown, and none counts as
+// newly joined.
 func (service *Service) hasAnswers() bool {
 	return service.processingTimes.count > 0
 }
 
-// meanProcessingTime is the mean work time over the upstreams that have answered.
+// meanProcessingTime returns the mean over the upstreams that have answered, or a default if none has.
 func (service *Service) meanProcessingTime() time.Duration {
 	return service.processingTimes.mean()
 }
 
-// SetRemoteCounts replaces what the other hosts say: requests at upstreams, and requests waiting.
+// SetRemoteCounts replaces the counts that the other hosts have reported: requests at each upstream, requests that wait
+// for each owner, and the total of waiting requests.
 func (service *Service) SetRemoteCounts(running, waiting map[string]int, total int, now cherrykeel.Instant) {
 	for id, member := range service.members {
 		member.setRemoteCounts(running[id], waiting[id], now)
@@ -77,7 +88,7 @@
 	service.Dispatch(now)
 }
 
-// Running returns this host's requests by upstream.
+// Running returns the number of this host's requests at each upstream that has any.
 func (service *Service) Running() map[string]int {
 	running := map[string]int{}
 	for id, member := range service.members {
@@ -88,7 +99,7 @@
 	return running
 }
 
-// HasFullUpstream reports whether some upstream has no free slot.
+// HasFullUpstream reports whether an upstream whose availability zone is not evacuated has no free slot.
 func (service *Service) HasFullUpstream() bool {
 	for _, member := range service.members {
 		if member.upstream.EvacuateAt == 0 && member.load() >= member.upstream.Slots {
@@ -98,17 +109,17 @@
 	return false
 }
 
-// Waiting returns this host's waiting requests by owner, and in all.
+// Waiting returns the number of this host's waiting requests by owner, and their total.
 func (service *Service) Waiting() (map[string]int, int) {
 	return service.discipline.waitingByOwner(), len(service.waiting)
 }
 
-// HasWaiting reports whether any request waits.
+// HasWaiting reports whether any request of this host waits.
 func (service *Service) HasWaiting() bool {
 	return len(service.waiting) > 0
 }
 
-// ProcessingTimes returns the mean time that a request spends in a slot of each upstream that has answered.
+// ProcessingTimes returns the mean processing time of each upstream that has answered.
 func (service *Service) ProcessingTimes() map[string]time.Duration {
 	times := map[string]time.Duration{}
 	for id, member := range service.members {
@@ -119,7 +130,8 @@
 	return times
 }
 
-// Submit gives a ticket a place, lets it wait, or refuses it at once; Wake tells which, now or later.
+// Submit assigns a slot to a ticket, queues the ticket, or refuses it at once. The decision is passed to the ticket's
+// Notify, at once or later.
 func (service *Service) Submit(ticket *Ticket, now cherrykeel.Instant) {
 	service.arrivals++
 	service.target = ticket.Target.Sub(ticket.Arrived)
@@ -145,7 +157,8 @@
 	service.enqueue(ticket)
 }
 
-// refusalReason reports whether a ticket that finds no place should not even wait.
+// refusalReason reports whether a ticket that gets no slot now is refused instead of queued, and why. Its answer is
+// expected at answerAt, and its queue has been standing for standingFor.
 func (service *Service) refusalReason(ticket *Ticket, answerAt cherrykeel.Instant, standingFor time.Duration, now cherrykeel.Instant) (Reason, bool) {
 	switch {
 	case len(service.members) == 0:
@@ -161,7 +174,8 @@
 	}
 }
 
-// areAllClosed reports whether every upstream is in an availability zone that is evacuated.
+// areAllClosed reports whether every upstream is in an evacuated availability zone. It is false if there is no
+// upstream.
 func (service *Service) areAllClosed(now cherrykeel.Instant) bool {
 	for _, member := range service.members {
 		if !member.isClosed(now) {
@@ -171,7 +185,7 @@
 	return len(service.members) > 0
 }
 
-// isOvertaken reports whether a waiting request should go before the ticket.
+// isOvertaken reports whether a waiting request that competes with the ticket goes before it.
 func (service *Service) isOvertaken(ticket *Ticket) bool {
 	for _, other := range service.waiting {
 		if other.isBefore(ticket) && service.discipline.isCompeting(other, ticket) {
@@ -181,6 +195,7 @@
 	return false
 }
 
+// enqueue inserts a ticket into the waiting tickets at its place in their order.
 func (service *Service) enqueue(ticket *Ticket) {
 	i := sort.Search(len(service.waiting), func(i int) bool { return ticket.isBefore(service.waiting[i]) })
 	service.waiting = append(service.waiting, nil)
@@ -188,7 +203,8 @@
 	service.waiting[i] = ticket
 }
 
-// Cancel takes back a ticket whose caller has gone; it reports false if the ticket was callbacks already.
+// Cancel removes a waiting ticket whose caller has left. It returns false if the ticket does not wait any more because
+// its decision has been made.
 func (service *Service) Cancel(ticket *Ticket) bool {
 	for i, other := range service.waiting {
 		if other == ticket {
@@ -199,7 +215,7 @@
 	return false
 }
 
-// Dispatch gives places to waiting requests in their order and refuses those that became hopeless.
+// Dispatch assigns slots to waiting requests in their order, and refuses those that can no longer meet their deadline.
 func (service *Service) Dispatch(now cherrykeel.Instant) {
 	if len(service.waiting) == 0 {
 		return
@@ -221,6 +237,7 @@
 	}
 }
 
+// decide returns the decision on a waiting ticket, or false if the ticket has to go on waiting.
 func (service *Service) decide(ticket *Ticket, now cherrykeel.Instant) (Decision, bool) {
 	member := service.discipline.chooseUpstream(ticket, now)
 	if member != nil {
@@ -235,12 +252,14 @@
 	return Decision{}, false
 }
 
+// assignSlot returns the decision that gives a ticket a slot at an upstream.
 func (service *Service) assignSlot(ticket *Ticket, member *member, now cherrykeel.Instant) Decision {
 	inputs := service.inputs(ticket, member, now)
 	inputs.TimeToAnswer = member.expectedTime(service.meanProcessingTime(), now)
 	return Decision{Slot: member.acquireSlot(ticket, now), Inputs: inputs}
 }
 
+// newRefusal returns the decision that refuses a ticket.
 func (service *Service) newRefusal(ticket *Ticket, reason Reason, now cherrykeel.Instant) Decision {
 	owner := service.discipline.owner(ticket)
 	inputs := service.inputs(ticket, service.members[owner.ID], now)
@@ -249,7 +268,7 @@
 	return Decision{Reason: reason, Inputs: inputs}
 }
 
-// inputs gathers what is known of the upstream in question, which may be nil.
+// inputs returns the figures behind a decision about an upstream, which may be nil.
 func (service *Service) inputs(ticket *Ticket, member *member, now cherrykeel.Instant) Inputs {
 	owner := service.discipline.owner(ticket)
 	inputs := Inputs{Owner: owner.ID, InTransfer: owner.InTransfer, Fence: owner.Fence, ProcessingTime: service.meanProcessingTime()}
@@ -261,6 +280,7 @@
 	return inputs
 }
 
+// acquireSlot counts a request that this host sends to the upstream now.
 func (member *member) acquireSlot(ticket *Ticket, now cherrykeel.Instant) *Slot {
 	member.localLoad++
 	member.lastSentAt = now
@@ -271,7 +291,8 @@
 	return &Slot{Upstream: member.upstream, Load: member.load(), StartedAt: now, Deadline: ticket.Deadline, member: member}
 }
 
-// Release ends a place and gives it to the next request.
+// Release ends the use of a slot and records the result and the load that the upstream reported with it. Then it
+// assigns slots to waiting requests.
 func (service *Service) Release(slot *Slot, result Result, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
 	member := slot.member
 	member.localLoad--
@@ -295,11 +316,11 @@
 	service.Dispatch(now)
 }
 
-// recordAnswer takes the time of an answer, unless its upstream has left meanwhile.
+// recordAnswer records the processing time of an answer, unless its upstream has been removed or replaced since.
 //
-// An attempt ends when its request's time is up. An answer that is read later was there before: this host stood still, or
-// had no processor. One that stood still for 6 s believed that its upstreams were as slow, so such an answer tells of no more
-// than the request's time, and of that little.
+// An attempt is canceled at its request's deadline, so an answer that is read later had already arrived: this host was
+// suspended or got no CPU time. If the whole time counted, a host suspended for 6 s would take its upstreams to be that
+// slow. So for such an answer only the time until the deadline counts, with a low weight.
 func (service *Service) recordAnswer(slot *Slot, load int, now cherrykeel.Instant) {
 	member := slot.member
 	if service.members[member.upstream.ID] != member {
--- a/flow/shared.go
+++ b/flow/shared.go
@@ -8,30 +8,33 @@
 )
 
 const (
-	// costJitter spreads equal choices of several hosts that know the same.
+	// costJitter is the greatest random addition to a cost, as a share of it. It makes hosts with the same counts
+	// choose different upstreams of equal cost.
 	costJitter = 0.15
-	// remoteZonePenalty is the part of the serviceMean time by which an upstream in another zone has to be faster. The way
-	// there and back is 1 to 3 ms; the rest is for the bytes between zones, which have a price.
+	// remoteZonePenalty is the share of the mean processing time by which an upstream in another availability zone has
+	// to be faster. The round trip takes 1 to 3 ms; the rest accounts for the price of traffic between zones.
 	remoteZonePenalty = 0.25
-	// sampleSize is how many upstreams of this availability zone a request may go to while counts say little, sampled anew for
-	// each: hosts that all take the upstream with the lowest count overrun it.
+	// sampleSize is how many upstreams of this availability zone are considered while counts are uncertain, sampled
+	// anew for each request. Hosts that all take the upstream with the lowest count overload it.
 	sampleSize = 2
-	// remoteZoneSampleSize is how many of the other zones it may go to instead, if this zone has any.
+	// remoteZoneSampleSize is how many upstreams of other zones are considered besides, if this zone has candidates.
 	remoteZoneSampleSize = 1
-	// firstSendSpread spreads over time when the hosts of an availability zone try an upstream that has joined.
-	// With 18 hosts and a cold upstream that takes 0.46 s a request, that is some three requests at once.
+	// firstSendSpread is the time over which the hosts of an availability zone spread their first requests to an
+	// upstream that has joined. With 18 hosts and a cold upstream that takes 0.46 s for a request, it runs about three
+	// of these requests at once.
 	firstSendSpread = 3 * time.Second
 )
 
-// shared lets all requests wait in one queue for any upstream.
+// shared is the discipline of a service without keys: all requests wait in one queue for any upstream.
 type shared struct {
 	service *Service
 	zone    string
-	// members are the service's in order of their IDs.
+	// members are the upstreams of the service in the order of their IDs.
 	members []*member
-	// remoteWaiting counts what waits at the other hosts.
+	// remoteWaiting counts the requests that wait at all other hosts.
 	remoteWaiting int
-	queue         standingQueue
+	// queue is the state of the queue.
+	queue standingQueue
 }
 
 func (shared *shared) upstreamsChanged() {
@@ -66,7 +69,8 @@
 	return &shared.queue
 }
 
-// chooseUpstream returns the upstream that will answer first, failures counted as time.
+// chooseUpstream returns an upstream that is due for its first request, or else one with a reported free slot, or else
+// the one that is expected to answer first, with failures counted as time.
 func (shared *shared) chooseUpstream(ticket *Ticket, now cherrykeel.Instant) *member {
 	near, far := shared.candidates(ticket, now)
 	for _, member := range near {
@@ -90,8 +94,8 @@
 	return shared.cheapest(append(near, far...), ticket, now)
 }
 
-// latestReportedFree returns the member that has told last that it has a free slot, if it will answer in time: this host knows
-// of it before all others, whose counts do not show it for some 200 ms. It returns nil if none has told so lately.
+// latestReportedFree returns the upstream that reported a free slot last and is expected to answer in time, or nil.
+// This host learns of that slot before all others, whose counts show it only about 200 ms later.
 func (shared *shared) latestReportedFree(members []*member, ticket *Ticket, now cherrykeel.Instant) *member {
 	serviceMean := shared.service.meanProcessingTime()
 	var latest *member
@@ -106,7 +110,7 @@
 	return latest
 }
 
-// candidates returns the upstreams that may get the ticket, those of this host's availability zone apart.
+// candidates returns the upstreams that may get the ticket, in this host's availability zone and in other zones.
 func (shared *shared) candidates(ticket *Ticket, now cherrykeel.Instant) (near, far []*member) {
 	uncertainty := &shared.service.uncertainty
 	for _, member := range shared.members {
@@ -121,7 +125,7 @@
 	return near, far
 }
 
-// sampleCandidates returns the upstreams that a request may go to while counts say little.
+// sampleCandidates returns the upstreams that are considered for a request while counts are uncertain.
 func (shared *shared) sampleCandidates(near, far []*member, now cherrykeel.Instant) ([]*member, []*member) {
 	if len(near) == 0 {
 		return nil, shared.sample(far, sampleSize, now)
@@ -129,7 +133,7 @@
 	return shared.sample(near, sampleSize, now), shared.sample(far, remoteZoneSampleSize, now)
 }
 
-// sample takes some members, each by what it can do.
+// sample returns up to count different members, chosen at random with their rates as weights. It reorders members.
 func (shared *shared) sample(members []*member, count int, now cherrykeel.Instant) []*member {
 	serviceMean := shared.service.meanProcessingTime()
 	total := 0.0
@@ -147,7 +151,7 @@
 	return sampled
 }
 
-// pickWeighted draws one of the members, whose rates have a total.
+// pickWeighted returns the index of a random member, with the members' rates as weights; total is their sum.
 func (shared *shared) pickWeighted(members []*member, total float64, serviceMean time.Duration, now cherrykeel.Instant) int {
 	remaining := shared.service.random() * total
 	for i, member := range members {
@@ -159,7 +163,8 @@
 	return len(members) - 1
 }
 
-// cheapest returns the candidate that will answer first, failures counted as time, or nil if none will in time.
+// cheapest returns the candidate that is expected to answer first, with failures counted as time, or nil if none is
+// expected to answer in time.
 func (shared *shared) cheapest(candidates []*member, ticket *Ticket, now cherrykeel.Instant) *member {
 	serviceMean := shared.service.meanProcessingTime()
 	var best *member
@@ -178,16 +183,18 @@
 	return best
 }
 
-// needsFirstRequest reports whether a request should go to an upstream that has joined and that this host has not
-// tried. While the others have free slots an unknown, cold one is never the best choice; 22 of 32 that
-// joined 72 hosts' upstreams got nothing in the rest of the day, and nobody learned how fast they are.
+// needsFirstRequest reports whether this host now sends its first request to an upstream that has joined. Without that,
+// an unknown and cold upstream would never be the best choice while others have free slots: 22 of 32 upstreams that
+// joined those of 72 hosts got no request in the rest of the day, so that no host knew their speed.
 func (shared *shared) needsFirstRequest(member *member, now cherrykeel.Instant) bool {
 	return member.firstSendAt != 0 && now >= member.firstSendAt && member.upstream.Zone == shared.zone && member.load() < member.upstream.Slots
 }
 
+// cost returns the time by which candidates are compared: the expected time with jitter, plus penalties for failures
+// and for another availability zone.
 func (shared *shared) cost(member *member, expected, serviceMean time.Duration, now cherrykeel.Instant) float64 {
 	if member.upstream.IsColdLimited(now) {
-		// Few hosts may send it anything, and what they leave nobody else uses.
+		// Only few hosts may send to this upstream, and no other host uses what they leave.
 		expected /= coldSlowdown
 	}
 	cost := float64(expected) * (1 + costJitter*shared.service.random())
@@ -226,9 +233,10 @@
 	return time.Duration(float64(ahead+1)/rate) + serviceMean
 }
 
-// chooseProbe returns the upstream that is expected to answer first, unless this host has sent something lately to one that is
-// ruled out, whose answer will tell. One that is not is only full, and its answers tell nothing of the others: while it held
-// trials back, a restarted upstream that was in use all the time kept all others unused for ever.
+// chooseProbe returns the upstream that is expected to answer first, if all that may get requests are ruled out. It
+// returns nil if this host has recently sent a request to one that is ruled out, since the answer will show its speed.
+// Recent requests to other upstreams do not count: those are only full, and their answers show nothing about the ones
+// ruled out. If they held probes back, a restarted upstream that is always in use would keep all others unused forever.
 func (shared *shared) chooseProbe(ticket *Ticket, now cherrykeel.Instant) *member {
 	serviceMean := shared.service.meanProcessingTime()
 	var best *member
--- a/flow/ticket.go
+++ b/flow/ticket.go
@@ -6,101 +6,111 @@
 	"cherrykeel"
 )
 
-// Ticket is a request that asks for an upstream.
+// Ticket is a request to be scheduled.
 type Ticket struct {
+	// Priority is lower for requests that go first.
 	Priority int
-	Key      int
-	Arrived  cherrykeel.Instant
-	// Target is when an answer loses part of its worth, Deadline when all of it.
+	// Key is the request's key, or cherrykeel.NoKey.
+	Key int
+	// Arrived is when the request arrived.
+	Arrived cherrykeel.Instant
+	// Target is when an answer loses part of its value, Deadline when it loses all of it.
 	Target   cherrykeel.Instant
 	Deadline cherrykeel.Instant
-	// Tried names upstreams that the request was sent to before.
+	// Tried lists the IDs of upstreams to which the request was sent before.
 	Tried []string
-	// Notify is called once, with the place or the refusal.
+	// Notify is called once, with the decision on the ticket.
 	Notify func(decision Decision)
-	// order is the place among requests of the same priority.
+	// order is the position among tickets of the same priority.
 	order uint64
 }
 
-// Reason says why a request was refused.
+// Reason is why a request was refused.
 type Reason string
 
-// The reasons of refusals.
+// The reasons for refusals.
 const (
-	// TooLate means that the answer would come after the caller's deadline.
+	// TooLate means that the request cannot meet its deadline.
 	TooLate Reason = "too-late"
 	// Crowded means that more requests wait than can be answered in time.
 	Crowded Reason = "crowded"
 	// NoUpstream means that no upstream of the service is known.
 	NoUpstream Reason = "no-upstream"
-	// Evacuated means that all upstreams of the service are in availability zones that are evacuated.
+	// Evacuated means that all upstreams of the service are in evacuated availability zones.
 	Evacuated Reason = "evacuated"
-	// NoOwner means that no upstream holds the key in time.
+	// NoOwner means that the key got no owner in time.
 	NoOwner Reason = "no-owner"
 )
 
-// Decision is a place on an upstream, or a refusal.
+// Decision is the result of scheduling a ticket: a slot at an upstream, or the reason for a refusal.
 type Decision struct {
-	Slot   *Slot
+	// Slot is nil if the request is refused.
+	Slot *Slot
+	// Reason is empty if the request gets a slot.
 	Reason Reason
-	// Inputs are what the verdict rests on.
+	// Inputs are the figures behind the decision.
 	Inputs Inputs
 }
 
-// Inputs are the figures behind a verdict, for the log.
+// Inputs are the figures behind a decision, for the log.
 type Inputs struct {
-	// Owner has the request's key; Fence is the version of the table that gave it to it.
+	// Owner is the ID of the upstream that owns the request's key, and InTransfer reports whether the key is about to
+	// get another owner. Fence is the version of the table that granted the key.
 	Owner      string
 	InTransfer bool
 	Fence      int64
-	// Load is how many requests were at the upstream in question, Others the part that other hosts told.
+	// Load is how many requests were at the upstream in question, RemoteLoad how many of them came from other hosts.
 	Load       int
 	RemoteLoad int
 	// Ahead is how many requests waited before this one, at all hosts.
 	Ahead int
-	// ProcessingTime is the expected time in a slot, Wait the expected time to the answer.
+	// ProcessingTime is the expected processing time, TimeToAnswer the expected time until the answer.
 	ProcessingTime time.Duration
 	TimeToAnswer   time.Duration
 }
 
-// Slot is a request's place on an upstream, counted until it is left.
+// Slot is the use of an upstream's capacity by one request, counted until it is released.
 type Slot struct {
+	// Upstream is the upstream that runs the request.
 	Upstream cherrykeel.Upstream
-	// Load is how many requests were there, this one included.
-	Load      int
+	// Load is how many requests were at the upstream, this one included.
+	Load int
+	// StartedAt is when the slot was acquired.
 	StartedAt cherrykeel.Instant
-	// Deadline is the ticket's.
+	// Deadline is the ticket's deadline.
 	Deadline cherrykeel.Instant
-	// Probe says that no answer was expected in time.
+	// Probe is set if no answer was expected in time.
 	Probe  bool
 	member *member
 }
 
-// Result says how a place was left.
+// Result is how the use of a slot ended.
 type Result int
 
-// The endings of a place.
+// The results of using a slot.
 const (
-	// Answered means that a whole answer came.
+	// Answered means that a complete answer was received.
 	Answered Result = iota
-	// Failed means that the upstream answered wrongly or not at all.
+	// Failed means that the upstream sent a wrong answer or none.
 	Failed
-	// Refused means that the upstream said that it did not act.
+	// Refused means that the upstream reported that it did not run the request.
 	Refused
-	// Unreachable means that no connection could be made.
+	// Unreachable means that no connection could be established.
 	Unreachable
-	// Abandoned means that the caller left, which says nothing of the upstream.
+	// Abandoned means that the caller left, which shows nothing about the upstream.
 	Abandoned
 )
 
-// Owner is who has a key: empty when nobody has, Moving when it is about to have another owner.
+// Owner is the upstream that owns a key. ID is empty if the key has no owner.
 type Owner struct {
-	ID         string
+	ID string
+	// InTransfer is set if the key is about to get another owner.
 	InTransfer bool
-	// Fence is the version that gave the key to its owner.
+	// Fence is the version of the table that granted the key to its owner.
 	Fence int64
 }
 
+// isBefore reports whether the ticket goes before another one: by priority, then in the order of arrival.
 func (ticket *Ticket) isBefore(other *Ticket) bool {
 	if ticket.Priority != other.Priority {
 		return ticket.Priority < other.Priority
@@ -108,6 +118,7 @@
 	return ticket.order < other.order
 }
 
+// wasTried reports whether the request was sent to the upstream before.
 func (ticket *Ticket) wasTried(id string) bool {
 	for _, other := range ticket.Tried {
 		if other == id {
