--- a/flow/bench_test.go
+++ b/flow/bench_test.go
@@ -9,8 +9,8 @@
 	"cherrykeel/flow"
 )
 
-// BenchmarkOffer is one request of a service from its offer to its end, while none waits.
-func BenchmarkOffer(b *testing.B) {
+// BenchmarkSubmit measures one request from its submission to the release of its slot, while no other request waits.
+func BenchmarkSubmit(b *testing.B) {
 	for _, count := range []int{8, 100} {
 		var upstreams []cherrykeel.Upstream
 		for i := range count {
@@ -22,14 +22,14 @@
 		}
 		for name, owner := range owners {
 			b.Run(fmt.Sprintf("%s/%d", name, count), func(b *testing.B) {
-				service := flow.New("z", owner, half)
+				service := flow.New("z", owner, fixedRandom)
 				service.SetUpstreams(upstreams, 0)
 				b.ReportAllocs()
 				for i := range b.N {
-					now := at(time.Duration(i) * time.Millisecond)
+					now := instantAt(time.Duration(i) * time.Millisecond)
 					ticket := &flow.Ticket{Key: i, Arrived: now, Target: now.Add(200 * time.Millisecond), Deadline: now.Add(500 * time.Millisecond)}
-					ticket.Notify = func(verdict flow.Decision) {
-						service.Release(verdict.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, now.Add(50*time.Millisecond))
+					ticket.Notify = func(decision flow.Decision) {
+						service.Release(decision.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, now.Add(50*time.Millisecond))
 					}
 					service.Submit(ticket, now)
 				}
--- a/flow/closed_test.go
+++ b/flow/closed_test.go
@@ -10,8 +10,8 @@
 	"cherrykeel/flow"
 )
 
-// closed is an upstream whose availability zone is evacuated.
-func closed(id string, at time.Duration) cherrykeel.Upstream {
+// closedUpstream is an upstream whose availability zone is evacuated at a time.
+func closedUpstream(id string, at time.Duration) cherrykeel.Upstream {
 	upstream := upstream(id, 3)
 	upstream.EvacuateAt = cherrykeel.Instant(at)
 	return upstream
@@ -20,52 +20,52 @@
 var _ = Describe("upstreams in an evacuated availability zone", func() {
 	const evacuatedAt = time.Second
 
-	It("get no new request, and none that waited", func() {
-		service := flow.New("z", nil, half)
+	It("get neither new nor waiting requests", func() {
+		service := flow.New("z", nil, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 1), upstream("b", 1)}, 0)
-		service.SetRemoteCounts(map[string]int{"a": 2, "b": 2}, nil, 0, at(evacuatedAt))
-		_, waiting := ask(service, evacuatedAt, keep)
+		service.SetRemoteCounts(map[string]int{"a": 2, "b": 2}, nil, 0, instantAt(evacuatedAt))
+		_, waiting := submit(service, evacuatedAt, unchanged)
 		Expect(*waiting).To(BeEmpty())
-		service.SetUpstreams([]cherrykeel.Upstream{closed("a", evacuatedAt), upstream("b", 1)}, at(evacuatedAt))
-		service.SetRemoteCounts(map[string]int{"b": 2}, nil, 0, at(evacuatedAt))
+		service.SetUpstreams([]cherrykeel.Upstream{closedUpstream("a", evacuatedAt), upstream("b", 1)}, instantAt(evacuatedAt))
+		service.SetRemoteCounts(map[string]int{"b": 2}, nil, 0, instantAt(evacuatedAt))
 		Expect(*waiting).To(BeEmpty())
-		service.SetRemoteCounts(nil, nil, 0, at(evacuatedAt))
+		service.SetRemoteCounts(nil, nil, 0, instantAt(evacuatedAt))
 		Expect((*waiting)[0].Slot.Upstream.ID).To(Equal("b"))
 	})
 
-	It("are known again when they are taken back", func() {
-		service := flow.New("z", nil, half)
+	It("keep their state when the evacuation ends", func() {
+		service := flow.New("z", nil, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, 0)
-		_, verdicts := ask(service, 0, keep)
-		service.SetUpstreams([]cherrykeel.Upstream{closed("a", evacuatedAt)}, at(evacuatedAt))
-		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(evacuatedAt))
-		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, at(2*evacuatedAt))
+		_, decisions := submit(service, 0, unchanged)
+		service.SetUpstreams([]cherrykeel.Upstream{closedUpstream("a", evacuatedAt)}, instantAt(evacuatedAt))
+		service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(evacuatedAt))
+		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, instantAt(2*evacuatedAt))
 		Expect(service.ProcessingTimes()).To(HaveKey("a"))
 		Expect(service.Running()).To(BeEmpty())
 	})
 
-	It("have requests refused at once, also waiting ones, if the service has no others", func() {
-		service := flow.New("z", nil, half)
+	It("have new and waiting requests refused at once if the service has no other upstreams", func() {
+		service := flow.New("z", nil, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 1)}, 0)
 		service.SetRemoteCounts(map[string]int{"a": 2}, nil, 0, 0)
-		_, waiting := ask(service, 0, keep)
-		service.SetUpstreams([]cherrykeel.Upstream{closed("a", 0+1)}, 1)
-		_, verdicts := ask(service, time.Millisecond, keep)
+		_, waiting := submit(service, 0, unchanged)
+		service.SetUpstreams([]cherrykeel.Upstream{closedUpstream("a", 0+1)}, 1)
+		_, decisions := submit(service, time.Millisecond, unchanged)
 		Expect((*waiting)[0].Reason).To(Equal(flow.Evacuated))
-		Expect((*verdicts)[0].Reason).To(Equal(flow.Evacuated))
+		Expect((*decisions)[0].Reason).To(Equal(flow.Evacuated))
 	})
 
-	// Guards against keys that nobody serves while they are handed over one after the other, and against owners there
-	// that are sent requests after the time for that.
-	It("serve their keys for some time while these are handed over", func() {
-		service := flow.New("z", func(int) flow.Owner { return flow.Owner{ID: "a"} }, half)
-		service.SetUpstreams([]cherrykeel.Upstream{closed("a", evacuatedAt), upstream("b", 3)}, 0)
+	// Guards against keys without an owner while the upstream's keys are transferred one after the other, and against
+	// requests to the upstream after its closing time.
+	It("serve their keys until their closing time, while the keys are transferred", func() {
+		service := flow.New("z", func(int) flow.Owner { return flow.Owner{ID: "a"} }, fixedRandom)
+		service.SetUpstreams([]cherrykeel.Upstream{closedUpstream("a", evacuatedAt), upstream("b", 3)}, 0)
 		keyed := func(ticket *flow.Ticket) { ticket.Key = 7 }
-		_, verdicts := ask(service, evacuatedAt/2, keyed)
-		Expect((*verdicts)[0].Slot.Upstream.ID).To(Equal("a"))
-		_, verdicts = ask(service, evacuatedAt, keyed)
-		Expect(*verdicts).To(BeEmpty())
-		service.Dispatch(at(evacuatedAt + 300*time.Millisecond))
-		Expect((*verdicts)[0].Reason).To(Equal(flow.TooLate), "half of its time is over")
+		_, decisions := submit(service, evacuatedAt/2, keyed)
+		Expect((*decisions)[0].Slot.Upstream.ID).To(Equal("a"))
+		_, decisions = submit(service, evacuatedAt, keyed)
+		Expect(*decisions).To(BeEmpty())
+		service.Dispatch(instantAt(evacuatedAt + 300*time.Millisecond))
+		Expect((*decisions)[0].Reason).To(Equal(flow.TooLate), "the key had no owner for half of the request's time")
 	})
 })
--- a/flow/fleet_test.go
+++ b/flow/fleet_test.go
@@ -13,24 +13,24 @@
 	"cherrykeel/flow"
 )
 
-// crowd is a load on upstreams through several hosts whose counts of each other are old.
-type crowd struct {
+// fleetLoad is a load on upstreams through several hosts with outdated counts of each other's requests.
+type fleetLoad struct {
 	hosts, slots int
-	// speeds are those of the upstreams; keyed requests go to the first one, which owns their key.
-	speeds                 []float64
-	keyed                  bool
-	work, target, deadline time.Duration
-	// perSecond is the rate from one time on.
+	// speeds are the upstreams' speeds. Requests with keys go to the first upstream, which owns their key.
+	speeds                           []float64
+	keyed                            bool
+	processingTime, target, deadline time.Duration
+	// perSecond lists rates of requests, each with the time from which it holds.
 	perSecond []rate
 	length    time.Duration
 	seed      uint64
-	// tellEvery is the pace at which hosts tell their counts, gatherEvery that at which they take the others'.
-	tellEvery, gatherEvery time.Duration
-	// knowsWork says that each host knows from other owners how long the service's work takes.
-	knowsWork bool
-	// ownQueue is how many requests an upstream keeps waiting; what is beyond it is rejected.
+	// reportEvery is how often hosts report their counts, receiveEvery how often they receive the others'.
+	reportEvery, receiveEvery time.Duration
+	// knowsProcessingTime is set if each host has learned the processing time before the load begins.
+	knowsProcessingTime bool
+	// ownQueue is how many requests an upstream queues; it rejects further ones.
 	ownQueue int
-	// slowFor is for how long at once an upstream is slowFactor times slower, as it is for slowShare of the time.
+	// slowFor is how long an upstream is slower by slowFactor each time; it is for slowShare of the time.
 	slowFor               time.Duration
 	slowShare, slowFactor float64
 }
@@ -40,15 +40,15 @@
 	rate float64
 }
 
-// served are shares of all that was asked for.
-type served struct {
-	asked                  int
+// outcomeShares are what became of the requests, as shares of all that were submitted.
+type outcomeShares struct {
+	submitted              int
 	inTarget, late, failed float64
-	// rejected are sends that the upstreams rejected, over the requests asked.
+	// rejected are the attempts that the upstreams rejected, in relation to the requests.
 	rejected float64
 }
 
-// counts are what hosts tell each other.
+// counts are what hosts report to each other.
 type counts struct {
 	running, waiting map[string]int
 	queued           int
@@ -71,7 +71,7 @@
 	callerTries  = 3
 )
 
-// server is an upstream: slots, a queue of its own, and work times that differ by three times.
+// server simulates an upstream with slots, its own queue, and processing times that vary by a factor of three.
 type server struct {
 	speed   float64
 	slow    float64
@@ -79,13 +79,13 @@
 	queue   []func(now time.Duration)
 }
 
-// playCrowd plays the load and returns what came of it.
-func playCrowd(load crowd) served {
+// simulateFleet simulates the load and returns what became of the requests.
+func simulateFleet(load fleetLoad) outcomeShares {
 	random := rand.New(rand.NewPCG(load.seed, 11))
-	var due agenda
-	after := func(at time.Duration, do func(now time.Duration)) { heap.Push(&due, happening{at, do}) }
+	var events eventQueue
+	after := func(at time.Duration, run func(now time.Duration)) { heap.Push(&events, event{at, run}) }
 	hosts := make([]*flow.Service, load.hosts)
-	told := make([]counts, load.hosts)
+	reported := make([]counts, load.hosts)
 	servers := map[string]*server{}
 	var upstreams []cherrykeel.Upstream
 	for i, speed := range load.speeds {
@@ -93,27 +93,27 @@
 		servers[id] = &server{speed: speed, slow: 1}
 		upstreams = append(upstreams, upstream(id, load.slots))
 	}
-	var find func(int) flow.Owner
+	var findOwner func(int) flow.Owner
 	if load.keyed {
-		find = func(int) flow.Owner { return flow.Owner{ID: "u0"} }
+		findOwner = func(int) flow.Owner { return flow.Owner{ID: "u0"} }
 	}
 	for i := range hosts {
-		hosts[i] = flow.New("z", find, random.Float64)
+		hosts[i] = flow.New("z", findOwner, random.Float64)
 		hosts[i].SetUpstreams(upstreams, 0)
-		if load.knowsWork {
-			hosts[i].Submit(&flow.Ticket{Key: hotKeyNumber, Deadline: at(load.deadline), Target: at(load.target), Notify: func(verdict flow.Decision) {
-				hosts[i].Release(verdict.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(load.work))
+		if load.knowsProcessingTime {
+			hosts[i].Submit(&flow.Ticket{Key: hotKeyNumber, Deadline: instantAt(load.deadline), Target: instantAt(load.target), Notify: func(decision flow.Decision) {
+				hosts[i].Release(decision.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(load.processingTime))
 			}}, 0)
 		}
 	}
-	inTarget, late, asked, rejected := 0, 0, 0, 0
-	if load.tellEvery == 0 {
-		load.tellEvery, load.gatherEvery, load.ownQueue = countsEvery, 10*time.Millisecond, ownQueue
+	inTarget, late, submitted, rejected := 0, 0, 0, 0
+	if load.reportEvery == 0 {
+		load.reportEvery, load.receiveEvery, load.ownQueue = countsEvery, 10*time.Millisecond, ownQueue
 	}
 
 	begin := func(server *server, now time.Duration, finish func(now time.Duration)) {
 		server.running++
-		took := time.Duration(float64(load.work) * server.slow / server.speed * (0.5 + random.Float64()))
+		took := time.Duration(float64(load.processingTime) * server.slow / server.speed * (0.5 + random.Float64()))
 		after(now+took, func(end time.Duration) {
 			server.running--
 			if len(server.queue) > 0 {
@@ -124,21 +124,21 @@
 			finish(end)
 		})
 	}
-	var ask func(now, first time.Duration, tries int)
-	ask = func(now, first time.Duration, tries int) {
+	var sendRequest func(now, first time.Duration, triesLeft int)
+	sendRequest = func(now, first time.Duration, triesLeft int) {
 		host := hosts[random.IntN(len(hosts))]
 		left := first + load.deadline - now
-		ticket := &flow.Ticket{Key: hotKeyNumber, Arrived: at(now), Target: at(now + min(load.target, left)), Deadline: at(now + left)}
-		ticket.Notify = func(verdict flow.Decision) {
-			if verdict.Slot == nil {
-				back := now + time.Duration((0.08+0.22*random.Float64())*float64(left))
-				if tries > 1 {
-					after(back, func(now time.Duration) { ask(now, first, tries-1) })
+		ticket := &flow.Ticket{Key: hotKeyNumber, Arrived: instantAt(now), Target: instantAt(now + min(load.target, left)), Deadline: instantAt(now + left)}
+		ticket.Notify = func(decision flow.Decision) {
+			if decision.Slot == nil {
+				retryAt := now + time.Duration((0.08+0.22*random.Float64())*float64(left))
+				if triesLeft > 1 {
+					after(retryAt, func(now time.Duration) { sendRequest(now, first, triesLeft-1) })
 				}
 				return
 			}
-			sent := time.Duration(verdict.Slot.StartedAt)
-			server := servers[verdict.Slot.Upstream.ID]
+			sentAt := time.Duration(decision.Slot.StartedAt)
+			server := servers[decision.Slot.Upstream.ID]
 			finish := func(end time.Duration) {
 				switch {
 				case end-first <= load.target:
@@ -146,184 +146,186 @@
 				case end-first <= load.deadline:
 					late++
 				}
-				told := cherrykeel.UpstreamLoad{Known: true, Running: server.running, Waiting: len(server.queue), Slots: load.slots}
-				host.Release(verdict.Slot, flow.Answered, told, at(end))
+				reportedLoad := cherrykeel.UpstreamLoad{Known: true, Running: server.running, Waiting: len(server.queue), Slots: load.slots}
+				host.Release(decision.Slot, flow.Answered, reportedLoad, instantAt(end))
 			}
 			if server.running < load.slots {
-				begin(server, sent, finish)
+				begin(server, sentAt, finish)
 				return
 			}
 			if len(server.queue) >= load.ownQueue {
 				rejected++
-				after(sent, func(now time.Duration) { host.Release(verdict.Slot, flow.Refused, cherrykeel.UpstreamLoad{}, at(now)) })
+				after(sentAt, func(now time.Duration) {
+					host.Release(decision.Slot, flow.Refused, cherrykeel.UpstreamLoad{}, instantAt(now))
+				})
 				return
 			}
 			server.queue = append(server.queue, func(now time.Duration) { begin(server, now, finish) })
 		}
-		host.Submit(ticket, at(now))
+		host.Submit(ticket, instantAt(now))
 	}
-	tell := func(i int) func(now time.Duration) {
+	report := func(i int) func(now time.Duration) {
 		return func(time.Duration) {
 			waiting, queued := hosts[i].Waiting()
-			told[i] = counts{running: hosts[i].Running(), waiting: waiting, queued: queued}
+			reported[i] = counts{running: hosts[i].Running(), waiting: waiting, queued: queued}
 		}
 	}
-	gather := func(i int) func(now time.Duration) {
+	receive := func(i int) func(now time.Duration) {
 		return func(now time.Duration) {
 			sum := counts{running: map[string]int{}, waiting: map[string]int{}}
 			for j := range hosts {
 				if j != i {
-					sum.add(told[j])
+					sum.add(reported[j])
 				}
 			}
-			hosts[i].SetRemoteCounts(sum.running, sum.waiting, sum.queued, at(now))
+			hosts[i].SetRemoteCounts(sum.running, sum.waiting, sum.queued, instantAt(now))
 		}
 	}
 	for i := range hosts {
-		phase := time.Duration(random.Int64N(int64(load.tellEvery)))
-		for now := phase; now < load.length; now += load.tellEvery {
-			after(now, tell(i))
+		phase := time.Duration(random.Int64N(int64(load.reportEvery)))
+		for now := phase; now < load.length; now += load.reportEvery {
+			after(now, report(i))
 		}
-		for now := time.Duration(0); now < load.length+load.deadline; now += load.gatherEvery {
-			after(now, gather(i))
+		for now := time.Duration(0); now < load.length+load.deadline; now += load.receiveEvery {
+			after(now, receive(i))
 		}
 	}
-	playMoments(load, random, upstreams, servers, after)
+	scheduleSlowPeriods(load, random, upstreams, servers, after)
 	now := time.Duration(0)
-	for _, part := range append(load.perSecond[1:], rate{load.length, 1}) {
+	for _, step := range append(load.perSecond[1:], rate{load.length, 1}) {
 		perSecond := load.perSecond[0].rate
 		load.perSecond = load.perSecond[1:]
-		for now < part.from {
-			asked++
-			after(now, func(now time.Duration) { ask(now, now, callerTries) })
+		for now < step.from {
+			submitted++
+			after(now, func(now time.Duration) { sendRequest(now, now, callerTries) })
 			now += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		}
 	}
-	for due.Len() > 0 {
-		next := heap.Pop(&due).(happening)
-		next.do(next.at)
+	for events.Len() > 0 {
+		next := heap.Pop(&events).(event)
+		next.run(next.at)
 	}
-	all := float64(asked)
-	return served{asked: asked, rejected: float64(rejected) / all, inTarget: float64(inTarget) / all, late: float64(late) / all, failed: 1 - float64(inTarget+late)/all}
+	total := float64(submitted)
+	return outcomeShares{submitted: submitted, rejected: float64(rejected) / total, inTarget: float64(inTarget) / total, late: float64(late) / total, failed: 1 - float64(inTarget+late)/total}
 }
 
-// hotKey is a key that for 5 s gets 190 requests a second of 38 ms from an owner with 6 slots, which can do
-// 158, through 11 hosts that tell each other their counts each 80 ms: the figures of a valuer's hottest key.
-func hotKey(seed uint64) crowd {
-	return crowd{
-		hosts: 11, slots: 6, speeds: []float64{1}, keyed: true, work: 38 * time.Millisecond, target: 250 * time.Millisecond, deadline: 1500 * time.Millisecond,
+// hotKeyLoad is a key that for 5 s gets 190 requests a second of 38 ms from an owner with 6 slots, which can process
+// 158, through 11 hosts that report their counts every 80 ms.
+func hotKeyLoad(seed uint64) fleetLoad {
+	return fleetLoad{
+		hosts: 11, slots: 6, speeds: []float64{1}, keyed: true, processingTime: 38 * time.Millisecond, target: 250 * time.Millisecond, deadline: 1500 * time.Millisecond,
 		perSecond: []rate{{0, 40}, {2 * time.Second, 190}, {7 * time.Second, 40}}, length: 9 * time.Second, seed: seed,
 	}
 }
 
-// mean plays a load with several seeds.
-func mean(load func(seed uint64) crowd) served {
+// meanOutcome simulates a load with several seeds and returns the mean.
+func meanOutcome(load func(seed uint64) fleetLoad) outcomeShares {
 	const seeds = 12
-	sum := served{}
+	sum := outcomeShares{}
 	for seed := range uint64(seeds) {
-		one := playCrowd(load(seed))
-		sum.inTarget += one.inTarget / seeds
-		sum.late += one.late / seeds
-		sum.failed += one.failed / seeds
-		sum.rejected += one.rejected / seeds
+		outcome := simulateFleet(load(seed))
+		sum.inTarget += outcome.inTarget / seeds
+		sum.late += outcome.late / seeds
+		sum.failed += outcome.failed / seeds
+		sum.rejected += outcome.rejected / seeds
 	}
 	return sum
 }
 
-var _ = Describe("a key that is too hot for its owner", func() {
-	// Callers ask for one key 190 times a second, and its only owner can do 158. Were the queue as long as
-	// deadlines allow, nearly all would be answered late and as many refused: 47% in target, 8% failed. A part
-	// is refused at once instead, and the rest is answered in time.
-	It("is answered in time for most and refused for the rest", func() {
-		all := mean(hotKey)
-		Expect(all.inTarget).To(BeNumerically(">", 0.55))
-		Expect(all.failed).To(BeNumerically("<", 0.13))
+var _ = Describe("a key with more requests than its owner can process", func() {
+	// Guards against a queue that grows as long as deadlines allow while 190 requests a second arrive for an owner that
+	// can process 158. Nearly all would be answered late and as many refused: 47% in time, 8% failed.
+	It("has most requests answered in time and the others refused", func() {
+		outcome := meanOutcome(hotKeyLoad)
+		Expect(outcome.inTarget).To(BeNumerically(">", 0.55))
+		Expect(outcome.failed).To(BeNumerically("<", 0.13))
 	})
 
-	// The same owner with 150 a second is nearly full. Each host sees some 14 requests a second; whoever gets
-	// an answer used to send its next request at once, and requests at the other hosts waited beyond their
-	// target though the owner was not full: 92% in target.
-	It("is shared by the hosts in turn while the owner is nearly full", func() {
-		all := mean(func(seed uint64) crowd {
-			load := hotKey(seed)
+	// Guards against hosts that send their next request as soon as they get an answer, at 150 requests a second or
+	// about 14 for each host: requests at other hosts then wait beyond their target though the owner is not full, and
+	// 92% are answered in time.
+	It("has its owner's slots shared among the hosts while the owner is nearly full", func() {
+		outcome := meanOutcome(func(seed uint64) fleetLoad {
+			load := hotKeyLoad(seed)
 			load.perSecond[1].rate = 150
 			return load
 		})
-		Expect(all.inTarget).To(BeNumerically(">", 0.94))
-		Expect(all.failed).To(BeNumerically("<", 0.01))
+		Expect(outcome.inTarget).To(BeNumerically(">", 0.94))
+		Expect(outcome.failed).To(BeNumerically("<", 0.01))
 	})
 
-	// 300 requests a second for 0.3 s, twice what the owner can do, and nothing before and after. The queue
-	// drains by itself; none has to be refused.
-	It("is served whole after a short burst", func() {
-		all := mean(func(seed uint64) crowd {
-			load := hotKey(seed)
+	// Guards against refusals in a burst of 300 requests a second for 0.3 s, twice what the owner can process: its
+	// queue drains by itself.
+	It("has all requests of a short burst served", func() {
+		outcome := meanOutcome(func(seed uint64) fleetLoad {
+			load := hotKeyLoad(seed)
 			load.perSecond = []rate{{0, 40}, {2 * time.Second, 300}, {2300 * time.Millisecond, 40}}
 			return load
 		})
-		Expect(all.inTarget).To(BeNumerically(">", 0.95))
-		Expect(all.failed).To(BeNumerically("<", 0.005))
+		Expect(outcome.inTarget).To(BeNumerically(">", 0.95))
+		Expect(outcome.failed).To(BeNumerically("<", 0.005))
 	})
 })
 
-// busyService is a service without keys: 8 upstreams with 6 slots of 180 ms and speeds that differ by three
-// times can do 266 requests a second.
-func busyService(perSecond float64) func(seed uint64) crowd {
-	return func(seed uint64) crowd {
-		return crowd{
+// busyService is a service without keys: 8 upstreams with 6 slots of 180 ms and speeds that differ by a factor of
+// three, which can process 266 requests a second.
+func busyService(perSecond float64) func(seed uint64) fleetLoad {
+	return func(seed uint64) fleetLoad {
+		return fleetLoad{
 			hosts: 11, slots: 6, speeds: []float64{0.5, 1, 1, 1.5, 0.5, 1, 1, 1.5},
-			work: 180 * time.Millisecond, target: 500 * time.Millisecond, deadline: 3 * time.Second,
+			processingTime: 180 * time.Millisecond, target: 500 * time.Millisecond, deadline: 3 * time.Second,
 			perSecond: []rate{{0, 150}, {2 * time.Second, perSecond}, {6 * time.Second, 150}}, length: 9 * time.Second, seed: seed,
 		}
 	}
 }
 
 var _ = Describe("a service without keys", func() {
-	// 240 requests a second for upstreams that can do 266, through hosts that know each other's counts of 80 ms
-	// ago: nine tenths of what they can do is done in time, though their speeds differ by three times.
-	It("is answered in time up to nine tenths of what it can do", func() {
-		all := mean(busyService(240))
-		Expect(all.inTarget).To(BeNumerically(">", 0.97))
-		Expect(all.failed).To(BeNumerically("<", 0.002))
+	// Guards against hosts that overload upstreams because their counts of each other are 80 ms old, with 240 requests
+	// a second for upstreams that can process 266 and whose speeds differ by a factor of three.
+	It("answers in time up to nine tenths of its capacity", func() {
+		outcome := meanOutcome(busyService(240))
+		Expect(outcome.inTarget).To(BeNumerically(">", 0.97))
+		Expect(outcome.failed).To(BeNumerically("<", 0.002))
 	})
 
-	// A fifth more than the upstreams can do for 4 s. Callers that are refused come back and are answered late;
-	// few get nothing.
-	It("answers nearly all of a wave beyond what it can do", func() {
-		all := mean(busyService(320))
-		Expect(all.inTarget).To(BeNumerically(">", 0.65))
-		Expect(all.failed).To(BeNumerically("<", 0.04))
+	// Guards against failures while requests exceed the capacity by a fifth for 4 s: callers whose requests are refused
+	// come back and are answered late.
+	It("answers nearly all requests of a wave beyond its capacity", func() {
+		outcome := meanOutcome(busyService(320))
+		Expect(outcome.inTarget).To(BeNumerically(">", 0.65))
+		Expect(outcome.failed).To(BeNumerically("<", 0.04))
 	})
 })
 
-// fewSlotsManyHosts is an owner of 3 slots and 1.3 s of work, which can do 2.3 requests a second, asked for more
-// by callers at 195 hosts: none of them sees more than one request to it in a minute. Counts are 160 to 320 ms old.
-func fewSlotsManyHosts(perSecond float64) func(seed uint64) crowd {
-	return func(seed uint64) crowd {
-		return crowd{
-			hosts: 195, slots: 3, speeds: []float64{1}, keyed: true, work: 1300 * time.Millisecond, target: 4 * time.Second, deadline: 10 * time.Second,
+// fewSlotsManyHosts is an owner with 3 slots and a processing time of 1.3 s, which can process 2.3 requests a second,
+// with callers at 195 hosts. Each host has at most about one request a minute for it, and counts are 160 to 320 ms old.
+func fewSlotsManyHosts(perSecond float64) func(seed uint64) fleetLoad {
+	return func(seed uint64) fleetLoad {
+		return fleetLoad{
+			hosts: 195, slots: 3, speeds: []float64{1}, keyed: true, processingTime: 1300 * time.Millisecond, target: 4 * time.Second, deadline: 10 * time.Second,
 			perSecond: []rate{{0, 1.2}, {5 * time.Second, perSecond}, {20 * time.Second, 1.2}}, length: 25 * time.Second, seed: seed,
-			tellEvery: 160 * time.Millisecond, gatherEvery: 160 * time.Millisecond, ownQueue: 12, knowsWork: true,
+			reportEvery: 160 * time.Millisecond, receiveEvery: 160 * time.Millisecond, ownQueue: 12, knowsProcessingTime: true,
 		}
 	}
 }
 
 var _ = Describe("an owner of few slots among many hosts", func() {
-	// 3.5 requests a second for an owner that can do 2.3, from hosts of which each waits with one. When each might
-	// send one whatever the others do, and knew of a queue only by its own requests, the owner was sent more than its
-	// own queue of 12 takes and rejected 10%, and 44% were answered in time: those in its queue wait for 5 s.
-	It("is not overrun by hosts that each wait with one request", func() {
-		all := mean(fewSlotsManyHosts(3.5))
-		Expect(all.inTarget).To(BeNumerically(">", 0.54))
-		Expect(all.failed).To(BeNumerically("<", 0.2))
-		Expect(all.rejected).To(BeNumerically("<", 0.005))
+	// Guards against hosts that each send one request whatever the others do, and detect a queue only by their own
+	// requests. With 3.5 requests a second for an owner that can process 2.3, it would get more than its queue of 12
+	// holds, where requests wait for 5 s: 10% rejected, 44% answered in time.
+	It("is not overloaded by hosts that each wait with one request", func() {
+		outcome := meanOutcome(fewSlotsManyHosts(3.5))
+		Expect(outcome.inTarget).To(BeNumerically(">", 0.54))
+		Expect(outcome.failed).To(BeNumerically("<", 0.2))
+		Expect(outcome.rejected).To(BeNumerically("<", 0.005))
 	})
 
-	// The same owner with nine tenths of what it can do: nothing has to wait for a draw that is not full anyway.
-	It("is used as well as before while it is nearly full", func() {
-		all := mean(fewSlotsManyHosts(2))
-		Expect(all.inTarget).To(BeNumerically(">", 0.94))
-		Expect(all.failed).To(BeNumerically("<", 0.015))
-		Expect(all.rejected).To(BeNumerically("<", 0.005))
+	// Guards against requests that wait for a random choice though the owner, at nine tenths of its capacity, is not
+	// full.
+	It("is fully used while it is nearly full", func() {
+		outcome := meanOutcome(fewSlotsManyHosts(2))
+		Expect(outcome.inTarget).To(BeNumerically(">", 0.94))
+		Expect(outcome.failed).To(BeNumerically("<", 0.015))
+		Expect(outcome.rejected).To(BeNumerically("<", 0.005))
 	})
 })
--- a/flow/nearly_test.go
+++ b/flow/nearly_test.go
@@ -12,27 +12,27 @@
 
 var _ = Describe("upstreams that the estimate nearly rules out", func() {
 	const (
-		pace   = 100 * time.Millisecond
-		work   = 600 * time.Millisecond
-		slots  = 3
-		rounds = 600
+		pace           = 100 * time.Millisecond
+		processingTime = 600 * time.Millisecond
+		slots          = 3
+		rounds         = 600
 	)
 
-	// Guards against a host that sends an upstream nothing for ever: by its estimate a request that has to share a slot
-	// ends too late, one that has its own does not, and other hosts keep all slots in use.
-	DescribeTable("are sent requests by a host though others keep them full",
-		func(find func(int) flow.Owner, key int) {
-			service := flow.New("z", find, half)
+	// Guards against a host that sends an upstream nothing forever: by its estimate, only a request that does not share
+	// a slot is answered in time, and other hosts keep all slots in use.
+	DescribeTable("get requests from a host although other hosts keep them full",
+		func(findOwner func(int) flow.Owner, key int) {
+			service := flow.New("z", findOwner, fixedRandom)
 			service.SetUpstreams([]cherrykeel.Upstream{upstream("a", slots)}, 0)
-			_, verdicts := ask(service, 0, func(ticket *flow.Ticket) { ticket.Key, ticket.Deadline = key, at(4*time.Second) })
-			service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(work))
+			_, decisions := submit(service, 0, func(ticket *flow.Ticket) { ticket.Key, ticket.Deadline = key, instantAt(4*time.Second) })
+			service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(processingTime))
 			sent := 0
-			for now := work; now < work+rounds*pace; now += pace {
-				service.SetRemoteCounts(map[string]int{"a": slots}, nil, 0, at(now))
-				_, verdicts := ask(service, now, func(ticket *flow.Ticket) { ticket.Key = key })
-				if len(*verdicts) == 1 && (*verdicts)[0].Slot != nil {
+			for now := processingTime; now < processingTime+rounds*pace; now += pace {
+				service.SetRemoteCounts(map[string]int{"a": slots}, nil, 0, instantAt(now))
+				_, decisions := submit(service, now, func(ticket *flow.Ticket) { ticket.Key = key })
+				if len(*decisions) == 1 && (*decisions)[0].Slot != nil {
 					sent++
-					service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+pace/2))
+					service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(now+pace/2))
 				}
 			}
 			Expect(sent).To(BeNumerically(">", 0))
--- a/flow/slowed_test.go
+++ b/flow/slowed_test.go
@@ -14,84 +14,84 @@
 	"cherrykeel/flow"
 )
 
-// slowed is a load on upstreams of 3 slots that are too slow for it until some time, as all hosts have learned.
-type slowed struct {
-	hosts, upstreams     int
-	keyed                bool
-	perSecond            float64
-	slow, work, deadline time.Duration
-	slowUntil, length    time.Duration
-	seed                 uint64
+// slowLoad is a load on upstreams of 3 slots that are too slow for it until some time, which all hosts have learned.
+type slowLoad struct {
+	hosts, upstreams               int
+	keyed                          bool
+	perSecond                      float64
+	slow, processingTime, deadline time.Duration
+	slowUntil, length              time.Duration
+	seed                           uint64
 }
 
-// fates counts what became of requests; cut are those that were sent and got no answer in time.
-type fates struct {
-	asked, answered, refused, trials, cut, rejected int
+// requestCounts counts what became of requests; canceled ones were sent and not answered in time.
+type requestCounts struct {
+	submitted, answered, refused, probes, canceled, rejected int
 }
 
-// slowedPlay is a load that is being played. Hosts tell their counts each 160 ms and know the others' as old; attempts are
-// cut off at their deadline, while the upstream works on.
-type slowedPlay struct {
-	load    slowed
-	due     agenda
-	random  *rand.Rand
-	servers map[string]*server
-	hosts   []*flow.Service
-	told    []counts
-	sum     counts
-	// until are the fates of requests that came while the upstreams were slow, after of those that came later.
-	until, after fates
+// slowSimulation simulates a load. Hosts report their counts every 160 ms and have others' counts of that age. Attempts
+// are canceled at their deadline, while the upstream goes on processing them.
+type slowSimulation struct {
+	load     slowLoad
+	events   eventQueue
+	random   *rand.Rand
+	servers  map[string]*server
+	hosts    []*flow.Service
+	reported []counts
+	sum      counts
+	// whileSlow counts requests that were submitted while the upstreams were slow, afterwards those submitted later.
+	whileSlow, afterwards requestCounts
 }
 
-const slowedSlots = 3
+const slowLoadSlots = 3
 
-func playSlowed(load slowed) *slowedPlay {
-	play := &slowedPlay{load: load, random: rand.New(rand.NewPCG(load.seed, 23)), servers: map[string]*server{}, told: make([]counts, load.hosts)}
-	play.sum = counts{running: map[string]int{}, waiting: map[string]int{}}
+func simulateSlow(load slowLoad) *slowSimulation {
+	simulation := &slowSimulation{load: load, random: rand.New(rand.NewPCG(load.seed, 23)), servers: map[string]*server{}, reported: make([]counts, load.hosts)}
+	simulation.sum = counts{running: map[string]int{}, waiting: map[string]int{}}
 	var upstreams []cherrykeel.Upstream
 	for i := range load.upstreams {
-		upstreams = append(upstreams, upstream(fmt.Sprint(i), slowedSlots))
-		play.servers[fmt.Sprint(i)] = &server{}
+		upstreams = append(upstreams, upstream(fmt.Sprint(i), slowLoadSlots))
+		simulation.servers[fmt.Sprint(i)] = &server{}
 	}
-	var find func(int) flow.Owner
+	var findOwner func(int) flow.Owner
 	if load.keyed {
-		find = func(key int) flow.Owner { return flow.Owner{ID: fmt.Sprint(key)} }
+		findOwner = func(key int) flow.Owner { return flow.Owner{ID: fmt.Sprint(key)} }
 	}
 	for i := range load.hosts {
-		service := flow.New("z", find, play.random.Float64)
+		service := flow.New("z", findOwner, simulation.random.Float64)
 		service.SetUpstreams(upstreams, 0)
-		play.hosts = append(play.hosts, service)
-		play.teach(service)
-		play.at(time.Duration(play.random.Int64N(int64(tellPace))), func(now time.Duration) { play.tell(i, now) })
+		simulation.hosts = append(simulation.hosts, service)
+		simulation.learnSlowness(service)
+		simulation.schedule(time.Duration(simulation.random.Int64N(int64(reportPace))), func(now time.Duration) { simulation.exchangeCounts(i, now) })
 	}
-	for now := time.Duration(0); now < load.length; now += time.Duration(play.random.ExpFloat64() / load.perSecond * float64(time.Second)) {
-		play.at(now, play.ask)
+	for now := time.Duration(0); now < load.length; now += time.Duration(simulation.random.ExpFloat64() / load.perSecond * float64(time.Second)) {
+		simulation.schedule(now, simulation.submitRequest)
 	}
-	for play.due.Len() > 0 {
-		next := heap.Pop(&play.due).(happening)
-		next.do(next.at)
+	for simulation.events.Len() > 0 {
+		next := heap.Pop(&simulation.events).(event)
+		next.run(next.at)
 	}
-	return play
+	return simulation
 }
 
-const tellPace = 160 * time.Millisecond
+const reportPace = 160 * time.Millisecond
 
-func (play *slowedPlay) at(at time.Duration, do func(now time.Duration)) {
-	heap.Push(&play.due, happening{at, do})
+func (simulation *slowSimulation) schedule(at time.Duration, run func(now time.Duration)) {
+	heap.Push(&simulation.events, event{at, run})
 }
 
-// teach has a host learn how slow each upstream is.
-func (play *slowedPlay) teach(service *flow.Service) {
-	for i := range play.load.upstreams {
-		ticket := &flow.Ticket{Key: cherrykeel.NoKey, Target: at(time.Hour), Deadline: at(time.Hour)}
-		ticket.Notify = func(verdict flow.Decision) {
-			service.Release(verdict.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(play.load.slow))
+// learnSlowness makes a host record how slow each upstream is.
+func (simulation *slowSimulation) learnSlowness(service *flow.Service) {
+	for i := range simulation.load.upstreams {
+		ticket := &flow.Ticket{Key: cherrykeel.NoKey, Target: instantAt(time.Hour), Deadline: instantAt(time.Hour)}
+		ticket.Notify = func(decision flow.Decision) {
+			service.Release(decision.Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(simulation.load.slow))
 		}
-		if play.load.keyed {
+		if simulation.load.keyed {
 			ticket.Key = i
 		}
-		for j := range play.load.upstreams {
-			if !play.load.keyed && j != i {
+		for j := range simulation.load.upstreams {
+			if !simulation.load.keyed && j != i {
 				ticket.Tried = append(ticket.Tried, fmt.Sprint(j))
 			}
 		}
@@ -99,16 +99,16 @@
 	}
 }
 
-// tell takes what the other hosts have told, and tells what this one has.
-func (play *slowedPlay) tell(host int, now time.Duration) {
-	play.sum.remove(play.told[host])
-	others := counts{running: maps.Clone(play.sum.running), waiting: maps.Clone(play.sum.waiting), queued: play.sum.queued}
-	waiting, queued := play.hosts[host].Waiting()
-	play.told[host] = counts{running: play.hosts[host].Running(), waiting: waiting, queued: queued}
-	play.sum.add(play.told[host])
-	play.hosts[host].SetRemoteCounts(others.running, others.waiting, others.queued, at(now))
-	if now < play.load.length {
-		play.at(now+tellPace, func(now time.Duration) { play.tell(host, now) })
+// exchangeCounts makes a host receive the other hosts' last reports and report its own counts.
+func (simulation *slowSimulation) exchangeCounts(host int, now time.Duration) {
+	simulation.sum.remove(simulation.reported[host])
+	others := counts{running: maps.Clone(simulation.sum.running), waiting: maps.Clone(simulation.sum.waiting), queued: simulation.sum.queued}
+	waiting, queued := simulation.hosts[host].Waiting()
+	simulation.reported[host] = counts{running: simulation.hosts[host].Running(), waiting: waiting, queued: queued}
+	simulation.sum.add(simulation.reported[host])
+	simulation.hosts[host].SetRemoteCounts(others.running, others.waiting, others.queued, instantAt(now))
+	if now < simulation.load.length {
+		simulation.schedule(now+reportPace, func(now time.Duration) { simulation.exchangeCounts(host, now) })
 	}
 }
 
@@ -122,63 +122,63 @@
 	counts.queued -= other.queued
 }
 
-func (play *slowedPlay) ask(now time.Duration) {
-	fates := &play.until
-	if now >= play.load.slowUntil {
-		fates = &play.after
+func (simulation *slowSimulation) submitRequest(now time.Duration) {
+	counts := &simulation.whileSlow
+	if now >= simulation.load.slowUntil {
+		counts = &simulation.afterwards
 	}
-	fates.asked++
-	service := play.hosts[play.random.IntN(len(play.hosts))]
-	ticket := &flow.Ticket{Key: cherrykeel.NoKey, Arrived: at(now), Target: at(now + play.load.deadline/2), Deadline: at(now + play.load.deadline)}
-	if play.load.keyed {
-		ticket.Key = play.random.IntN(play.load.upstreams)
+	counts.submitted++
+	service := simulation.hosts[simulation.random.IntN(len(simulation.hosts))]
+	ticket := &flow.Ticket{Key: cherrykeel.NoKey, Arrived: instantAt(now), Target: instantAt(now + simulation.load.deadline/2), Deadline: instantAt(now + simulation.load.deadline)}
+	if simulation.load.keyed {
+		ticket.Key = simulation.random.IntN(simulation.load.upstreams)
 	}
-	ticket.Notify = func(verdict flow.Decision) {
-		if verdict.Slot == nil {
-			fates.refused++
+	ticket.Notify = func(decision flow.Decision) {
+		if decision.Slot == nil {
+			counts.refused++
 			return
 		}
-		if verdict.Slot.Probe {
-			fates.trials++
+		if decision.Slot.Probe {
+			counts.probes++
 		}
-		play.send(service, verdict.Slot, fates)
+		simulation.send(service, decision.Slot, counts)
 	}
-	service.Submit(ticket, at(now))
+	service.Submit(ticket, instantAt(now))
 }
 
-// send has an upstream work on a request, or reject it if it has no room.
-func (play *slowedPlay) send(service *flow.Service, place *flow.Slot, fates *fates) {
-	server := play.servers[place.Upstream.ID]
-	left := false
-	leave := func(ending flow.Result, count *int, now time.Duration) {
-		if left {
+// send makes an upstream process a request, or reject it if its queue is full.
+func (simulation *slowSimulation) send(service *flow.Service, slot *flow.Slot, counts *requestCounts) {
+	server := simulation.servers[slot.Upstream.ID]
+	released := false
+	release := func(result flow.Result, count *int, now time.Duration) {
+		if released {
 			return
 		}
-		left = true
+		released = true
 		*count++
-		service.Release(place, ending, cherrykeel.UpstreamLoad{}, at(now))
+		service.Release(slot, result, cherrykeel.UpstreamLoad{}, instantAt(now))
 	}
-	sent := time.Duration(place.StartedAt)
-	finish := func(now time.Duration) { leave(flow.Answered, &fates.answered, now) }
+	sentAt := time.Duration(slot.StartedAt)
+	finish := func(now time.Duration) { release(flow.Answered, &counts.answered, now) }
 	switch {
-	case server.running < slowedSlots:
-		play.run(server, sent, finish)
-	case len(server.queue) < 4*slowedSlots:
-		server.queue = append(server.queue, func(now time.Duration) { play.run(server, now, finish) })
+	case server.running < slowLoadSlots:
+		simulation.run(server, sentAt, finish)
+	case len(server.queue) < 4*slowLoadSlots:
+		server.queue = append(server.queue, func(now time.Duration) { simulation.run(server, now, finish) })
 	default:
-		play.at(sent, func(now time.Duration) { leave(flow.Refused, &fates.rejected, now) })
+		simulation.schedule(sentAt, func(now time.Duration) { release(flow.Refused, &counts.rejected, now) })
 		return
 	}
-	play.at(time.Duration(place.Deadline), func(now time.Duration) { leave(flow.Failed, &fates.cut, now) })
+	simulation.schedule(time.Duration(slot.Deadline), func(now time.Duration) { release(flow.Failed, &counts.canceled, now) })
 }
 
-func (play *slowedPlay) run(server *server, now time.Duration, finish func(now time.Duration)) {
-	work := play.load.work
-	if now < play.load.slowUntil {
-		work = play.load.slow
+func (simulation *slowSimulation) run(server *server, now time.Duration, finish func(now time.Duration)) {
+	processingTime := simulation.load.processingTime
+	if now < simulation.load.slowUntil {
+		processingTime = simulation.load.slow
 	}
 	server.running++
-	play.at(now+time.Duration(float64(work)*(0.7+0.6*play.random.Float64())), func(now time.Duration) {
+	simulation.schedule(now+time.Duration(float64(processingTime)*(0.7+0.6*simulation.random.Float64())), func(now time.Duration) {
 		server.running--
 		finish(now)
 		if len(server.queue) > 0 {
@@ -189,28 +189,29 @@
 	})
 }
 
-var _ = Describe("upstreams that are too slow for all that is asked of them, among 195 hosts", func() {
+var _ = Describe("upstreams that are too slow for their requests, among 195 hosts", func() {
 	const (
 		hosts     = 195
 		slowUntil = 20 * time.Second
 		length    = 40 * time.Second
-		// mostTrials is how many trials a host may send in that time: at 0, 1, 3, 7, 11 and 15 s or up to a quarter earlier.
-		mostTrials = 7
+		// maxProbes is how many probes a host may send in that time: at 0, 1, 3, 7, 11 and 15 s or up to a quarter
+		// earlier.
+		maxProbes = 7
 	)
 
-	// Guards against hosts that together send a slow service what each of them alone thinks is little, and against upstreams
-	// that stay unused after they are quick again.
-	DescribeTable("get few requests, and all when they are quick again",
-		func(load slowed) {
+	// Guards against hosts that together overload a slow service with probes that are few for each host, and against
+	// upstreams that stay unused after they are fast again.
+	DescribeTable("get few requests, and all when they are fast again",
+		func(load slowLoad) {
 			load.hosts, load.slowUntil, load.length = hosts, slowUntil, length
-			play := playSlowed(load)
-			Expect(play.until.trials).To(BeNumerically("<=", hosts*mostTrials))
-			Expect(play.until.cut + play.until.rejected).To(BeNumerically("<=", play.until.trials))
-			Expect(float64(play.after.answered) / float64(play.after.asked)).To(BeNumerically(">", 0.7))
-			Expect(float64(play.after.rejected) / float64(play.after.asked)).To(BeNumerically("<", 0.05))
+			simulation := simulateSlow(load)
+			Expect(simulation.whileSlow.probes).To(BeNumerically("<=", hosts*maxProbes))
+			Expect(simulation.whileSlow.canceled + simulation.whileSlow.rejected).To(BeNumerically("<=", simulation.whileSlow.probes))
+			Expect(float64(simulation.afterwards.answered) / float64(simulation.afterwards.submitted)).To(BeNumerically(">", 0.7))
+			Expect(float64(simulation.afterwards.rejected) / float64(simulation.afterwards.submitted)).To(BeNumerically("<", 0.05))
 		},
-		Entry("231 owners of keys", slowed{upstreams: 231, keyed: true, perSecond: 350, slow: 6 * time.Second, work: 1300 * time.Millisecond, deadline: 3 * time.Second}),
-		Entry("one owner that all ask for", slowed{upstreams: 1, keyed: true, perSecond: 400, slow: 6 * time.Second, work: 5 * time.Millisecond, deadline: 3 * time.Second}),
-		Entry("54 without keys", slowed{upstreams: 54, perSecond: 500, slow: 2 * time.Second, work: 160 * time.Millisecond, deadline: 500 * time.Millisecond}),
+		Entry("231 owners of keys", slowLoad{upstreams: 231, keyed: true, perSecond: 350, slow: 6 * time.Second, processingTime: 1300 * time.Millisecond, deadline: 3 * time.Second}),
+		Entry("one owner of all requests' keys", slowLoad{upstreams: 1, keyed: true, perSecond: 400, slow: 6 * time.Second, processingTime: 5 * time.Millisecond, deadline: 3 * time.Second}),
+		Entry("54 without keys", slowLoad{upstreams: 54, perSecond: 500, slow: 2 * time.Second, processingTime: 160 * time.Millisecond, deadline: 500 * time.Millisecond}),
 	)
 })
--- a/flow/trial_test.go
+++ b/flow/trial_test.go
@@ -13,110 +13,113 @@
 
 var _ = Describe("requests that the estimate rules out", func() {
 	const (
-		pace   = 100 * time.Millisecond
-		quick  = 50 * time.Millisecond
-		slow   = 3 * time.Second
-		slowed = 20 * time.Second
-		key    = 7
-		// soon is the longest pause between two trials, its spread included, and what the last one before takes.
-		soon = 7 * time.Second
+		pace    = 100 * time.Millisecond
+		quick   = 50 * time.Millisecond
+		slow    = 3 * time.Second
+		slowEnd = 20 * time.Second
+		key     = 7
+		// recovery is the longest pause between two probes, with its jitter, plus the duration of the last probe
+		// before.
+		recovery = 7 * time.Second
 	)
 	var now time.Duration
 
+	// patient gives a ticket a deadline that slow upstreams can meet.
 	patient := func(ticket *flow.Ticket) { ticket.Deadline = ticket.Arrived.Add(4 * time.Second) }
 	keyed := func(ticket *flow.Ticket) { ticket.Key = key }
-	// learn has the service's upstreams answer each a patient request after some time.
+	// learn makes the service's upstreams each answer a request with a long deadline after some time.
 	learn := func(service *flow.Service, change func(*flow.Ticket), count int, took time.Duration) {
-		var places []*flow.Slot
+		var acquired []*flow.Slot
 		for range count {
-			_, verdicts := ask(service, now, func(ticket *flow.Ticket) { change(ticket); patient(ticket) })
-			Expect(*verdicts).To(HaveLen(1))
-			places = append(places, (*verdicts)[0].Slot)
+			_, decisions := submit(service, now, func(ticket *flow.Ticket) { change(ticket); patient(ticket) })
+			Expect(*decisions).To(HaveLen(1))
+			acquired = append(acquired, (*decisions)[0].Slot)
 		}
 		now += took
-		for _, place := range places {
-			service.Release(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now))
+		for _, slot := range acquired {
+			service.Release(slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(now))
 		}
 	}
-	// play asks every tenth of a second until some time, and returns when requests were sent. Upstreams are slow for a
-	// while, and what they do not answer in time is given up.
-	play := func(service *flow.Service, change func(*flow.Ticket), slowUntil, until time.Duration) []time.Duration {
+	// submitUntil submits a request every 100 ms until some time, and returns when requests were sent. Upstreams are
+	// slow until slowUntil, and what they do not answer in time is given up.
+	submitUntil := func(service *flow.Service, change func(*flow.Ticket), slowUntil, until time.Duration) []time.Duration {
 		var sent []time.Duration
-		leaves := map[time.Duration]func(){}
+		releases := map[time.Duration]func(){}
 		for ; now < until; now += pace {
-			if leave := leaves[now]; leave != nil {
-				leave()
+			if release := releases[now]; release != nil {
+				release()
 			}
-			_, verdicts := ask(service, now, change)
-			Expect(*verdicts).To(HaveLen(1))
-			place := (*verdicts)[0].Slot
+			_, decisions := submit(service, now, change)
+			Expect(*decisions).To(HaveLen(1))
+			slot := (*decisions)[0].Slot
 			switch {
-			case place == nil:
-				Expect((*verdicts)[0].Reason).To(Equal(flow.TooLate))
+			case slot == nil:
+				Expect((*decisions)[0].Reason).To(Equal(flow.TooLate))
 				continue
 			case now < slowUntil:
-				leaves[now+5*pace] = func() { service.Release(place, flow.Failed, cherrykeel.UpstreamLoad{}, place.Deadline) }
+				releases[now+5*pace] = func() { service.Release(slot, flow.Failed, cherrykeel.UpstreamLoad{}, slot.Deadline) }
 			default:
-				service.Release(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
+				service.Release(slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(now+quick))
 			}
 			sent = append(sent, now)
 		}
 		return sent
 	}
-	alone := func() *flow.Service {
-		service := flow.New("z", nil, half)
+	sharedService := func() *flow.Service {
+		service := flow.New("z", nil, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, 0)
 		return service
 	}
-	owned := func() *flow.Service {
-		service := flow.New("z", func(int) flow.Owner { return flow.Owner{ID: "a"} }, half)
+	ownedService := func() *flow.Service {
+		service := flow.New("z", func(int) flow.Owner { return flow.Owner{ID: "a"} }, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3), upstream("b", 3)}, 0)
 		return service
 	}
 
 	BeforeEach(func() { now = 0 })
 
-	for name, how := range map[string]struct {
+	for name, kind := range map[string]struct {
 		service func() *flow.Service
 		change  func(*flow.Ticket)
-	}{"without keys": {alone, keep}, "for an owner": {owned, keyed}} {
-		// Guards against an upstream that is given up for ever since it was slow for a while, and against callers who all
-		// wait in vain while it is.
-		It(name+" are few while the upstream is slow, and all are sent some seconds after", func() {
-			service := how.service()
-			learn(service, how.change, 1, slow)
-			while := play(service, how.change, slowed, slowed)
+	}{"without keys": {sharedService, unchanged}, "for an owner": {ownedService, keyed}} {
+		// Guards against an upstream that is never used again because it was slow for a while, and against callers that
+		// all wait in vain while it is slow.
+		It(name+" are rarely sent while the upstream is slow, and all are sent some seconds after it", func() {
+			service := kind.service()
+			learn(service, kind.change, 1, slow)
+			while := submitUntil(service, kind.change, slowEnd, slowEnd)
 			Expect(len(while)).To(BeNumerically("~", 5, 2))
-			after := play(service, how.change, slowed, slowed+soon)
+			after := submitUntil(service, kind.change, slowEnd, slowEnd+recovery)
 			Expect(after).NotTo(BeEmpty())
-			Expect(after[0]).To(BeNumerically("<", slowed+soon-pace))
-			Expect(play(service, how.change, slowed, slowed+2*soon)).To(HaveLen(int(soon / pace)))
+			Expect(after[0]).To(BeNumerically("<", slowEnd+recovery-pace))
+			Expect(submitUntil(service, kind.change, slowEnd, slowEnd+2*recovery)).To(HaveLen(int(recovery / pace)))
 		})
 
-		// Guards against a host that stands still again and again and gets slower to use what it has.
-		It(name+" are sent soon after each time that the host has stood still", func() {
-			service := how.service()
+		// Guards against a host that takes longer after each further suspension to use its upstreams again.
+		It(name+" are sent soon after each suspension of the host", func() {
+			service := kind.service()
 			for range 5 {
-				var places []*flow.Slot
+				var acquired []*flow.Slot
 				for range 3 {
-					_, verdicts := ask(service, now, func(ticket *flow.Ticket) { how.change(ticket); patient(ticket) })
-					places = append(places, (*verdicts)[0].Slot)
+					_, decisions := submit(service, now, func(ticket *flow.Ticket) { kind.change(ticket); patient(ticket) })
+					acquired = append(acquired, (*decisions)[0].Slot)
 				}
 				now += 2 * slow
-				for _, place := range places {
-					service.Release(place, flow.Answered, cherrykeel.UpstreamLoad{}, at(now))
+				for _, slot := range acquired {
+					service.Release(slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(now))
 				}
-				thawed := now
-				Expect(play(service, how.change, 0, thawed+2*time.Second)).NotTo(BeEmpty())
-				Expect(play(service, how.change, 0, thawed+3*time.Second)).To(HaveLen(int(time.Second / pace)))
+				resumed := now
+				Expect(submitUntil(service, kind.change, 0, resumed+2*time.Second)).NotTo(BeEmpty())
+				Expect(submitUntil(service, kind.change, 0, resumed+3*time.Second)).To(HaveLen(int(time.Second / pace)))
 			}
 		})
 	}
 
-	// Guards against a host that sends a request to each of hundreds of owners, since it has sent none of them anything lately.
-	It("are as few for many owners as for one", func() {
+	// Guards against a host that sends a probe to each of hundreds of owners because it has not sent any of them a
+	// request lately.
+	It("are sent as rarely to many owners as to one", func() {
 		const owners = 40
-		service := flow.New("z", func(key int) flow.Owner { return flow.Owner{ID: fmt.Sprint(key)} }, half)
+		service := flow.New("z", func(key int) flow.Owner { return flow.Owner{ID: fmt.Sprint(key)} }, fixedRandom)
 		var upstreams []cherrykeel.Upstream
 		for i := range owners {
 			upstreams = append(upstreams, upstream(fmt.Sprint(i), 3))
@@ -128,132 +131,132 @@
 			next++
 		}
 		learn(service, each, owners, slow)
-		Expect(len(play(service, each, slowed, slowed))).To(BeNumerically("~", 5, 2))
+		Expect(len(submitUntil(service, each, slowEnd, slowEnd))).To(BeNumerically("~", 5, 2))
 	})
 
-	// Guards against a host that takes long to find out that it was wrong since upstreams were slow some other time.
+	// Guards against long pauses between probes because of an earlier slow period.
 	It("are sent with short pauses again once one has been answered in time", func() {
-		service := alone()
-		learn(service, keep, 1, slow)
-		play(service, keep, slowed, slowed+soon)
+		service := sharedService()
+		learn(service, unchanged, 1, slow)
+		submitUntil(service, unchanged, slowEnd, slowEnd+recovery)
 		for range 10 {
-			learn(service, keep, 1, slow)
+			learn(service, unchanged, 1, slow)
 		}
 		until := now + 4*time.Second
-		Expect(len(play(service, keep, until, until))).To(BeNumerically(">=", 2))
+		Expect(len(submitUntil(service, unchanged, until, until))).To(BeNumerically(">=", 2))
 	})
 
-	// Guards against a service of many upstreams whose estimates are renewed one a second.
+	// Guards against a service with many upstreams whose estimates are renewed at one a second.
 	It("renew the estimates of all upstreams that were ruled out with it", func() {
-		service := flow.New("z", nil, half)
+		service := flow.New("z", nil, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 1), upstream("b", 1), upstream("c", 1)}, 0)
-		learn(service, keep, 3, slow)
+		learn(service, unchanged, 3, slow)
 		now += time.Second
-		_, verdicts := ask(service, now, keep)
-		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
+		_, decisions := submit(service, now, unchanged)
+		service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(now+quick))
 		now += quick
 		used := map[string]bool{}
 		for range 3 {
-			_, verdicts := ask(service, now, keep)
-			used[(*verdicts)[0].Slot.Upstream.ID] = true
+			_, decisions := submit(service, now, unchanged)
+			used[(*decisions)[0].Slot.Upstream.ID] = true
 		}
 		Expect(used).To(HaveLen(3))
 	})
 
-	It("are told from those that are expected to be answered", func() {
-		service := alone()
-		learn(service, keep, 1, slow)
+	It("are marked as probes, and others are not", func() {
+		service := sharedService()
+		learn(service, unchanged, 1, slow)
 		now += time.Second
-		_, verdicts := ask(service, now, keep)
-		Expect((*verdicts)[0].Slot.Probe).To(BeTrue())
-		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(now+quick))
-		_, verdicts = ask(service, now+quick, keep)
-		Expect((*verdicts)[0].Slot.Probe).To(BeFalse())
+		_, decisions := submit(service, now, unchanged)
+		Expect((*decisions)[0].Slot.Probe).To(BeTrue())
+		service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(now+quick))
+		_, decisions = submit(service, now+quick, unchanged)
+		Expect((*decisions)[0].Slot.Probe).To(BeFalse())
 	})
 
-	// isSent reports whether a request is sent to one of two upstreams, both of which seem too slow.
+	// isSent reports whether a request is sent to one of two upstreams that both seem too slow.
 	isSent := func(change func(*flow.Ticket), prepare func(service *flow.Service)) bool {
-		service := owned()
+		service := ownedService()
 		learn(service, keyed, 1, slow)
 		learn(service, func(ticket *flow.Ticket) { ticket.Tried = []string{"a"} }, 1, slow)
 		now += 2 * time.Second
 		prepare(service)
-		_, verdicts := ask(service, now, change)
-		return len(*verdicts) > 0 && (*verdicts)[0].Slot != nil
+		_, decisions := submit(service, now, change)
+		return len(*decisions) > 0 && (*decisions)[0].Slot != nil
 	}
 
-	It("are sent if nothing else speaks against it", func() {
-		Expect(isSent(keep, keepService)).To(BeTrue())
-		Expect(isSent(keyed, keepService)).To(BeTrue())
+	It("are sent if nothing else rules them out", func() {
+		Expect(isSent(unchanged, unchangedService)).To(BeTrue())
+		Expect(isSent(keyed, unchangedService)).To(BeTrue())
 	})
 
-	// Guards against trials that add load to what would refuse the request anyway, or bring no news.
-	DescribeTable("are refused as ever",
+	// Guards against probes that add load where another rule refuses the request, or that show nothing new.
+	DescribeTable("are refused",
 		func(change func(*flow.Ticket), prepare func(service *flow.Service)) {
 			Expect(isSent(change, prepare)).To(BeFalse())
 		},
 		Entry("in an evacuated availability zone", keyed, func(service *flow.Service) {
-			service.SetUpstreams([]cherrykeel.Upstream{closed("a", now), closed("b", now)}, at(now))
+			service.SetUpstreams([]cherrykeel.Upstream{closedUpstream("a", now), closedUpstream("b", now)}, instantAt(now))
 		}),
-		Entry("in an evacuated availability zone, without a key", keep, func(service *flow.Service) {
-			service.SetUpstreams([]cherrykeel.Upstream{closed("a", now), closed("b", now)}, at(now))
+		Entry("in an evacuated availability zone, without a key", unchanged, func(service *flow.Service) {
+			service.SetUpstreams([]cherrykeel.Upstream{closedUpstream("a", now), closedUpstream("b", now)}, instantAt(now))
 		}),
-		Entry("at upstreams that are cold and not this host's to warm", keep, func(service *flow.Service) {
-			a, b := cold("a", 0), cold("b", 0)
-			a.ColdUntil, b.ColdUntil = at(now+time.Second), at(now+time.Second)
-			service.SetUpstreams([]cherrykeel.Upstream{a, b}, at(now))
+		Entry("at cold upstreams for which this host has no quota", unchanged, func(service *flow.Service) {
+			a, b := coldUpstream("a", 0), coldUpstream("b", 0)
+			a.ColdUntil, b.ColdUntil = instantAt(now+time.Second), instantAt(now+time.Second)
+			service.SetUpstreams([]cherrykeel.Upstream{a, b}, instantAt(now))
 		}),
 		Entry("at an owner that is full", keyed, func(service *flow.Service) {
-			service.SetRemoteCounts(map[string]int{"a": 4}, nil, 0, at(now))
+			service.SetRemoteCounts(map[string]int{"a": 4}, nil, 0, instantAt(now))
 		}),
-		Entry("at upstreams that are full", keep, func(service *flow.Service) {
-			service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 0, at(now))
+		Entry("at upstreams that are full", unchanged, func(service *flow.Service) {
+			service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 0, instantAt(now))
 		}),
-		Entry("at an owner that cannot be reached", keyed, func(service *flow.Service) {
-			_, verdicts := ask(service, now, func(ticket *flow.Ticket) { keyed(ticket); patient(ticket) })
+		Entry("at an owner that is unreachable", keyed, func(service *flow.Service) {
+			_, decisions := submit(service, now, func(ticket *flow.Ticket) { keyed(ticket); patient(ticket) })
 			now += time.Second
-			service.Release((*verdicts)[0].Slot, flow.Unreachable, cherrykeel.UpstreamLoad{}, at(now))
+			service.Release((*decisions)[0].Slot, flow.Unreachable, cherrykeel.UpstreamLoad{}, instantAt(now))
 		}),
-		Entry("while one of this host's is at work at the owner", keyed, func(service *flow.Service) {
-			ask(service, now, func(ticket *flow.Ticket) { keyed(ticket); patient(ticket) })
+		Entry("while this host has a request at the owner", keyed, func(service *flow.Service) {
+			submit(service, now, func(ticket *flow.Ticket) { keyed(ticket); patient(ticket) })
 			now += 2 * time.Second
 		}),
-		Entry("while one of this host's is at work in the service", keep, func(service *flow.Service) {
-			ask(service, now, patient)
+		Entry("while this host has a request at the service", unchanged, func(service *flow.Service) {
+			submit(service, now, patient)
 			now += 2 * time.Second
 		}),
-		Entry("that were sent before", func(ticket *flow.Ticket) { keyed(ticket); ticket.Tried = []string{"a"} }, keepService),
+		Entry("that were sent before", func(ticket *flow.Ticket) { keyed(ticket); ticket.Tried = []string{"a"} }, unchangedService),
 		Entry("that have waited", func(ticket *flow.Ticket) {
 			keyed(ticket)
-			ticket.Arrived, ticket.Deadline = at(now-20*time.Second), at(now+500*time.Millisecond)
-		}, keepService),
+			ticket.Arrived, ticket.Deadline = instantAt(now-20*time.Second), instantAt(now+500*time.Millisecond)
+		}, unchangedService),
 	)
 })
 
-func keepService(*flow.Service) {}
+func unchangedService(*flow.Service) {}
 
-var _ = Describe("what an answer tells of its upstream", func() {
-	took := func(service *flow.Service, took time.Duration) {
-		_, verdicts := ask(service, 0, keep)
-		service.Release((*verdicts)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, at(took))
+var _ = Describe("the processing time of an upstream", func() {
+	answerAfter := func(service *flow.Service, took time.Duration) {
+		_, decisions := submit(service, 0, unchanged)
+		service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(took))
 	}
 
-	// Guards against an upstream that is slow and is sent the most since nothing is learned of it.
-	It("is how slow it is, as long as the answer came in time", func() {
-		service := flow.New("z", nil, half)
+	// Guards against a slow upstream that gets the most requests because its answers are ignored.
+	It("is the time to the answer if that came before the deadline", func() {
+		service := flow.New("z", nil, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, 0)
 		for range 20 {
-			took(service, 450*time.Millisecond)
+			answerAfter(service, 450*time.Millisecond)
 		}
 		Expect(service.ProcessingTimes()["a"]).To(Equal(450 * time.Millisecond))
 	})
 
-	// Guards against a host that stood still and takes that time for its upstreams' own.
-	It("is little if this host has read it too late", func() {
-		service := flow.New("z", nil, half)
+	// Guards against a host that was suspended and takes that time for its upstreams' processing time.
+	It("changes little by an answer that this host read after the deadline", func() {
+		service := flow.New("z", nil, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, 0)
-		took(service, 50*time.Millisecond)
-		took(service, 6*time.Second)
+		answerAfter(service, 50*time.Millisecond)
+		answerAfter(service, 6*time.Second)
 		Expect(service.ProcessingTimes()["a"]).To(BeNumerically("<", 100*time.Millisecond))
 	})
 })
