--- a/cold/part.go
+++ b/cold/part.go
@@ -4,9 +4,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// listsAtOnce is how many different lists of hosts may be in use at once without the bound being broken. Hosts that are
+// maxHostLists is how many different lists of hosts may be in use at once without the bound being broken. Hosts that are
 // cut off go on by an older list than the others.
-const listsAtOnce = 2
+const maxHostLists = 2
 
 // Quota returns how many requests a second the host named self may send to a cold upstream that bears bound requests a
 // second from all hosts together.
@@ -16,19 +16,19 @@
 // listsAtOnce-th of the bound is given out, so hosts with two different ones still keep to it. A host that knows no list,
 // or one without itself, has no part.
 func Quota(self string, hosts []string, upstream string, bound float64) int {
-	parts := int(bound) / listsAtOnce
-	if len(hosts) == 0 || parts < 1 {
+	total := int(bound) / maxHostLists
+	if len(hosts) == 0 || total < 1 {
 		return 0
 	}
 	rank, listed := rankOf(self, hosts, upstream)
 	if !listed {
 		return 0
 	}
-	each, rest := parts/len(hosts), parts%len(hosts)
-	if rank < rest {
-		each++
+	quota, remainder := total/len(hosts), total%len(hosts)
+	if rank < remainder {
+		quota++
 	}
-	return each
+	return quota
 }
 
 // rankOf returns the host's place among the hosts in their order for an upstream, and whether it is among them.
