--- a/cold/doc.go
+++ b/cold/doc.go
@@ -1,3 +1,4 @@
-// Package cold decides which hosts may send how much to an upstream that is cold, so that all hosts together stay below
-// what it bears in any second, whatever they hear of each other. It is pure.
+// Package cold limits the requests that each host sends to a cold upstream, so that all hosts together stay below the
+// rate that the upstream tolerates in any second, whatever they receive from each other. It does no I/O and reads no
+// clock.
 package cold
--- a/cold/part.go
+++ b/cold/part.go
@@ -4,17 +4,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxHostLists is how many different lists of hosts may be in use at once without the bound being broken. Hosts that are
-// cut off go on by an older list than the others.
+// maxHostLists is how many different lists of hosts may be in use at once without the bound being exceeded. Hosts that
+// are disconnected go on with an older list than the others.
 const maxHostLists = 2
 
-// Quota returns how many requests a second the host named self may send to a cold upstream that bears bound requests a
+// Quota returns how many requests a second the host self may send to a cold upstream that tolerates bound requests a
 // second from all hosts together.
 //
-// A few hosts have a part each, chosen by a hash of their names with the upstream's, so that no message is needed and
-// each cold upstream has others. A host counts itself in or out by its own list: from one list never more than a
-// listsAtOnce-th of the bound is given out, so hosts with two different ones still keep to it. A host that knows no list,
-// or one without itself, has no part.
+// The hosts with a quota are chosen by a hash of their names with the upstream's (rendezvous hashing), so that no
+// message is needed, and different upstreams have different hosts. Each host computes its quota from its own list. With
+// one list, at most 1/maxHostLists of the bound is assigned, so hosts with two different lists still stay within it. A
+// host without a list, or with one that does not contain itself, has no quota.
 func Quota(self string, hosts []string, upstream string, bound float64) int {
 	total := int(bound) / maxHostLists
 	if len(hosts) == 0 || total < 1 {
@@ -31,7 +31,7 @@
 	return quota
 }
 
-// rankOf returns the host's place among the hosts in their order for an upstream, and whether it is among them.
+// rankOf returns the host's rank among the hosts by their weight for an upstream, and whether the host is listed.
 func rankOf(self string, hosts []string, upstream string) (int, bool) {
 	own := weight(self, upstream)
 	rank, listed := 0, false
@@ -48,6 +48,7 @@
 	return rank, listed
 }
 
+// weight returns the rendezvous weight of a host for an upstream.
 func weight(host, upstream string) uint64 {
 	return xxhash.Sum64String(host + "\x00" + upstream)
 }
