--- a/cold/cold_test.go
+++ b/cold/cold_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "cold")
 }
 
-// bound is what an upstream that tolerates 4.3 requests a second bears in one second.
+// bound is how many requests an upstream with a rate of 4.3 requests a second tolerates in one second.
 const bound = 4.3*1.5 + 8
 
 func names(count int) []string {
@@ -29,15 +29,15 @@
 	return names
 }
 
-// without returns the names less some, chosen at random.
+// without returns the names except for some random ones.
 func without(names []string, count int, random *rand.Rand) []string {
 	rest := append([]string(nil), names...)
 	random.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	return rest[count:]
 }
 
-var _ = Describe("the parts of a cold upstream's bound", func() {
-	DescribeTable("are given out by one list of hosts, half of them kept back", func(hosts, expected int) {
+var _ = Describe("the quotas of a cold upstream's bound", func() {
+	DescribeTable("add up to half of the bound for one list of hosts", func(hosts, expected int) {
 		list := names(hosts)
 		total := 0
 		for _, host := range list {
@@ -52,14 +52,14 @@
 		Entry("195 hosts", 195, 7),
 	)
 
-	It("are none for a host that knows no hosts, and for one that is not listed", func() {
+	It("are zero for a host without a list, or with one that does not contain it", func() {
 		Expect(cold.Quota("host-1", nil, "u", bound)).To(BeZero())
 		Expect(cold.Quota("other", names(2), "u", bound)).To(BeZero())
 		Expect(cold.Quota("host-1", names(2), "u", 1)).To(BeZero())
 	})
 
-	// Guards against hosts that are cut off and go on by an older list, while the others drop them from theirs.
-	It("keep to the bound when some hosts have another list than the others", func() {
+	// Guards against hosts that are disconnected and go on with an older list while the others drop them from theirs.
+	It("stay within the bound when some hosts have another list than the others", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		for round := range 300 {
 			all := names(2 + random.IntN(80))
@@ -72,22 +72,22 @@
 		}
 	})
 
-	It("lie with other hosts for another upstream", func() {
+	It("go to other hosts for another upstream", func() {
 		list := names(61)
-		with := map[string]bool{}
+		withQuota := map[string]bool{}
 		for upstream := range 40 {
 			for _, host := range list {
 				if cold.Quota(host, list, fmt.Sprint(upstream), bound) > 0 {
-					with[host] = true
+					withQuota[host] = true
 				}
 			}
 		}
-		Expect(len(with)).To(BeNumerically(">", 50))
+		Expect(len(withQuota)).To(BeNumerically(">", 50))
 	})
 })
 
-var _ = Describe("the window", func() {
-	// Guards against counts that begin anew each second: twice as many in the second around that.
+var _ = Describe("the window of requests", func() {
+	// Guards against counts that are reset each second: twice the limit could be sent within a second around the reset.
 	It("slides", func() {
 		random := rand.New(rand.NewPCG(3, 4))
 		var window cold.Window
