--- a/retry/budget.go
+++ b/retry/budget.go
@@ -9,7 +9,7 @@
 
 const (
 	budgetReserve = 10
-	budgetCeiling = 100
+	maxBudget     = 100
 )
 
 // NewBudget returns a budget that holds its reserve.
@@ -19,7 +19,7 @@
 
 // Deposit adds what one request of a caller brings.
 func (budget *Budget) Deposit(share float64) {
-	budget.tokens = min(budget.tokens+share, budgetCeiling)
+	budget.tokens = min(budget.tokens+share, maxBudget)
 }
 
 // CanRetry reports whether a retry may be made.
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -68,115 +68,115 @@
 }
 
 const (
-	maxAttempts      = 4
-	maxOwnerAttempts = 200
-	ownerBackoff     = 4 * time.Millisecond
-	maxOwnerBackoff  = 64 * time.Millisecond
-	retryBackoff     = 2 * time.Millisecond
-	shedRetryAfter   = time.Second
-	refusalCost      = 0.25
-	statusBadGateway = 502
-	statusBusy       = 503
-	statusTimeout    = 504
+	maxAttempts       = 4
+	maxOwnerAttempts  = 200
+	ownerBackoff      = 4 * time.Millisecond
+	maxBackoff        = 64 * time.Millisecond
+	retryBackoff      = 2 * time.Millisecond
+	refusalRetryAfter = time.Second
+	refusalCost       = 0.25
+	statusBadGateway  = 502
+	statusUnavailable = 503
+	statusTimeout     = 504
 )
 
 // Decide returns what follows an attempt.
-func Decide(ending Result, situation Conditions) Decision {
-	switch ending.Evidence {
+func Decide(result Result, conditions Conditions) Decision {
+	switch result.Evidence {
 	case Answered:
 		return Decision{Forward: true}
 	case NeverSent:
-		if situation.Keyed {
+		if conditions.Keyed {
 			// The key's only server cannot be reached: its keys get another owner within a
 			// lease's length or so, and the request waits for that while its time lasts.
-			return afterWrongOwner(ending, situation)
+			return afterWrongOwner(result, conditions)
 		}
-		return afterNotRun(ending, situation)
+		return afterNotRun(result, conditions)
 	case Refused:
-		return afterRefusal(ending, situation)
+		return afterRefusal(result, conditions)
 	default:
-		return afterDoubt(ending, situation)
+		return afterUnknownOutcome(result, conditions)
 	}
 }
 
-func afterRefusal(ending Result, situation Conditions) Decision {
-	moving := situation.Keyed && ending.Refusal == RefusedDraining
-	if ending.Refusal == RefusedNotOwner || moving {
-		return afterWrongOwner(ending, situation)
+func afterRefusal(result Result, conditions Conditions) Decision {
+	inTransfer := conditions.Keyed && result.Refusal == RefusedDraining
+	if result.Refusal == RefusedNotOwner || inTransfer {
+		return afterWrongOwner(result, conditions)
 	}
-	if situation.Keyed && ending.Refusal == RefusedShed {
+	if conditions.Keyed && result.Refusal == RefusedShed {
 		// The only server for the key is overloaded; asking again at once would feed the overload.
-		return refuse(statusBusy, "upstream-shed", ending)
+		return failNotRun(statusUnavailable, "upstream-shed", result)
 	}
-	return afterNotRun(ending, situation)
+	return afterNotRun(result, conditions)
 }
 
 // afterWrongOwner waits for a move to end. It is not charged to the budget: the
 // refusal costs the upstream next to nothing, and a budget spent by one move
 // would leave none for the faults it is kept for.
-func afterWrongOwner(ending Result, situation Conditions) Decision {
-	wait := backoff(ownerBackoff, maxOwnerBackoff, situation)
-	if situation.Attempt >= maxOwnerAttempts || !situation.fits(wait) {
-		return refuse(statusBusy, "no-owner", ending)
+func afterWrongOwner(result Result, conditions Conditions) Decision {
+	wait := backoff(ownerBackoff, maxBackoff, conditions)
+	if conditions.Attempt >= maxOwnerAttempts || !conditions.hasTimeFor(wait) {
+		return failNotRun(statusUnavailable, "no-owner", result)
 	}
 	return Decision{Retry: true, Wait: wait}
 }
 
-func afterNotRun(ending Result, situation Conditions) Decision {
-	wait := backoff(retryBackoff, maxOwnerBackoff, situation)
+func afterNotRun(result Result, conditions Conditions) Decision {
+	wait := backoff(retryBackoff, maxBackoff, conditions)
 	switch {
-	case situation.Attempt >= maxAttempts || !situation.fits(wait):
-		return refuse(statusBusy, "upstream-unreachable", ending)
-	case !situation.BudgetLeft:
-		return refuse(statusBusy, "retry-budget-spent", ending)
+	case conditions.Attempt >= maxAttempts || !conditions.hasTimeFor(wait):
+		return failNotRun(statusUnavailable, "upstream-unreachable", result)
+	case !conditions.BudgetLeft:
+		return failNotRun(statusUnavailable, "retry-budget-spent", result)
 	default:
-		return Decision{Retry: true, Wait: wait, Cost: cost(ending)}
+		return Decision{Retry: true, Wait: wait, Cost: retryCost(result)}
 	}
 }
 
-// cost is less for a refusal, which takes an upstream next to no work: a single upstream that
+// retryCost is less for a refusal, which takes an upstream next to no work: a single upstream that
 // sheds would otherwise spend the whole budget, and requests would fail that others could serve.
-func cost(ending Result) float64 {
-	if ending.Evidence == Refused {
+func retryCost(result Result) float64 {
+	if result.Evidence == Refused {
 		return refusalCost
 	}
 	return 1
 }
 
-func afterDoubt(ending Result, situation Conditions) Decision {
-	if situation.Now >= situation.Deadline {
-		return doubt(statusTimeout, "upstream-timeout", ending)
+func afterUnknownOutcome(result Result, conditions Conditions) Decision {
+	if conditions.Now >= conditions.Deadline {
+		return failUnknownOutcome(statusTimeout, "upstream-timeout", result)
 	}
-	wait := backoff(retryBackoff, maxOwnerBackoff, situation)
-	mayRepeat := situation.Repeatable && !situation.Suspected && situation.BudgetLeft && situation.Attempt < maxAttempts
-	if mayRepeat && situation.fits(wait) {
-		return Decision{Retry: true, Wait: wait, Cost: cost(ending)}
+	wait := backoff(retryBackoff, maxBackoff, conditions)
+	mayRetry := conditions.Repeatable && !conditions.Suspected && conditions.BudgetLeft && conditions.Attempt < maxAttempts
+	if mayRetry && conditions.hasTimeFor(wait) {
+		return Decision{Retry: true, Wait: wait, Cost: retryCost(result)}
 	}
-	return doubt(statusBadGateway, "upstream-broke", ending)
+	return failUnknownOutcome(statusBadGateway, "upstream-broke", result)
 }
 
-func (situation Conditions) fits(wait time.Duration) bool {
-	return situation.Now.Add(wait) < situation.Deadline
+func (conditions Conditions) hasTimeFor(wait time.Duration) bool {
+	return conditions.Now.Add(wait) < conditions.Deadline
 }
 
 // backoff doubles with each attempt and is spread by half, so that callers do not come back together.
-func backoff(first, most time.Duration, situation Conditions) time.Duration {
-	wait := first
-	for attempt := 1; attempt < situation.Attempt && wait < most; attempt++ {
+func backoff(initial, longest time.Duration, conditions Conditions) time.Duration {
+	wait := initial
+	for attempt := 1; attempt < conditions.Attempt && wait < longest; attempt++ {
 		wait *= 2
 	}
-	wait = min(wait, most)
-	return wait/2 + time.Duration(situation.Random*float64(wait/2))
+	wait = min(wait, longest)
+	return wait/2 + time.Duration(conditions.Random*float64(wait/2))
 }
 
-func refuse(status int, code string, ending Result) Decision {
-	failure := cherrykeel.Refuse(status, code, "%s", ending.Detail)
-	failure.RetryAfter = shedRetryAfter
+func failNotRun(status int, code string, result Result) Decision {
+	failure := cherrykeel.Refuse(status, code, "%s", result.Detail)
+	failure.RetryAfter = refusalRetryAfter
 	return Decision{Failure: failure}
 }
 
-func doubt(status int, code string, ending Result) Decision {
-	return Decision{Failure: cherrykeel.FailUnknown(status, code, "%s", ending.Detail)}
+func failUnknownOutcome(status int, code string, result Result) Decision {
+	return Decision{Failure: cherrykeel.FailUnknown(status, code, "%s", result.Detail)}
 }
 
 // FinalFailure returns the failure for a request whose time ran out, given whether an earlier attempt may have run.
@@ -185,7 +185,7 @@
 		return failure
 	}
 	// An attempt that may have run cannot be taken back by a later one that did not.
-	doubtful := *failure
-	doubtful.Outcome = cherrykeel.OutcomeUnknown
-	return &doubtful
+	unknown := *failure
+	unknown.Outcome = cherrykeel.OutcomeUnknown
+	return &unknown
 }
