--- a/retry/decide.go
+++ b/retry/decide.go
@@ -6,74 +6,87 @@
 	"cherrykeel"
 )
 
-// Evidence says what is known about whether an attempt ran.
+// Evidence is what is known about whether an attempt ran.
 type Evidence int
 
-// The kinds of evidence, from the surest.
+// The kinds of evidence, the most certain first.
 const (
-	// Answered means that a whole answer to this very request arrived.
+	// Answered means that a complete answer to this request was received.
 	Answered Evidence = iota
-	// NeverSent means that no byte of the request left.
+	// NeverSent means that no byte of the request was sent.
 	NeverSent
-	// Refused means that the upstream itself said that it did not act.
+	// Refused means that the upstream itself reported that it did not run the request.
 	Refused
-	// Uncertain means that some of the request left and no whole answer came.
+	// Uncertain means that some of the request was sent and no complete answer was received.
 	Uncertain
 )
 
-// Refusal is the reason that an upstream gives for not acting.
+// Refusal is the reason that an upstream gives for not running a request.
 type Refusal string
 
 // The refusals that upstreams send in the header Cherrykeel-Refused.
 const (
+	// RefusedNotOwner means that the upstream does not own the request's key.
 	RefusedNotOwner Refusal = "owner"
-	RefusedShed     Refusal = "shed"
+	// RefusedShed means that the upstream is overloaded and sheds load.
+	RefusedShed Refusal = "shed"
+	// RefusedDraining means that the upstream is shutting down.
 	RefusedDraining Refusal = "draining"
 )
 
 // Result is how an attempt ended.
 type Result struct {
+	// Evidence is what is known about whether the attempt ran.
 	Evidence Evidence
-	Refusal  Refusal
-	// Detail is for the caller and the log.
+	// Refusal is the upstream's reason if Evidence is Refused.
+	Refusal Refusal
+	// Detail describes the result for the caller and the log.
 	Detail string
 }
 
-// Conditions is what else the decision rests on.
+// Conditions are the other inputs of the decision.
 type Conditions struct {
+	// Now is the time of the decision, Deadline the time by which the request must be answered.
 	Now      cherrykeel.Instant
 	Deadline cherrykeel.Instant
-	// Attempt counts from 1.
-	Attempt    int
+	// Attempt is the number of the attempt, from 1.
+	Attempt int
+	// Repeatable is set if the request may run twice without harm.
 	Repeatable bool
-	Keyed      bool
-	// BudgetLeft says that the service's retry budget has room.
+	// Keyed is set if the request has a key, which only one upstream serves.
+	Keyed bool
+	// BudgetLeft is set if the service's retry budget covers a retry.
 	BudgetLeft bool
-	// Suspected says that upstreams have ended while the request was at work there; to repeat it may cost another.
+	// Suspected is set if upstreams have crashed while they ran the request, so that a retry may crash another one.
 	Suspected bool
 	// Random is uniform in [0, 1).
 	Random float64
 }
 
-// Decision is the decision; Failure is nil when Again or Pass is true.
+// Decision is what follows an attempt. Failure is nil if Retry or Forward is set.
 type Decision struct {
-	// Forward passes the answer on.
+	// Forward is set if the answer is forwarded to the caller.
 	Forward bool
-	// Retry starts another attempt after Wait.
+	// Retry is set if another attempt follows after Wait.
 	Retry bool
 	Wait  time.Duration
-	// Cost is what the attempt takes from the retry budget.
-	Cost    float64
+	// Cost is what the next attempt takes from the retry budget, in retries.
+	Cost float64
+	// Failure is the failure that the caller gets.
 	Failure *cherrykeel.Failure
 }
 
 const (
-	maxAttempts       = 4
-	maxOwnerAttempts  = 200
-	ownerBackoff      = 4 * time.Millisecond
-	maxBackoff        = 64 * time.Millisecond
-	retryBackoff      = 2 * time.Millisecond
+	// maxAttempts limits the attempts of a request, maxOwnerAttempts those that wait for the next owner of its key.
+	maxAttempts      = 4
+	maxOwnerAttempts = 200
+	// ownerBackoff and retryBackoff are the initial waits before an attempt; they double up to maxBackoff.
+	ownerBackoff = 4 * time.Millisecond
+	maxBackoff   = 64 * time.Millisecond
+	retryBackoff = 2 * time.Millisecond
+	// refusalRetryAfter is the time after which callers may send a request again that was not run.
 	refusalRetryAfter = time.Second
+	// refusalCost is the cost of a retry after a refusal; other retries cost 1.
 	refusalCost       = 0.25
 	statusBadGateway  = 502
 	statusUnavailable = 503
@@ -87,8 +100,8 @@
 		return Decision{Forward: true}
 	case NeverSent:
 		if conditions.Keyed {
-			// The key's only server cannot be reached: its keys get another owner within a
-			// lease's length or so, and the request waits for that while its time lasts.
+			// The key's only upstream is unreachable. Its keys get another owner after about a lease duration, and the
+			// request waits for that while it has time left.
 			return afterWrongOwner(result, conditions)
 		}
 		return afterNotRun(result, conditions)
@@ -105,15 +118,14 @@
 		return afterWrongOwner(result, conditions)
 	}
 	if conditions.Keyed && result.Refusal == RefusedShed {
-		// The only server for the key is overloaded; asking again at once would feed the overload.
+		// The key's only upstream is overloaded, and an immediate retry would add to its load.
 		return failNotRun(statusUnavailable, "upstream-shed", result)
 	}
 	return afterNotRun(result, conditions)
 }
 
-// afterWrongOwner waits for a move to end. It is not charged to the budget: the
-// refusal costs the upstream next to nothing, and a budget spent by one move
-// would leave none for the faults it is kept for.
+// afterWrongOwner retries until the key's transfer has ended. These retries are not charged to the budget: a refusal
+// costs the upstream almost nothing, and a budget spent on one transfer would leave none for other faults.
 func afterWrongOwner(result Result, conditions Conditions) Decision {
 	wait := backoff(ownerBackoff, maxBackoff, conditions)
 	if conditions.Attempt >= maxOwnerAttempts || !conditions.hasTimeFor(wait) {
@@ -122,6 +134,7 @@
 	return Decision{Retry: true, Wait: wait}
 }
 
+// afterNotRun retries an attempt that did not run, within the limits of attempts, time and budget.
 func afterNotRun(result Result, conditions Conditions) Decision {
 	wait := backoff(retryBackoff, maxBackoff, conditions)
 	switch {
@@ -134,8 +147,8 @@
 	}
 }
 
-// retryCost is less for a refusal, which takes an upstream next to no work: a single upstream that
-// sheds would otherwise spend the whole budget, and requests would fail that others could serve.
+// retryCost returns the cost of a retry. It is lower after a refusal, which takes an upstream almost no time: a single
+// upstream that sheds load would otherwise use up the budget, and requests that others could serve would fail.
 func retryCost(result Result) float64 {
 	if result.Evidence == Refused {
 		return refusalCost
@@ -143,6 +156,8 @@
 	return 1
 }
 
+// afterUnknownOutcome retries an attempt that may have run only if the request may run twice and is not suspected of
+// crashing upstreams.
 func afterUnknownOutcome(result Result, conditions Conditions) Decision {
 	if conditions.Now >= conditions.Deadline {
 		return failUnknownOutcome(statusTimeout, "upstream-timeout", result)
@@ -155,11 +170,13 @@
 	return failUnknownOutcome(statusBadGateway, "upstream-broke", result)
 }
 
+// hasTimeFor reports whether the deadline is later than the end of a wait.
 func (conditions Conditions) hasTimeFor(wait time.Duration) bool {
 	return conditions.Now.Add(wait) < conditions.Deadline
 }
 
-// backoff doubles with each attempt and is spread by half, so that callers do not come back together.
+// backoff returns the time to wait before the next attempt. It doubles with each attempt, and half of it is random, so
+// that callers do not retry all at once.
 func backoff(initial, longest time.Duration, conditions Conditions) time.Duration {
 	wait := initial
 	for attempt := 1; attempt < conditions.Attempt && wait < longest; attempt++ {
@@ -169,22 +186,25 @@
 	return wait/2 + time.Duration(conditions.Random*float64(wait/2))
 }
 
+// failNotRun returns a decision to fail a request that was not run.
 func failNotRun(status int, code string, result Result) Decision {
 	failure := cherrykeel.Refuse(status, code, "%s", result.Detail)
 	failure.RetryAfter = refusalRetryAfter
 	return Decision{Failure: failure}
 }
 
+// failUnknownOutcome returns a decision to fail a request that may have run.
 func failUnknownOutcome(status int, code string, result Result) Decision {
 	return Decision{Failure: cherrykeel.FailUnknown(status, code, "%s", result.Detail)}
 }
 
-// FinalFailure returns the failure for a request whose time ran out, given whether an earlier attempt may have run.
+// FinalFailure returns the failure of a request that is not retried any more. Its outcome is unknown if any earlier
+// attempt may have run.
 func FinalFailure(failure *cherrykeel.Failure, mayHaveRun bool) *cherrykeel.Failure {
 	if failure == nil || !mayHaveRun || failure.Outcome == cherrykeel.OutcomeUnknown {
 		return failure
 	}
-	// An attempt that may have run cannot be taken back by a later one that did not.
+	// A later attempt that did not run does not undo an earlier one that may have run.
 	unknown := *failure
 	unknown.Outcome = cherrykeel.OutcomeUnknown
 	return &unknown
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,4 +1,3 @@
-// Package retry decides what follows an attempt to run a request on an
-// upstream: pass its answer on, try again, or tell the caller what is known.
-// It is pure.
+// Package retry decides what follows an attempt to run a request on an upstream: forward its answer, retry, or fail the
+// request with what is known about it. The package does no I/O and reads no clock.
 package retry
