--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -17,27 +17,27 @@
 	RunSpecs(t, "retry")
 }
 
-// naive is the plainest machine that keeps the promises: it may repeat what cannot have run, and
-// what may run twice; the real one may do less than it allows, never more.
-func naive(ending retry.Result, situation retry.Conditions) (mayRepeat, mayHaveRun bool) {
-	switch ending.Evidence {
+// referenceRules is the simplest implementation of the guarantees: it may retry what cannot have run and what may run
+// twice. Decide may retry less than that, never more.
+func referenceRules(result retry.Result, conditions retry.Conditions) (mayRetry, mayHaveRun bool) {
+	switch result.Evidence {
 	case retry.NeverSent, retry.Refused:
-		return situation.Now < situation.Deadline, false
+		return conditions.Now < conditions.Deadline, false
 	case retry.Uncertain:
-		return situation.Repeatable && situation.Now < situation.Deadline, true
+		return conditions.Repeatable && conditions.Now < conditions.Deadline, true
 	default:
 		return false, false
 	}
 }
 
 var _ = Describe("the decision after an attempt", func() {
-	It("never repeats, nor says not-run, where the naive machine would not", func() {
+	It("never retries, nor reports not-run, where the reference rules do not", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			ending := retry.Result{
+			result := retry.Result{
 				Evidence: retry.Evidence(rapid.IntRange(0, 3).Draw(t, "evidence")),
 				Refusal:  rapid.SampledFrom([]retry.Refusal{retry.RefusedNotOwner, retry.RefusedShed, retry.RefusedDraining}).Draw(t, "refusal"),
 			}
-			situation := retry.Conditions{
+			conditions := retry.Conditions{
 				Now:        cherrykeel.Instant(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "now")),
 				Deadline:   cherrykeel.Instant(5 * time.Second),
 				Attempt:    rapid.IntRange(1, 300).Draw(t, "attempt"),
@@ -46,29 +46,31 @@
 				BudgetLeft: rapid.Bool().Draw(t, "budget"),
 				Random:     rapid.Float64Range(0, 0.999).Draw(t, "random"),
 			}
-			verdict := retry.Decide(ending, situation)
-			mayRepeat, mayHaveRun := naive(ending, situation)
-			if verdict.Forward != (ending.Evidence == retry.Answered) {
-				t.Fatalf("pass is %t", verdict.Forward)
+			decision := retry.Decide(result, conditions)
+			mayRetry, mayHaveRun := referenceRules(result, conditions)
+			if decision.Forward != (result.Evidence == retry.Answered) {
+				t.Fatalf("forward is %t", decision.Forward)
 			}
-			if verdict.Retry && !mayRepeat {
-				t.Fatalf("repeats")
+			if decision.Retry && !mayRetry {
+				t.Fatalf("retries a request that may not run twice")
 			}
-			if verdict.Retry && situation.Now.Add(verdict.Wait) >= situation.Deadline {
+			if decision.Retry && conditions.Now.Add(decision.Wait) >= conditions.Deadline {
 				t.Fatalf("waits past the deadline")
 			}
-			if verdict.Retry && ending.Evidence == retry.Uncertain && !situation.BudgetLeft {
-				t.Fatalf("repeats without a budget")
+			if decision.Retry && result.Evidence == retry.Uncertain && !conditions.BudgetLeft {
+				t.Fatalf("retries without a budget")
 			}
-			if verdict.Failure != nil && mayHaveRun != (verdict.Failure.Outcome == cherrykeel.OutcomeUnknown) {
-				t.Fatalf("says %s", verdict.Failure.Outcome)
+			if decision.Failure != nil && mayHaveRun != (decision.Failure.Outcome == cherrykeel.OutcomeUnknown) {
+				t.Fatalf("the outcome is %s", decision.Failure.Outcome)
 			}
-			if !verdict.Forward && !verdict.Retry && verdict.Failure == nil {
-				t.Fatalf("decides nothing")
+			if !decision.Forward && !decision.Retry && decision.Failure == nil {
+				t.Fatalf("neither forwards, nor retries, nor fails")
 			}
 		})
 	})
 
+	// Guards against callers that repeat a request because its last attempt did not run, although an earlier one may
+	// have run.
 	It("does not call a request not-run once an earlier attempt may have run", func() {
 		refused := cherrykeel.Refuse(503, "upstream-unreachable", "")
 		Expect(retry.FinalFailure(refused, true).Outcome).To(Equal(cherrykeel.OutcomeUnknown))
