--- a/demand/counter.go
+++ b/demand/counter.go
@@ -5,32 +5,35 @@
 )
 
 const (
-	// maxTrackedKeys is how many keys a counter tells apart; a key with more than 1/maxTrackedKeys of the requests is always among them.
+	// maxTrackedKeys is how many keys a counter tracks; a key with more than 1/maxTrackedKeys of the requests is always
+	// among them.
 	maxTrackedKeys = 256
-	// maxReportedKeys is how many keys a report names.
+	// maxReportedKeys is how many keys a report contains.
 	maxReportedKeys = 32
-	// minReportedCount keeps keys out of reports that were seen a few times by chance.
+	// minReportedCount is the count below which a key is not reported, so that keys requested a few times by chance are
+	// left out.
 	minReportedCount = 16
 )
 
+// keyCount is the estimated number of requests for a key.
 type keyCount struct {
 	count float64
-	// maxError is how much of the count may belong to keys that were tracked before in the same place.
+	// maxError is how much of the count may belong to other keys that this entry counted before.
 	maxError float64
 }
 
-// Counter counts one service's requests on one host. It is not safe for use by several goroutines.
+// Counter counts one service's requests on one host. It is not safe for concurrent use.
 type Counter struct {
 	partitions []float64
 	keys       map[string]keyCount
 }
 
-// NewCounter returns a counter of zero.
+// NewCounter returns an empty counter.
 func NewCounter(partitions int) *Counter {
 	return &Counter{partitions: make([]float64, partitions), keys: make(map[string]keyCount, maxTrackedKeys)}
 }
 
-// Count adds one request.
+// Count adds one request. Requests for a partition that does not exist are ignored.
 func (counter *Counter) Count(partition int, key string) {
 	if partition < 0 || partition >= len(counter.partitions) {
 		return
@@ -49,7 +52,8 @@
 	counter.replaceLeast(key)
 }
 
-// replaceLeast puts a new key in the place of the rarest one, as the space-saving algorithm does.
+// replaceLeast replaces the key with the lowest count by a new key, which inherits that count as its possible error, as
+// in the space-saving algorithm.
 func (counter *Counter) replaceLeast(key string) {
 	least := ""
 	lowest := keyCount{}
@@ -63,7 +67,8 @@
 	counter.keys[key] = keyCount{count: lowest.count + 1, maxError: lowest.count}
 }
 
-// Report returns the counts since the last report and starts anew; a hot key's requests are not in its partition's.
+// Report returns the counts since the last report and resets the counter. The requests of a hot key are not included in
+// its partition's count.
 func (counter *Counter) Report(partitionOf func(string) int) cherrykeel.Demand {
 	demand := cherrykeel.Demand{Partitions: counter.partitions, HotKeys: map[string]float64{}}
 	for len(demand.HotKeys) < maxReportedKeys {
@@ -79,6 +84,7 @@
 	return demand
 }
 
+// heaviest returns the key that has the highest certain count, without those excluded, and that count.
 func (counter *Counter) heaviest(excluded map[string]float64) (string, float64) {
 	best := ""
 	highest := 0.0
--- a/demand/merge.go
+++ b/demand/merge.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// smoothingWindow is the time over which a keeper's view of the load is smoothed.
+	// smoothingWindow is the time over which a keeper smooths the demand.
 	smoothingWindow = 10 * time.Second
-	// maxReportAge is how long a host's report counts after it came.
+	// maxReportAge is how long a host's report counts after it was received.
 	maxReportAge = 15 * time.Second
-	// minRounds keeps a keeper that has just begun from moving anything on a first glance.
+	// minRounds is the number of merges before a keeper gets any demand, so that a new keeper transfers nothing because
+	// of a first, incomplete picture.
 	minRounds = 3
 )
 
+// report is the last report of a host.
 type report struct {
 	receivedAt cherrykeel.Instant
 	demand     cherrykeel.Demand
 }
 
-// Merger adds up the reports of all hosts at a service's keeper.
+// Merger sums the reports of all hosts at a service's keeper. It is not safe for concurrent use.
 type Merger struct {
 	partitionOf func(string) int
 	latest      map[string]report
@@ -29,7 +31,7 @@
 	mergedAt    cherrykeel.Instant
 }
 
-// NewMerger returns a merger that has heard nothing.
+// NewMerger returns a merger that has received nothing.
 func NewMerger(partitions int, partitionOf func(string) int) *Merger {
 	return &Merger{
 		partitionOf: partitionOf,
@@ -38,14 +40,14 @@
 	}
 }
 
-// Receive takes in a host's report of its requests a second.
+// Receive records a host's report of its requests a second. A report with a different number of partitions is ignored.
 func (merger *Merger) Receive(host string, demand cherrykeel.Demand, now cherrykeel.Instant) {
 	if len(demand.Partitions) == len(merger.smoothed.Partitions) {
 		merger.latest[host] = report{receivedAt: now, demand: demand}
 	}
 }
 
-// Demand returns the smoothed load of all hosts, or nothing while too little is known.
+// Demand returns the smoothed demand of all hosts, or the zero Demand while too few reports have been merged.
 func (merger *Merger) Demand(now cherrykeel.Instant) cherrykeel.Demand {
 	if now.Sub(merger.mergedAt) >= time.Second {
 		merger.merge(now)
@@ -56,6 +58,7 @@
 	return merger.smoothed
 }
 
+// merge updates the smoothed demand with the sum of the hosts' latest reports.
 func (merger *Merger) merge(now cherrykeel.Instant) {
 	weight := min(1, float64(now.Sub(merger.mergedAt))/float64(smoothingWindow))
 	if merger.rounds == 0 {
@@ -80,7 +83,8 @@
 	merger.smoothed = next
 }
 
-// fadeKeys lets keys fade that no host names any more; what is left of them counts for their partitions in the end.
+// fadeKeys decays the demand of keys that no host reports any more and drops it below one request a second. Hosts
+// include the remaining requests for these keys in the counts of their partitions.
 func (merger *Merger) fadeKeys(next, sum cherrykeel.Demand, weight float64) {
 	for key, old := range merger.smoothed.HotKeys {
 		if _, reported := sum.HotKeys[key]; reported {
@@ -93,6 +97,7 @@
 	}
 }
 
+// sum adds up the latest reports and drops the ones that are too old.
 func (merger *Merger) sum(now cherrykeel.Instant) cherrykeel.Demand {
 	var sum cherrykeel.Demand
 	for host, report := range merger.latest {
