--- a/admit/queue.go
+++ b/admit/queue.go
@@ -7,11 +7,11 @@
 	"cherrykeel"
 )
 
-// eldestEvery is how often the request that has waited longest goes first, whatever its
+// oldestEvery is how often the request that has waited longest goes first, whatever its
 // priority. Requests of low priority so get a tenth of the slots at the least and are not
 // starved, and those of high priority lose no more than that to them. Ordering by age plus
 // priority was tried first: under overload, aged searches came before fresh lookups.
-const eldestEvery = 10
+const oldestEvery = 10
 
 // meanWeight is the weight of the newest service time in the running mean.
 const meanWeight = 0.1
@@ -22,15 +22,15 @@
 	Arrived  cherrykeel.Instant
 	Deadline cherrykeel.Instant
 	// Notify is called when the request's turn has come or, with false, when it is refused.
-	Notify func(admitted bool)
-	index  int
-	gone   bool
-	// trial says that the mean rules it out.
-	trial bool
+	Notify  func(admitted bool)
+	index   int
+	removed bool
+	// probe says that the mean rules it out.
+	probe bool
 }
 
-// before reports whether the ticket is to be admitted before the other.
-func (ticket *Ticket) before(other *Ticket) bool {
+// isBefore reports whether the ticket is to be admitted isBefore the other.
+func (ticket *Ticket) isBefore(other *Ticket) bool {
 	if ticket.Priority != other.Priority {
 		return ticket.Priority < other.Priority
 	}
@@ -52,27 +52,27 @@
 
 // Queue admits requests to one upstream. It is not safe for use by several goroutines.
 type Queue struct {
-	limit    int
-	length   int
-	inFlight int
-	waiting  ticketHeap
+	limit      int
+	maxWaiting int
+	inFlight   int
+	waiting    ticketHeap
 	// mean is the running mean of the time that a request spends on the upstream.
 	mean time.Duration
-	// turns counts admissions of waiting requests.
-	turns int
-	// trying says that the request on the upstream is a trial.
-	trying bool
+	// admissions counts admissions of waiting requests.
+	admissions int
+	// probing says that the request on the upstream is a trial.
+	probing bool
 }
 
 // NewQueue returns a queue for limit requests at once, which may be 0 for a while, and length waiting ones.
-func NewQueue(limit, length int) *Queue {
-	return &Queue{limit: limit, length: length}
+func NewQueue(limit, maxWaiting int) *Queue {
+	return &Queue{limit: limit, maxWaiting: maxWaiting}
 }
 
 // Resize changes the limits; waiting requests are admitted if there is room now.
-func (queue *Queue) Resize(limit, length int, now cherrykeel.Instant) {
+func (queue *Queue) Resize(limit, maxWaiting int, now cherrykeel.Instant) {
 	queue.limit = limit
-	queue.length = length
+	queue.maxWaiting = maxWaiting
 	queue.admitWaiting(now)
 }
 
@@ -98,21 +98,21 @@
 		return Admitted
 	}
 	if now.Add(queue.Wait(ticket)) >= ticket.Deadline {
-		if !queue.idle() {
+		if !queue.isIdle() {
 			return TooLate
 		}
-		ticket.trial = true
+		ticket.probe = true
 	}
-	if len(queue.waiting) >= queue.length && !queue.displace(ticket) {
+	if len(queue.waiting) >= queue.maxWaiting && !queue.displace(ticket) {
 		return QueueFull
 	}
 	heap.Push(&queue.waiting, ticket)
 	return Queued
 }
 
-// idle reports whether no request is on the upstream, nor waits for it. Then one may wait whatever the mean says: a host that
+// isIdle reports whether no request is on the upstream, nor waits for it. Then one may wait whatever the mean says: a host that
 // stood still took that time for the upstream's own, refused all, asked for no slot, and got none while others had use for them.
-func (queue *Queue) idle() bool {
+func (queue *Queue) isIdle() bool {
 	return queue.inFlight == 0 && len(queue.waiting) == 0
 }
 
@@ -120,7 +120,7 @@
 func (queue *Queue) Wait(ticket *Ticket) time.Duration {
 	ahead := 0
 	for _, other := range queue.waiting {
-		if other.before(ticket) {
+		if other.isBefore(ticket) {
 			ahead++
 		}
 	}
@@ -131,10 +131,10 @@
 // Done ends a request that took the given time, and admits the next; 0 stands for one that was not sent.
 func (queue *Queue) Done(took time.Duration, now cherrykeel.Instant) {
 	queue.inFlight--
-	if queue.mean == 0 || queue.trying && took > 0 {
+	if queue.mean == 0 || queue.probing && took > 0 {
 		queue.mean = took
 	}
-	queue.trying = false
+	queue.probing = false
 	if took > 0 {
 		queue.mean += time.Duration(meanWeight * float64(took-queue.mean))
 	}
@@ -143,7 +143,7 @@
 
 // Cancel takes back a ticket whose caller has gone; it reports false if the ticket was woken already.
 func (queue *Queue) Cancel(ticket *Ticket) bool {
-	if ticket.gone {
+	if ticket.removed {
 		return false
 	}
 	queue.remove(ticket)
@@ -153,15 +153,15 @@
 func (queue *Queue) admitWaiting(now cherrykeel.Instant) {
 	for len(queue.waiting) > 0 {
 		ticket := queue.next()
-		late := now >= ticket.Deadline || !ticket.trial && now.Add(queue.mean) >= ticket.Deadline
+		late := now >= ticket.Deadline || !ticket.probe && now.Add(queue.mean) >= ticket.Deadline
 		if !late && queue.inFlight >= queue.limit {
 			return
 		}
 		queue.remove(ticket)
 		if !late {
 			queue.inFlight++
-			queue.turns++
-			queue.trying = ticket.trial
+			queue.admissions++
+			queue.probing = ticket.probe
 		}
 		ticket.Notify(!late)
 	}
@@ -169,21 +169,21 @@
 
 // next returns the ticket whose turn it is.
 func (queue *Queue) next() *Ticket {
-	if queue.turns%eldestEvery != eldestEvery-1 {
+	if queue.admissions%oldestEvery != oldestEvery-1 {
 		return queue.waiting[0]
 	}
-	eldest := queue.waiting[0]
+	oldest := queue.waiting[0]
 	for _, ticket := range queue.waiting {
-		if ticket.Arrived < eldest.Arrived {
-			eldest = ticket
+		if ticket.Arrived < oldest.Arrived {
+			oldest = ticket
 		}
 	}
-	return eldest
+	return oldest
 }
 
 func (queue *Queue) remove(ticket *Ticket) {
 	heap.Remove(&queue.waiting, ticket.index)
-	ticket.gone = true
+	ticket.removed = true
 }
 
 // displace makes room in a full queue by refusing the last in order, if that is not the newcomer.
@@ -193,11 +193,11 @@
 	}
 	last := queue.waiting[0]
 	for _, ticket := range queue.waiting {
-		if last.before(ticket) {
+		if last.isBefore(ticket) {
 			last = ticket
 		}
 	}
-	if !newcomer.before(last) {
+	if !newcomer.isBefore(last) {
 		return false
 	}
 	queue.remove(last)
@@ -209,7 +209,7 @@
 
 func (tickets ticketHeap) Len() int { return len(tickets) }
 
-func (tickets ticketHeap) Less(i, j int) bool { return tickets[i].before(tickets[j]) }
+func (tickets ticketHeap) Less(i, j int) bool { return tickets[i].isBefore(tickets[j]) }
 
 func (tickets ticketHeap) Swap(i, j int) {
 	tickets[i], tickets[j] = tickets[j], tickets[i]
