--- a/admit/queue.go
+++ b/admit/queue.go
@@ -7,29 +7,33 @@
 	"cherrykeel"
 )
 
-// oldestEvery is how often the request that has waited longest goes first, whatever its
-// priority. Requests of low priority so get a tenth of the slots at the least and are not
-// starved, and those of high priority lose no more than that to them. Ordering by age plus
-// priority was tried first: under overload, aged searches came before fresh lookups.
+// oldestEvery is how often the request that has waited longest goes first, whatever its priority: once in oldestEvery
+// admissions. So requests of low priority get at least a tenth of the slots and do not starve, and those of high
+// priority lose no more than that. An order by age plus priority is worse: under overload, old searches come before new
+// lookups.
 const oldestEvery = 10
 
-// meanWeight is the weight of the newest service time in the running mean.
+// meanWeight is the weight of the newest processing time in the mean.
 const meanWeight = 0.1
 
-// Ticket is one request that asks for admission.
+// Ticket is a request that needs admission.
 type Ticket struct {
+	// Priority is lower for requests that go first.
 	Priority int
+	// Arrived is when the request arrived, Deadline when its answer becomes worthless.
 	Arrived  cherrykeel.Instant
 	Deadline cherrykeel.Instant
-	// Notify is called when the request's turn has come or, with false, when it is refused.
-	Notify  func(admitted bool)
-	index   int
+	// Notify is called with true when the request is admitted after it was queued, and with false when it is refused
+	// then.
+	Notify func(admitted bool)
+	index  int
+	// removed is set once the ticket has left the queue.
 	removed bool
-	// probe says that the mean rules it out.
+	// probe is set if the mean processing time rules out an answer in time.
 	probe bool
 }
 
-// isBefore reports whether the ticket is to be admitted isBefore the other.
+// isBefore reports whether the ticket is admitted before another one: by priority, then by time of arrival.
 func (ticket *Ticket) isBefore(other *Ticket) bool {
 	if ticket.Priority != other.Priority {
 		return ticket.Priority < other.Priority
@@ -37,39 +41,42 @@
 	return ticket.Arrived < other.Arrived
 }
 
-// Decision is the answer to an offer.
+// Decision is the result of a submission.
 type Decision int
 
-// The decisions on an offer.
+// The decisions on a submission.
 const (
+	// Admitted means that the request may go to the upstream now.
 	Admitted Decision = iota
+	// Queued means that the request waits, and that the ticket's Notify is called later.
 	Queued
-	// QueueFull means that the queue is full.
+	// QueueFull means that as many requests wait as may.
 	QueueFull
-	// TooLate means that the request's turn would come after its deadline.
+	// TooLate means that the request cannot meet its deadline.
 	TooLate
 )
 
-// Queue admits requests to one upstream. It is not safe for use by several goroutines.
+// Queue admits requests to one upstream. It is not safe for concurrent use.
 type Queue struct {
+	// limit is how many requests may be on the upstream at once, maxWaiting how many may wait.
 	limit      int
 	maxWaiting int
 	inFlight   int
 	waiting    ticketHeap
 	// mean is the running mean of the time that a request spends on the upstream.
 	mean time.Duration
-	// admissions counts admissions of waiting requests.
+	// admissions counts the requests that were admitted after they waited.
 	admissions int
-	// probing says that the request on the upstream is a trial.
+	// probing is set while the request that was admitted last is a probe.
 	probing bool
 }
 
-// NewQueue returns a queue for limit requests at once, which may be 0 for a while, and length waiting ones.
+// NewQueue returns a queue that admits limit requests at once, which may be 0 for a while, and lets maxWaiting wait.
 func NewQueue(limit, maxWaiting int) *Queue {
 	return &Queue{limit: limit, maxWaiting: maxWaiting}
 }
 
-// Resize changes the limits; waiting requests are admitted if there is room now.
+// Resize changes the limits, and admits waiting requests if there is room now.
 func (queue *Queue) Resize(limit, maxWaiting int, now cherrykeel.Instant) {
 	queue.limit = limit
 	queue.maxWaiting = maxWaiting
@@ -110,13 +117,14 @@
 	return Queued
 }
 
-// isIdle reports whether no request is on the upstream, nor waits for it. Then one may wait whatever the mean says: a host that
-// stood still took that time for the upstream's own, refused all, asked for no slot, and got none while others had use for them.
+// isIdle reports whether no request is on the upstream or waits for it. Then one may wait whatever the mean is: a host
+// that was suspended takes that time for the upstream's processing time. It would refuse all requests, request no slot,
+// and get none while other hosts use them all.
 func (queue *Queue) isIdle() bool {
 	return queue.inFlight == 0 && len(queue.waiting) == 0
 }
 
-// Wait estimates how long a ticket's turn and its service will take.
+// Wait estimates the time until the end of a ticket's request, its own processing time included.
 func (queue *Queue) Wait(ticket *Ticket) time.Duration {
 	ahead := 0
 	for _, other := range queue.waiting {
@@ -128,7 +136,7 @@
 	return time.Duration(turns) * queue.mean
 }
 
-// Done ends a request that took the given time, and admits the next; 0 stands for one that was not sent.
+// Done ends a request that took the given time, 0 if it was not sent, and admits waiting ones.
 func (queue *Queue) Done(took time.Duration, now cherrykeel.Instant) {
 	queue.inFlight--
 	if queue.mean == 0 || queue.probing && took > 0 {
@@ -141,7 +149,8 @@
 	queue.admitWaiting(now)
 }
 
-// Cancel takes back a ticket whose caller has gone; it reports false if the ticket was woken already.
+// Cancel removes a ticket whose caller has left. It returns false if the ticket does not wait any more because its
+// Notify was called.
 func (queue *Queue) Cancel(ticket *Ticket) bool {
 	if ticket.removed {
 		return false
@@ -150,6 +159,7 @@
 	return true
 }
 
+// admitWaiting admits waiting requests while there is room, and refuses those that can no longer meet their deadline.
 func (queue *Queue) admitWaiting(now cherrykeel.Instant) {
 	for len(queue.waiting) > 0 {
 		ticket := queue.next()
@@ -167,7 +177,7 @@
 	}
 }
 
-// next returns the ticket whose turn it is.
+// next returns the ticket that goes next.
 func (queue *Queue) next() *Ticket {
 	if queue.admissions%oldestEvery != oldestEvery-1 {
 		return queue.waiting[0]
@@ -186,7 +196,8 @@
 	ticket.removed = true
 }
 
-// displace makes room in a full queue by refusing the last in order, if that is not the newcomer.
+// displace makes room in a full queue by refusing the ticket that is last in order. It returns false if that is the new
+// one.
 func (queue *Queue) displace(newcomer *Ticket) bool {
 	if len(queue.waiting) == 0 {
 		return false
@@ -205,6 +216,7 @@
 	return true
 }
 
+// ticketHeap is a heap of tickets in the order of admission; it implements heap.Interface.
 type ticketHeap []*Ticket
 
 func (tickets ticketHeap) Len() int { return len(tickets) }
--- a/admit/steward.go
+++ b/admit/steward.go
@@ -10,42 +10,44 @@
 )
 
 const (
-	// leaseDuration is how long a host may use the slots that it was given without asking again.
+	// leaseDuration is how long a host may use its allocated slots without requesting them again.
 	leaseDuration = 300 * time.Millisecond
-	// rotationPeriod is how long hosts wait for their rotationPeriod when there are fewer slots than hosts that want one.
+	// rotationPeriod is how long hosts wait for their turn when more of them request slots than there are.
 	rotationPeriod = 100 * time.Millisecond
-	// maxShift is a number with many divisors, so that shifts stay even whatever the number of hosts.
+	// maxShift has many divisors, so that the shifts are spread evenly over any number of hosts.
 	maxShift = 27720
 )
 
-// SlotRequest is what a host asks of one upstream's slots.
+// SlotRequest is what a host needs of one upstream's slots.
 type SlotRequest struct {
-	// InFlight counts its requests on the upstream, which keep their slots until they end.
+	// InFlight counts the host's requests on the upstream, which keep their slots until they end.
 	InFlight int
-	// Waiting counts those that wait for a slot.
+	// Waiting counts the host's requests that wait for a slot.
 	Waiting int
 }
 
+// lease is what a host requested, the slots that it was granted, and until when it may use them.
 type lease struct {
 	request SlotRequest
 	granted int
 	until   cherrykeel.Instant
 }
 
-// SlotAllocator divides one upstream's slots among the entry hosts. What it has given out never
-// exceeds the slots: a host's part is given on only when the host has let go of it, or has
-// not asked for so long that it has stopped using it. It is not safe for use by several goroutines.
+// SlotAllocator divides one upstream's slots among the entry hosts. The granted slots never exceed the upstream's: a
+// slot of one host is granted to another one only after the host has released it, or after the host's lease has
+// expired. It is not safe for concurrent use.
 type SlotAllocator struct {
-	slots      int
+	slots int
+	// quietUntil is when the leases of an earlier allocator have expired.
 	quietUntil cherrykeel.Instant
-	// rotationShift moves the turns of one upstream against those of others, so that no host is
-	// without slots on all of them at once.
+	// rotationShift offsets the rotation of hosts against that for other upstreams, so that no host is without slots on
+	// all of them at once.
 	rotationShift int
 	leases        map[string]*lease
 }
 
-// NewSlotAllocator returns a steward that has given nothing out. Another host may have been steward
-// until an instant, so for a share's length from then it gives nothing but what is in flight.
+// NewSlotAllocator returns an allocator that has granted nothing. Another host may have been the allocator until since,
+// so for a lease duration from then on it grants slots only for requests in flight.
 func NewSlotAllocator(upstream string, slots int, since cherrykeel.Instant) *SlotAllocator {
 	return &SlotAllocator{
 		slots:         slots,
@@ -60,7 +62,8 @@
 	allocator.slots = slots
 }
 
-// Allocate takes in what a host wants and returns how many slots it may use for the share's length from when it asked.
+// Allocate records what a host needs, and returns how many slots the host may use and for how long from the time of its
+// request.
 func (allocator *SlotAllocator) Allocate(host string, request SlotRequest, now cherrykeel.Instant) (int, time.Duration) {
 	allocator.expire(now)
 	current, known := allocator.leases[host]
@@ -71,7 +74,7 @@
 	current.request = request
 	current.until = now.Add(leaseDuration)
 	if now < allocator.quietUntil {
-		// What a host has in flight was given to it by the steward before.
+		// What a host has in flight was granted by the previous allocator.
 		current.granted = max(current.granted, min(request.InFlight, allocator.free(host)))
 		return current.granted, leaseDuration
 	}
@@ -81,6 +84,7 @@
 	return current.granted, leaseDuration
 }
 
+// expire removes the leases that have expired.
 func (allocator *SlotAllocator) expire(now cherrykeel.Instant) {
 	for host, lease := range allocator.leases {
 		if now >= lease.until {
@@ -89,7 +93,7 @@
 	}
 }
 
-// free returns the slots that no other host has.
+// free returns how many slots are not granted to other hosts.
 func (allocator *SlotAllocator) free(host string) int {
 	free := allocator.slots
 	for name, lease := range allocator.leases {
@@ -100,9 +104,9 @@
 	return max(0, free)
 }
 
-// divide gives slots one by one, in turns, first to hosts with requests, then one each to hosts
-// that have none now, so that their next request need not ask first. Where hosts outnumber
-// slots, who comes first changes with time, and nobody starves.
+// divide returns each host's fair share of the slots. It assigns them one by one in rounds, first to hosts with
+// requests, then one each to hosts that have none now, so that their next request need not wait for a slot. If there
+// are more hosts than slots, the host that comes first changes with time, so that none starves.
 func (allocator *SlotAllocator) divide(now cherrykeel.Instant) map[string]int {
 	hosts := make([]string, 0, len(allocator.leases))
 	for host := range allocator.leases {
