--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -21,12 +21,12 @@
 const second = cherrykeel.Instant(time.Second)
 
 var _ = Describe("a queue", func() {
-	It("admits no more than its limit, refuses what would be late, and wakes each ticket once", func() {
+	It("admits no more than its limit, refuses what cannot meet its deadline, and notifies each ticket once", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			limit := rapid.IntRange(1, 4).Draw(t, "limit")
 			queue := admit.NewQueue(limit, rapid.IntRange(0, 6).Draw(t, "length"))
 			now := second
-			woken := map[int]int{}
+			notified := map[int]int{}
 			inFlight := 0
 			for number := range 60 {
 				now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "pause")) * time.Millisecond)
@@ -39,7 +39,7 @@
 					Arrived:  now,
 					Deadline: now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "left")) * time.Millisecond),
 					Notify: func(admitted bool) {
-						woken[number]++
+						notified[number]++
 						if admitted {
 							inFlight++
 						}
@@ -49,29 +49,29 @@
 					inFlight++
 				}
 				if inFlight != queue.InFlight() || inFlight > limit {
-					t.Fatalf("%d in flight, the queue says %d, the limit is %d", inFlight, queue.InFlight(), limit)
+					t.Fatalf("%d in flight, the queue counts %d, the limit is %d", inFlight, queue.InFlight(), limit)
 				}
 			}
-			for number, count := range woken {
+			for number, count := range notified {
 				if count != 1 {
-					t.Fatalf("ticket %d was woken %d times", number, count)
+					t.Fatalf("ticket %d was notified %d times", number, count)
 				}
 			}
 		})
 	})
 
-	It("lets urgent requests pass the others, which still get every tenth place", func() {
+	It("admits urgent requests before others, which still get every tenth slot", func() {
 		queue := admit.NewQueue(1, 200)
 		var order []string
-		offer := func(name string, priority int, at cherrykeel.Instant) {
+		submit := func(name string, priority int, at cherrykeel.Instant) {
 			queue.Submit(&admit.Ticket{Priority: priority, Arrived: at, Deadline: at + 1000*second, Notify: func(bool) { order = append(order, name) }}, at)
 		}
-		offer("running", 1, second)
+		submit("running", 1, second)
 		for i := range 5 {
-			offer("search", 8, second+cherrykeel.Instant(i))
+			submit("search", 8, second+cherrykeel.Instant(i))
 		}
 		for i := range 40 {
-			offer("lookup", 1, 2*second+cherrykeel.Instant(i))
+			submit("lookup", 1, 2*second+cherrykeel.Instant(i))
 		}
 		for range 30 {
 			queue.Done(time.Millisecond, 3*second)
@@ -83,7 +83,7 @@
 		Expect(counts).To(Equal(map[string]int{"lookup": 27, "search": 3}))
 	})
 
-	It("that is full gives an urgent request the place of the last in order", func() {
+	It("that is full refuses the last request in order in favor of an urgent one", func() {
 		queue := admit.NewQueue(1, 1)
 		refused := false
 		queue.Submit(&admit.Ticket{Priority: 1, Deadline: 100 * second}, second)
@@ -94,30 +94,30 @@
 	})
 })
 
-var _ = Describe("a host without slots whose answers came late", func() {
+var _ = Describe("a host without slots whose answers were late", func() {
 	const (
 		late     = 6 * time.Second
 		deadline = second
 		pace     = second / 10
 	)
 
-	// Guards against a host that stood still, takes that time for the upstream's own, and refuses every request: it then asks
-	// the steward for no slot, and gets none as long as the other hosts have use for all.
-	It("asks for one again", func() {
+	// Guards against a host that was suspended, takes that time for the upstream's processing time, and refuses every
+	// request: it then requests no slot, and gets none while other hosts use them all.
+	It("requests one again", func() {
 		queue := admit.NewQueue(1, 4)
 		queue.Submit(&admit.Ticket{Deadline: deadline}, 0)
 		queue.Resize(0, 4, 0)
 		now := cherrykeel.Instant(late)
 		queue.Done(late, now)
-		steward := admit.NewSlotAllocator("up", 3, 0)
+		allocator := admit.NewSlotAllocator("up", 3, 0)
 		admitted := 0
 		for round := range 300 {
 			now += pace
-			steward.Allocate("busy", admit.SlotRequest{InFlight: 2 + round%2, Waiting: 9}, now)
-			slots, _ := steward.Allocate("late", admit.SlotRequest{InFlight: queue.InFlight(), Waiting: queue.Waiting()}, now)
+			allocator.Allocate("busy", admit.SlotRequest{InFlight: 2 + round%2, Waiting: 9}, now)
+			slots, _ := allocator.Allocate("late", admit.SlotRequest{InFlight: queue.InFlight(), Waiting: queue.Waiting()}, now)
 			queue.Resize(slots, 4, now)
-			ticket := &admit.Ticket{Arrived: now, Deadline: now + deadline, Notify: func(woken bool) {
-				if woken {
+			ticket := &admit.Ticket{Arrived: now, Deadline: now + deadline, Notify: func(isAdmitted bool) {
+				if isAdmitted {
 					admitted++
 				}
 			}}
@@ -132,46 +132,46 @@
 	})
 })
 
-var _ = Describe("a steward of slots", func() {
-	It("never gives out more than there are, while hosts come, go and change their minds", func() {
+var _ = Describe("a slot allocator", func() {
+	It("never allocates more slots than there are, while hosts come, go and change their requests", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			slots := rapid.IntRange(1, 8).Draw(t, "slots")
-			steward := admit.NewSlotAllocator("up", slots, 0)
+			allocator := admit.NewSlotAllocator("up", slots, 0)
 			now := second
-			type part struct {
+			type allocation struct {
 				count int
 				until cherrykeel.Instant
 			}
-			parts := map[string]part{}
+			allocations := map[string]allocation{}
 			for range 80 {
 				now = now.Add(time.Duration(rapid.IntRange(0, 120).Draw(t, "pause")) * time.Millisecond)
 				host := fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "host"))
 				held := 0
-				if parts[host].until > now {
-					held = rapid.IntRange(0, parts[host].count).Draw(t, "in flight")
+				if allocations[host].until > now {
+					held = rapid.IntRange(0, allocations[host].count).Draw(t, "in flight")
 				}
-				want := admit.SlotRequest{InFlight: held, Waiting: rapid.IntRange(0, 5).Draw(t, "waiting")}
-				count, length := steward.Allocate(host, want, now)
-				parts[host] = part{count: count, until: now.Add(length)}
+				request := admit.SlotRequest{InFlight: held, Waiting: rapid.IntRange(0, 5).Draw(t, "waiting")}
+				count, length := allocator.Allocate(host, request, now)
+				allocations[host] = allocation{count: count, until: now.Add(length)}
 				sum := 0
-				for _, part := range parts {
-					if part.until > now {
-						sum += part.count
+				for _, allocation := range allocations {
+					if allocation.until > now {
+						sum += allocation.count
 					}
 				}
 				if sum > slots {
-					t.Fatalf("%d of %d slots are out: %v", sum, slots, parts)
+					t.Fatalf("%d of %d slots are allocated: %v", sum, slots, allocations)
 				}
 			}
 		})
 	})
 
-	It("lends idle hosts' parts to busy ones, and gives everybody a turn when hosts outnumber slots", func() {
-		steward := admit.NewSlotAllocator("up", 3, 0)
+	It("allocates idle hosts' slots to busy ones, and rotates slots when there are more hosts than slots", func() {
+		allocator := admit.NewSlotAllocator("up", 3, 0)
 		now := second
 		for range 3 {
-			steward.Allocate("idle", admit.SlotRequest{}, now)
-			count, _ := steward.Allocate("busy", admit.SlotRequest{InFlight: 0, Waiting: 9}, now)
+			allocator.Allocate("idle", admit.SlotRequest{}, now)
+			count, _ := allocator.Allocate("busy", admit.SlotRequest{InFlight: 0, Waiting: 9}, now)
 			Expect(count).To(BeNumerically(">=", 2))
 			now = now.Add(50 * time.Millisecond)
 		}
@@ -179,7 +179,7 @@
 		for range 200 {
 			for host := range 8 {
 				name := fmt.Sprintf("host-%d", host)
-				count, _ := steward.Allocate(name, admit.SlotRequest{Waiting: 3}, now)
+				count, _ := allocator.Allocate(name, admit.SlotRequest{Waiting: 3}, now)
 				served[name] = served[name] || count > 0
 			}
 			now = now.Add(10 * time.Millisecond)
