--- a/picker/least.go
+++ b/picker/least.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	// otherZone is added to the load of an upstream in another availability zone, in shares of its limit.
-	otherZone = 0.25
+	// remoteZonePenalty is added to the load of an upstream in another availability zone, in shares of its limit.
+	remoteZonePenalty = 0.25
 	// reportWeight bounds what a report can do: a lying upstream gains or loses at most this share of its limit.
 	reportWeight = 0.25
-	minWarmth    = 0.05
+	minWeight    = 0.05
 )
 
 type leastLoaded struct{}
@@ -42,10 +42,10 @@
 }
 
 func score(zone string, choice cherrykeel.Choice) float64 {
-	score := float64(choice.InFlight+1) / float64(choice.Limit) / max(choice.Weight, minWarmth)
+	score := float64(choice.InFlight+1) / float64(choice.Limit) / max(choice.Weight, minWeight)
 	score += reportWeight * min(max(choice.ReportedLoad, 0), 1)
 	if choice.Zone != zone {
-		score += otherZone
+		score += remoteZonePenalty
 	}
 	return score
 }
