--- a/picker/doc.go
+++ b/picker/doc.go
@@ -1,3 +1,3 @@
-// Package picker chooses an upstream for requests that any of a service's
-// upstreams may serve. It is pure.
+// Package picker chooses an upstream for a request that any of a service's upstreams may serve. It does no I/O and
+// reads no clock.
 package picker
