--- a/route/class.go
+++ b/route/class.go
@@ -23,17 +23,17 @@
 	}
 }
 
-const lowestUrgency = 7
+const maxUrgency = 7
 
 // Priority returns the priority of a request: that of the urgency in the caller's Priority
 // header, u=0 being 1 and u=7 being 8, or else the service's.
-func Priority(service int, header string) int {
+func Priority(servicePriority int, header string) int {
 	for _, member := range strings.Split(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(member), "u=")
 		urgency, err := strconv.Atoi(value)
-		if found && err == nil && urgency >= 0 && urgency <= lowestUrgency {
+		if found && err == nil && urgency >= 0 && urgency <= maxUrgency {
 			return urgency + 1
 		}
 	}
-	return service
+	return servicePriority
 }
