--- a/route/class.go
+++ b/route/class.go
@@ -7,7 +7,7 @@
 	"cherrykeel"
 )
 
-// IsRepeatable reports whether a request may run twice without harm, by the service's setting and the method.
+// IsRepeatable reports whether a request may run twice without harm, by the service's setting or else by its method.
 func IsRepeatable(idempotent cherrykeel.Idempotency, method string) bool {
 	switch idempotent {
 	case cherrykeel.IdempotentAlways:
@@ -23,10 +23,11 @@
 	}
 }
 
+// maxUrgency is the number of the lowest urgency.
 const maxUrgency = 7
 
-// Priority returns the priority of a request: that of the urgency in the caller's Priority
-// header, u=0 being 1 and u=7 being 8, or else the service's.
+// Priority returns the priority of a request: the urgency in the caller's Priority header plus one, so that u=0 is 1
+// and u=7 is 8, or the service's priority if there is none.
 func Priority(servicePriority int, header string) int {
 	for _, member := range strings.Split(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(member), "u=")
--- a/route/key.go
+++ b/route/key.go
@@ -8,14 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RequestParts are the places of a request in which a key may stand.
+// RequestParts are the parts of a request that may contain a key.
 type RequestParts struct {
-	Path   string
-	Query  url.Values
+	// Path is the path, without the query.
+	Path string
+	// Query holds the parameters of the query.
+	Query url.Values
+	// Header returns the value of a header, or an empty string.
 	Header func(name string) string
 }
 
-// Key returns the key that source names, or an empty string if the request has none.
+// Key returns the key of a request, or an empty string if it has none. The source is "header:NAME", "query:NAME", or
+// "path:N" for the Nth segment of the path after the prefix, from 1.
 func Key(source, prefix string, parts RequestParts) string {
 	kind, name, _ := strings.Cut(source, ":")
 	switch kind {
@@ -30,6 +34,7 @@
 	}
 }
 
+// segment returns the path segment with the given number, from 1, or an empty string if there is none.
 func segment(path, name string) string {
 	number, err := strconv.Atoi(name)
 	if err != nil {
@@ -42,7 +47,7 @@
 	return segments[number-1]
 }
 
-// Partition returns the part of the key space that a key hashes to, from 0 to partitions-1.
+// Partition returns the partition of a key, from 0 to partitions-1.
 func Partition(key string, partitions int) int {
 	return int(xxhash.Sum64String(key) % uint64(partitions))
 }
--- a/route/table.go
+++ b/route/table.go
@@ -7,13 +7,14 @@
 	"cherrykeel"
 )
 
-// Table finds services by host name and path; it never changes once built.
+// Table finds services by domain and path. It does not change after it was built.
 type Table struct {
+	// byDomain holds the services of each domain, longest path prefix first.
 	byDomain map[string][]*cherrykeel.Service
 	services map[string]*cherrykeel.Service
 }
 
-// NewTable returns the table for the services in force.
+// NewTable returns a table of the given services.
 func NewTable(services []*cherrykeel.Service) *Table {
 	table := &Table{byDomain: map[string][]*cherrykeel.Service{}, services: map[string]*cherrykeel.Service{}}
 	for _, service := range services {
@@ -30,17 +31,17 @@
 	return table
 }
 
-// Services returns all services by path.
+// Services returns all services by their paths in the settings tree.
 func (table *Table) Services() map[string]*cherrykeel.Service {
 	return table.services
 }
 
-// HasTeam reports whether a host name belongs to a team.
+// HasTeam reports whether the host name is a domain of any team.
 func (table *Table) HasTeam(host string) bool {
 	return len(table.byDomain[normalizeDomain(host)]) > 0
 }
 
-// Match returns the service with the longest prefix of the path, or nil.
+// Match returns the service with the longest path prefix that matches, or nil.
 func (table *Table) Match(host, path string) *cherrykeel.Service {
 	for _, service := range table.byDomain[normalizeDomain(host)] {
 		if isPathPrefix(path, service.PathPrefix) {
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// isPathPrefix takes "/halls" as a prefix of "/halls/7" but not of "/hallsofar".
+// isPathPrefix reports whether the prefix ends at a segment of the path: "/halls" is a prefix of "/halls/7" but not of
+// "/hallsofar".
 func isPathPrefix(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
@@ -58,7 +60,8 @@
 	return len(path) == len(prefix) || strings.HasSuffix(prefix, "/") || path[len(prefix)] == '/'
 }
 
-// normalizeDomain drops the port; teams' domains are names, never IPv6 addresses.
+// normalizeDomain returns a host name in lower case, without port and final dot. Domains of teams are names, never IPv6
+// addresses.
 func normalizeDomain(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return strings.ToLower(strings.TrimSuffix(name, "."))
