--- a/route/route_test.go
+++ b/route/route_test.go
@@ -18,8 +18,8 @@
 	RunSpecs(t, "route")
 }
 
-// naive looks at every service and keeps the longest prefix that ends at a slash.
-func naive(services []*cherrykeel.Service, host, path string) string {
+// searchAll checks every service and returns the one with the longest prefix that ends at a slash.
+func searchAll(services []*cherrykeel.Service, host, path string) string {
 	best, found := "", ""
 	for _, service := range services {
 		for _, domain := range service.Domains {
@@ -34,7 +34,7 @@
 }
 
 var _ = Describe("the route table", func() {
-	It("agrees with a naive search", func() {
+	It("agrees with a linear search", func() {
 		prefixes := []string{"/", "/a", "/a/b", "/ab", "/a/b/c"}
 		paths := []string{"/", "/a", "/ab", "/a/b", "/a/bc", "/a/b/c/d", "/x"}
 		hosts := []string{"one.example", "two.example", "ONE.example"}
@@ -52,8 +52,8 @@
 			if service := table.Match(host+":8080", path); service != nil {
 				got = service.Path
 			}
-			if want := naive(services, host, path); got != want {
-				t.Fatalf("%s%s goes to %q, naively to %q", host, path, got, want)
+			if want := searchAll(services, host, path); got != want {
+				t.Fatalf("%s%s goes to %q, by linear search to %q", host, path, got, want)
 			}
 		})
 	})
