--- a/flow/doubt.go
+++ b/flow/doubt.go
@@ -6,17 +6,19 @@
 	// uncertaintyWeight is the weight of the newest answer in the mean error of the counts. A host gets about 5 to 10
 	// answers of a service a second, so the mean follows a changing load within 2 to 4 s.
 	uncertaintyWeight = 0.05
-	// extraRoomFactor is how many more requests an upstream may get for each request by which counts are wrong.
+	// extraRoomFactor is how many requests beyond its limit an upstream may get for each request by which the counts
+	// are wrong.
 	extraRoomFactor = 2
-	// highUncertainty is the mean error, as a share of an upstream's slots, from which on the lowest count means
+	// highUncertainty is the mean error, as a share of an upstream's slots, at which the lowest count begins to mean
 	// little.
 	highUncertainty = 0.25
 )
 
 // uncertainty is the error of the counts of requests at upstreams, compared with the load that an upstream reports
-// itself. It is a mean over all upstreams of a service, since a host gets an answer of each only every few seconds.
+// itself. It is a mean over all upstreams of a service, since a host gets an answer from each of them only every few
+// seconds.
 //
-// Counts are about 100 to 400 ms old. Where many hosts send to upstreams of few slots, more requests begin and end in
+// Counts are about 100 to 400 ms old. Where many hosts send to upstreams with few slots, more requests begin and end in
 // that time than an upstream has room for, and the few upstreams that seem to have room get the requests of all hosts
 // at once.
 type uncertainty struct {
--- a/flow/member.go
+++ b/flow/member.go
@@ -21,8 +21,8 @@
 	lateAnswerWeight = 0.05
 	// coldSlowdown is the factor by which an upstream is slower for some seconds after its start.
 	coldSlowdown = 2
-	// failureHalfLife is the half-life of the counts of failures and answers. An upstream that failed is tried again
-	// after some seconds, so that none is left without requests because of what one host observed seconds ago.
+	// failureHalfLife is the half-life of the counts of failures and answers. An upstream that failed gets requests
+	// again after some seconds, so that no upstream stays unused because of what one host observed seconds ago.
 	failureHalfLife = 2 * time.Second
 	// minFailures is the decayed count of failures below which they are ignored; three failures are ignored after 7 s.
 	minFailures = 0.25
@@ -44,14 +44,14 @@
 // member is the state that this host keeps about one upstream.
 type member struct {
 	upstream cherrykeel.Upstream
-	// firstSendAt is the time from which on this host sends a first request to an upstream that joined. It is 0 once a
-	// request has been sent, and for upstreams that did not join later.
+	// firstSendAt is when this host may send its first request to an upstream that joined. It is 0 once a request has
+	// been sent, and for upstreams that did not join later.
 	firstSendAt cherrykeel.Instant
 	// localLoad counts this host's requests at the upstream, remoteLoad those of the other hosts.
 	localLoad  int
 	remoteLoad int
-	// reportedAt is when the upstream last reported its load with an answer, slowness by which factor its machine was
-	// slower than usual then.
+	// reportedAt is when the upstream last reported its load with an answer, and slowness is the factor by which its
+	// machine was slower than usual at that time.
 	reportedAt cherrykeel.Instant
 	slowness   float64
 	// remoteWaiting counts the other hosts' requests that wait for this upstream as their key's owner.
@@ -96,7 +96,7 @@
 	return member.upstream.EvacuateAt != 0 && now >= member.upstream.EvacuateAt
 }
 
-// isAvailable reports whether the upstream may be sent requests, as far as it has capacity for them.
+// isAvailable reports whether the upstream may get requests. Its capacity is not considered.
 func (member *member) isAvailable(now cherrykeel.Instant) bool {
 	return now >= member.pausedUntil && !member.isClosed(now)
 }
--- a/flow/service.go
+++ b/flow/service.go
@@ -237,7 +237,7 @@
 	}
 }
 
-// decide returns the decision on a waiting ticket, or false if the ticket has to go on waiting.
+// decide returns the decision on a waiting ticket, or false if the ticket has to keep waiting.
 func (service *Service) decide(ticket *Ticket, now cherrykeel.Instant) (Decision, bool) {
 	member := service.discipline.chooseUpstream(ticket, now)
 	if member != nil {
--- a/flow/shared.go
+++ b/flow/shared.go
@@ -14,10 +14,11 @@
 	// remoteZonePenalty is the share of the mean processing time by which an upstream in another availability zone has
 	// to be faster. The round trip takes 1 to 3 ms; the rest accounts for the price of traffic between zones.
 	remoteZonePenalty = 0.25
-	// sampleSize is how many upstreams of this availability zone are considered while counts are uncertain, sampled
-	// anew for each request. Hosts that all take the upstream with the lowest count overload it.
+	// sampleSize is how many upstreams of this availability zone are considered while counts are uncertain. Each
+	// request gets a new sample, because hosts that all choose the upstream with the lowest count overload it.
 	sampleSize = 2
-	// remoteZoneSampleSize is how many upstreams of other zones are considered besides, if this zone has candidates.
+	// remoteZoneSampleSize is how many upstreams of other zones are considered in addition, if this zone has
+	// candidates.
 	remoteZoneSampleSize = 1
 	// firstSendSpread is the time over which the hosts of an availability zone spread their first requests to an
 	// upstream that has joined. With 18 hosts and a cold upstream that takes 0.46 s for a request, it runs about three
--- a/flow/standing.go
+++ b/flow/standing.go
@@ -57,7 +57,7 @@
 }
 
 // latestAnswer returns the time by which an answer must be expected for the ticket to be admitted to its queue: halfway
-// between target and deadline, or well before the target if the queue has been standing for long.
+// between target and deadline, or well before the target if the queue has been standing for too long.
 func (ticket *Ticket) latestAnswer(standingFor time.Duration) cherrykeel.Instant {
 	if standingFor >= min(standingInterval, ticket.Target.Sub(ticket.Arrived)) {
 		return ticket.targetShareAt(standingTargetShare)
--- a/flow/trial.go
+++ b/flow/trial.go
@@ -15,8 +15,8 @@
 	// detected within that time, and 200 hosts with requests for the same key send its owner 40 probes a second, about
 	// 12 in the 300 ms by which counts lag.
 	maxProbePause = 5 * time.Second
-	// probeJitter is the share by which a pause is randomly longer or shorter. Hosts that learned the same at once
-	// would otherwise all send their probes at once.
+	// probeJitter is the share by which a pause is randomly longer or shorter. Hosts that detected a slow upstream at
+	// the same time would otherwise all send their probes at the same time.
 	probeJitter = 0.25
 )
 
@@ -66,8 +66,8 @@
 
 // recordProbeAnswered records that a probe was answered in time. It resets every processing time that would have ruled
 // the probe out: all were learned at about the same time, probably for the same reason, and with a probe for each of
-// hundreds of upstreams it would take minutes until all are used again. An upstream that is as slow as it seemed is
-// learned anew from the answers that come in time.
+// hundreds of upstreams it would take minutes until all are used again. If an upstream is as slow as it seemed, the
+// answers that come in time show it again.
 func (service *Service) recordProbeAnswered(slot *Slot, now cherrykeel.Instant) {
 	service.probes = probes{}
 	allowed := slot.Deadline.Sub(slot.StartedAt)
@@ -79,8 +79,8 @@
 	}
 }
 
-// isIdle reports whether this host has no request at the upstream and has sent none lately, so that no answer is due
-// that would show its speed.
+// isIdle reports whether this host has no request at the upstream and has sent none within minProbePause, so that no
+// answer is due that would show its speed.
 func (member *member) isIdle(now cherrykeel.Instant) bool {
 	return member.localLoad == 0 && now.Sub(member.lastSentAt) >= minProbePause
 }
