--- a/cold/part.go
+++ b/cold/part.go
@@ -4,8 +4,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxHostLists is how many different lists of hosts may be in use at once without the bound being exceeded. Hosts that
-// are disconnected go on with an older list than the others.
+// maxHostLists is how many different lists of hosts may be in use at once without exceeding the bound. Hosts that are
+// disconnected keep an older list than the others.
 const maxHostLists = 2
 
 // Quota returns how many requests a second the host self may send to a cold upstream that tolerates bound requests a
