--- a/admit/queue.go
+++ b/admit/queue.go
@@ -7,10 +7,10 @@
 	"cherrykeel"
 )
 
-// oldestEvery is how often the request that has waited longest goes first, whatever its priority: once in oldestEvery
-// admissions. So requests of low priority get at least a tenth of the slots and do not starve, and those of high
-// priority lose no more than that. An order by age plus priority is worse: under overload, old searches come before new
-// lookups.
+// oldestEvery is how often the request that has waited longest goes first, regardless of its priority: once in
+// oldestEvery admissions. Requests of low priority get at least a tenth of the slots that way and do not starve, and
+// those of high priority lose no more than that tenth. An order by age plus priority is worse: under overload, old
+// requests of low priority (searches) come before new ones of high priority (lookups).
 const oldestEvery = 10
 
 // meanWeight is the weight of the newest processing time in the mean.
@@ -23,8 +23,8 @@
 	// Arrived is when the request arrived, Deadline when its answer becomes worthless.
 	Arrived  cherrykeel.Instant
 	Deadline cherrykeel.Instant
-	// Notify is called with true when the request is admitted after it was queued, and with false when it is refused
-	// then.
+	// Notify is called for a ticket that was queued: with true when the request is admitted, or with false when it is
+	// refused.
 	Notify func(admitted bool)
 	index  int
 	// removed is set once the ticket has left the queue.
@@ -50,7 +50,7 @@
 	Admitted Decision = iota
 	// Queued means that the request waits, and that the ticket's Notify is called later.
 	Queued
-	// QueueFull means that as many requests wait as may.
+	// QueueFull means that the highest allowed number of requests waits already.
 	QueueFull
 	// TooLate means that the request cannot meet its deadline.
 	TooLate
@@ -117,9 +117,9 @@
 	return Queued
 }
 
-// isIdle reports whether no request is on the upstream or waits for it. Then one may wait whatever the mean is: a host
-// that was suspended takes that time for the upstream's processing time. It would refuse all requests, request no slot,
-// and get none while other hosts use them all.
+// isIdle reports whether no request is on the upstream or waits for it. In that case, one request may wait regardless
+// of the mean. A host that was suspended takes that time for the upstream's processing time; it would refuse all
+// requests, request no slot, and get none while other hosts use them all.
 func (queue *Queue) isIdle() bool {
 	return queue.inFlight == 0 && len(queue.waiting) == 0
 }
