--- a/flow/fleet_test.go
+++ b/flow/fleet_test.go
@@ -242,7 +242,7 @@
 	})
 
 	// Guards against hosts that send their next request as soon as they get an answer, at 150 requests a second or
-	// about 14 for each host: requests at other hosts then wait beyond their target though the owner is not full, and
+	// about 14 for each host: requests at other hosts then wait beyond their target although the owner is not full, and
 	// 92% are answered in time.
 	It("has its owner's slots shared among the hosts while the owner is nearly full", func() {
 		outcome := meanOutcome(func(seed uint64) fleetLoad {
@@ -289,7 +289,7 @@
 	})
 
 	// Guards against failures while requests exceed the capacity by a fifth for 4 s: callers whose requests are refused
-	// come back and are answered late.
+	// retry them, and get late answers.
 	It("answers nearly all requests of a wave beyond its capacity", func() {
 		outcome := meanOutcome(busyService(320))
 		Expect(outcome.inTarget).To(BeNumerically(">", 0.65))
@@ -310,7 +310,7 @@
 }
 
 var _ = Describe("an owner of few slots among many hosts", func() {
-	// Guards against hosts that each send one request whatever the others do, and detect a queue only by their own
+	// Guards against hosts that each send one request regardless of the others, and detect a queue only by their own
 	// requests. With 3.5 requests a second for an owner that can process 2.3, it would get more than its queue of 12
 	// holds, where requests wait for 5 s: 10% rejected, 44% answered in time.
 	It("is not overloaded by hosts that each wait with one request", func() {
@@ -320,7 +320,7 @@
 		Expect(outcome.rejected).To(BeNumerically("<", 0.005))
 	})
 
-	// Guards against requests that wait for a random choice though the owner, at nine tenths of its capacity, is not
+	// Guards against requests that wait for a random choice although the owner, at nine tenths of its capacity, is not
 	// full.
 	It("is fully used while it is nearly full", func() {
 		outcome := meanOutcome(fewSlotsManyHosts(2))
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -149,8 +149,8 @@
 		Expect(order).To(Equal([]string{"0/2", "2/0", "2/1"}))
 	})
 
-	// Guards against callers that wait in vain: with forty requests waiting for six slots of 80 ms, a new one cannot be
-	// answered in time, and its caller can retry in time only if it is refused at once.
+	// Guards against callers that wait for nothing: with forty requests waiting for six slots of 80 ms, a new one
+	// cannot be answered in time, and its caller can retry in time only if it is refused at once.
 	It("refuses at once what cannot be answered in time", func() {
 		service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 40, 0)
 		_, decisions := submit(service, 0, unchanged)
@@ -354,8 +354,8 @@
 		Expect(served).To(BeNumerically(">", 0.995))
 	})
 
-	// Guards against a queue in which all requests are late: at one and a half times the capacity for 20 s, requests
-	// that cannot be answered in time are refused, and the others are served near capacity.
+	// Guards against a queue that makes all requests late: at one and a half times the capacity for 20 s, requests that
+	// cannot be answered in time are refused, and the others are served near capacity.
 	It("beyond capacity is refused in part and served in part", func() {
 		_, served := simulateSteadyLoad(460, []float64{0.5, 1, 1, 1.5, 0.5, 1, 1, 1.5}, 78*time.Millisecond, 250*time.Millisecond, 600*time.Millisecond, 20*time.Second)
 		Expect(served).To(BeNumerically(">", 0.6))
--- a/flow/relearn_test.go
+++ b/flow/relearn_test.go
@@ -10,8 +10,8 @@
 	"cherrykeel/flow"
 )
 
-// Guards against a host that was suspended while it waited for answers, takes that time for processing time, and then
-// refuses every request, so that no answer can correct the estimate.
+// Guards against a host that was suspended while it waited for answers, counts that time as processing time, and
+// refuses every request from then on, so that no answer can correct the estimate.
 var _ = Describe("upstreams whose answers a suspended host read late", func() {
 	const (
 		suspension = 6 * time.Second
--- a/flow/slowed_test.go
+++ b/flow/slowed_test.go
@@ -30,7 +30,7 @@
 }
 
 // slowSimulation simulates a load. Hosts report their counts every 160 ms and have others' counts of that age. Attempts
-// are canceled at their deadline, while the upstream goes on processing them.
+// are canceled at their deadline, while the upstream keeps processing them.
 type slowSimulation struct {
 	load     slowLoad
 	events   eventQueue
--- a/flow/trial_test.go
+++ b/flow/trial_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	// submitUntil submits a request every 100 ms until some time, and returns when requests were sent. Upstreams are
-	// slow until slowUntil, and what they do not answer in time is given up.
+	// slow until slowUntil, and requests that they do not answer in time are canceled.
 	submitUntil := func(service *flow.Service, change func(*flow.Ticket), slowUntil, until time.Duration) []time.Duration {
 		var sent []time.Duration
 		releases := map[time.Duration]func(){}
@@ -83,7 +83,7 @@
 		change  func(*flow.Ticket)
 	}{"without keys": {sharedService, unchanged}, "for an owner": {ownedService, keyed}} {
 		// Guards against an upstream that is never used again because it was slow for a while, and against callers that
-		// all wait in vain while it is slow.
+		// all wait until their deadline while it is slow.
 		It(name+" are rarely sent while the upstream is slow, and all are sent some seconds after it", func() {
 			service := kind.service()
 			learn(service, kind.change, 1, slow)
@@ -115,8 +115,8 @@
 		})
 	}
 
-	// Guards against a host that sends a probe to each of hundreds of owners because it has not sent any of them a
-	// request lately.
+	// Guards against a host that sends a probe to each of hundreds of owners because it has sent none of them a request
+	// for a while.
 	It("are sent as rarely to many owners as to one", func() {
 		const owners = 40
 		service := flow.New("z", func(key int) flow.Owner { return flow.Owner{ID: fmt.Sprint(key)} }, fixedRandom)
