--- a/cold/cold_test.go
+++ b/cold/cold_test.go
@@ -58,7 +58,7 @@
 		Expect(cold.Quota("host-1", names(2), "u", 1)).To(BeZero())
 	})
 
-	// Guards against hosts that are disconnected and go on with an older list while the others drop them from theirs.
+	// Guards against hosts that are disconnected and keep an older list while the others drop them from theirs.
 	It("stay within the bound when some hosts have another list than the others", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		for round := range 300 {
