--- a/share/liveness.go
+++ b/share/liveness.go
@@ -5,31 +5,31 @@
 )
 
 // spoken remembers who was heard and who should have been.
-type spoken struct {
-	expected map[string]cherrykeel.Instant
-	at       map[string]cherrykeel.Instant
+type contacts struct {
+	expected   map[string]cherrykeel.Instant
+	receivedAt map[string]cherrykeel.Instant
 }
 
-func newSpoken() spoken {
-	return spoken{expected: map[string]cherrykeel.Instant{}, at: map[string]cherrykeel.Instant{}}
+func newContacts() contacts {
+	return contacts{expected: map[string]cherrykeel.Instant{}, receivedAt: map[string]cherrykeel.Instant{}}
 }
 
 // expect notes that a host is sent messages to which it answers with its own.
-func (spoken *spoken) expect(name string, now cherrykeel.Instant) {
-	_, known := spoken.expected[name]
+func (contacts *contacts) expectMessage(name string, now cherrykeel.Instant) {
+	_, known := contacts.expected[name]
 	if !known {
-		spoken.expected[name] = now
+		contacts.expected[name] = now
 	}
 }
 
-func (spoken *spoken) heard(name string, now cherrykeel.Instant) {
-	spoken.at[name] = now
-	delete(spoken.expected, name)
+func (contacts *contacts) recordReceived(name string, now cherrykeel.Instant) {
+	contacts.receivedAt[name] = now
+	delete(contacts.expected, name)
 }
 
-func (spoken *spoken) forget(name string) {
-	delete(spoken.expected, name)
-	delete(spoken.at, name)
+func (contacts *contacts) forget(name string) {
+	delete(contacts.expected, name)
+	delete(contacts.receivedAt, name)
 }
 
 // liveness shows the plan what this host knows of the others; Mesh.mutex is held.
@@ -41,16 +41,16 @@
 // IsUnreachable implements topo.View. A host that has not been heard stays silent until it is: it would else
 // be chosen again each second.
 func (liveness *liveness) IsUnreachable(name string) bool {
-	spoken := &liveness.mesh.spoken
-	since, expected := spoken.expected[name]
-	return expected && liveness.now.Sub(since) > staleAfter && liveness.now.Sub(spoken.at[name]) > staleAfter
+	contacts := &liveness.mesh.contacts
+	since, expected := contacts.expected[name]
+	return expected && liveness.now.Sub(since) > staleAfter && liveness.now.Sub(contacts.receivedAt[name]) > staleAfter
 }
 
 // IsStoreUnreachable implements topo.View.
 func (liveness *liveness) IsStoreUnreachable(name string) bool {
 	if name == liveness.mesh.self.Name {
-		return liveness.mesh.storeless
+		return liveness.mesh.storeUnreachable
 	}
-	heard, known := liveness.mesh.heard[name]
-	return known && !heard.Report.StoreAvailable
+	received, known := liveness.mesh.reports[name]
+	return known && !received.Report.StoreAvailable
 }
--- a/share/mesh.go
+++ b/share/mesh.go
@@ -16,19 +16,19 @@
 const (
 	// busyEvery is the pace of loads while some upstream is full or a request waits. A request takes 40 to
 	// 900 ms at an upstream, so counts of 80 ms ago are wrong by few requests, which its own queue takes up.
-	busyEvery = 80 * time.Millisecond
+	busyLoadInterval = 80 * time.Millisecond
 	// calmEvery is the pace while every upstream has free slots and the counts decide little. Sent at the
 	// busy pace all day, loads made two thirds of the bytes between availability zones.
-	calmEvery = 160 * time.Millisecond
+	quietLoadInterval = 160 * time.Millisecond
 	// reportEvery is the pace of reports, and of loads that do not change.
-	reportEvery = 250 * time.Millisecond
+	reportInterval = 250 * time.Millisecond
 	// reportSlowdown is by how much reports are slower once not every host tells every other; a silent keeper
 	// has to be missed within a second.
 	reportSlowdown = 2
 	// staleAfter is when a silent host's counts are no longer believed.
 	staleAfter = time.Second
 	// maxDatagram bounds one message; demand beyond it is cut.
-	maxDatagram = 60 << 10
+	maxDatagramBytes = 60 << 10
 )
 
 // ReceivedReport is what a host told last.
@@ -50,54 +50,54 @@
 	self   cherrykeel.Peer
 	clock  cherrykeel.Clock
 	logger *zap.Logger
-	state  StateSource
+	source StateSource
 	// reported is called after others' reports have come, and counted after their loads; demand takes a
 	// message for the keeper.
-	reported func()
-	counted  func()
-	demand   func(demand Demand)
-	told     func(told Announcement)
+	onReport       func()
+	onCounts       func()
+	onDemand       func(demand Demand)
+	onAnnouncement func(announcement Announcement)
 
 	socket   *net.UDPConn
 	mutex    sync.Mutex
 	peers    map[string]cherrykeel.Peer
 	resolved map[string]*net.UDPAddr
-	heard    map[string]ReceivedReport
-	silent   map[string]bool
-	asked    map[string][]int
-	sequence uint64
-	keeper   string
+	reports       map[string]ReceivedReport
+	unreachable   map[string]bool
+	requestedKeys map[string][]int
+	sequence      uint64
+	keeper        string
 	// unknown says that a host has reported that is not among the peers.
-	unknown bool
+	unknownSender bool
 	// storeless says that the store does not serve this host.
-	storeless bool
+	storeUnreachable bool
 	// ended says that this host has reported its end.
-	ended bool
-	fleet *topo.Fleet
-	plan  topo.Plan
+	stopped bool
+	fleet   *topo.Fleet
+	plan    topo.Plan
 	// watchingSince is when this host last became one that hears from all.
-	watchingSince cherrykeel.Instant
+	hubSince cherrykeel.Instant
 	// awakeAt is when the process was last seen to run, undatedUntil ends what is dropped after a suspension.
-	awakeAt      cherrykeel.Instant
-	undatedUntil cherrykeel.Instant
+	lastRunAt    cherrykeel.Instant
+	discardUntil cherrykeel.Instant
 	// pausedAt and wokeAt are the ends of the pause in which what is noticed now may have come, ran is how long the process
 	// ran since.
-	pausedAt cherrykeel.Instant
-	wokeAt   cherrykeel.Instant
-	ran      time.Duration
-	spoken   spoken
-	loads    loads
-	workTold map[string]toldWork
-	demandAt cherrykeel.Instant
+	pauseStart          cherrykeel.Instant
+	pauseEnd            cherrykeel.Instant
+	ranSincePause       time.Duration
+	contacts            contacts
+	loads               loads
+	sentProcessingTimes map[string]sentProcessingTime
+	demandSentAt        cherrykeel.Instant
 }
 
 // New returns a mesh; reported, counted, demand and told are called from its own goroutines.
-func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, state StateSource, reported, counted func(), demand func(Demand), told func(Announcement)) *Mesh {
+func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, source StateSource, onReport, onCounts func(), onDemand func(Demand), onAnnouncement func(Announcement)) *Mesh {
 	return &Mesh{
-		self: self, clock: clock, logger: logger, state: state, reported: reported, counted: counted, demand: demand, told: told,
+		self: self, clock: clock, logger: logger, source: source, onReport: onReport, onCounts: onCounts, onDemand: onDemand, onAnnouncement: onAnnouncement,
 		peers: map[string]cherrykeel.Peer{}, resolved: map[string]*net.UDPAddr{},
-		heard: map[string]ReceivedReport{}, silent: map[string]bool{}, asked: map[string][]int{},
-		fleet: topo.NewFleet(self.Name, []cherrykeel.Peer{self}), plan: topo.Plan{FullMesh: true}, watchingSince: clock.Now(), awakeAt: clock.Now(), spoken: newSpoken(), loads: newLoads(), workTold: map[string]toldWork{},
+		reports: map[string]ReceivedReport{}, unreachable: map[string]bool{}, requestedKeys: map[string][]int{},
+		fleet: topo.NewFleet(self.Name, []cherrykeel.Peer{self}), plan: topo.Plan{FullMesh: true}, hubSince: clock.Now(), lastRunAt: clock.Now(), contacts: newContacts(), loads: newLoads(), sentProcessingTimes: map[string]sentProcessingTime{},
 	}
 }
 
@@ -129,18 +129,18 @@
 		mesh.peers[peer.Name] = peer
 		mesh.resolved[peer.Name] = address
 	}
-	for name, heard := range mesh.heard {
-		if mesh.peers[name].Incarnation != heard.Report.Incarnation {
-			delete(mesh.heard, name)
-			mesh.spoken.forget(name)
+	for name, received := range mesh.reports {
+		if mesh.peers[name].Incarnation != received.Report.Incarnation {
+			delete(mesh.reports, name)
+			mesh.contacts.forget(name)
 		}
 	}
-	mesh.loads.keep(mesh.peers)
-	everyone := []cherrykeel.Peer{mesh.self}
+	mesh.loads.retain(mesh.peers)
+	hosts := []cherrykeel.Peer{mesh.self}
 	for _, peer := range mesh.peers {
-		everyone = append(everyone, peer)
+		hosts = append(hosts, peer)
 	}
-	mesh.fleet = topo.NewFleet(mesh.self.Name, everyone)
+	mesh.fleet = topo.NewFleet(mesh.self.Name, hosts)
 	mesh.replan()
 }
 
@@ -156,8 +156,8 @@
 	now := mesh.clock.Now()
 	before := mesh.plan
 	mesh.plan = mesh.fleet.Plan(&liveness{mesh: mesh, now: now})
-	if !mesh.watches(before) && mesh.watches(mesh.plan) {
-		mesh.watchingSince = now
+	if !mesh.receivesFromAll(before) && mesh.receivesFromAll(mesh.plan) {
+		mesh.hubSince = now
 	}
 	if before.GroupLabel != mesh.plan.GroupLabel || before.Aggregator != mesh.plan.Aggregator {
 		events.Log(mesh.logger, events.GroupChanged,
@@ -166,15 +166,15 @@
 	}
 }
 
-func (mesh *Mesh) noteSilence(now cherrykeel.Instant) {
+func (mesh *Mesh) logUnreachable(now cherrykeel.Instant) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	for name, heard := range mesh.heard {
-		age := now.Sub(heard.ReceivedAt)
-		if age < staleAfter || mesh.silent[name] || heard.Report.Stopped {
+	for name, received := range mesh.reports {
+		age := now.Sub(received.ReceivedAt)
+		if age < staleAfter || mesh.unreachable[name] || received.Report.Stopped {
 			continue
 		}
-		mesh.silent[name] = true
+		mesh.unreachable[name] = true
 		events.Log(mesh.logger, events.PeerSilent, zap.String("Host", name), zap.Duration("Age", age))
 	}
 }
@@ -183,7 +183,7 @@
 func (mesh *Mesh) OtherCounts() Counts {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	return mesh.loads.total(mesh.plan, mesh.self.Name, mesh.clock.Now())
+	return mesh.loads.otherHosts(mesh.plan, mesh.self.Name, mesh.clock.Now())
 }
 
 // Reports returns what other hosts told within the given age.
@@ -192,9 +192,9 @@
 	defer mesh.mutex.Unlock()
 	now := mesh.clock.Now()
 	var fresh []ReceivedReport
-	for _, heard := range mesh.heard {
-		if now.Sub(heard.ReceivedAt) <= age {
-			fresh = append(fresh, heard)
+	for _, received := range mesh.reports {
+		if now.Sub(received.ReceivedAt) <= age {
+			fresh = append(fresh, received)
 		}
 	}
 	return fresh
@@ -209,15 +209,15 @@
 func (mesh *Mesh) TimeSinceReport(name string) (time.Duration, bool) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	heard, known := mesh.heard[name]
+	received, known := mesh.reports[name]
 	if !known {
 		return 0, false
 	}
-	return mesh.clock.Now().Sub(heard.ReceivedAt), true
+	return mesh.clock.Now().Sub(received.ReceivedAt), true
 }
 
 // watches reports whether this host hears from all others under a plan.
-func (mesh *Mesh) watches(plan topo.Plan) bool {
+func (mesh *Mesh) receivesFromAll(plan topo.Plan) bool {
 	return plan.FullMesh || plan.IsHub(mesh.self.Name)
 }
 
@@ -225,10 +225,10 @@
 func (mesh *Mesh) HubDuration() time.Duration {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	if !mesh.watches(mesh.plan) {
+	if !mesh.receivesFromAll(mesh.plan) {
 		return 0
 	}
-	return mesh.clock.Now().Sub(mesh.watchingSince)
+	return mesh.clock.Now().Sub(mesh.hubSince)
 }
 
 // Rank returns this host's place among those that are believed and that count, from 0; counts must not ask the mesh.
@@ -238,8 +238,8 @@
 	now := mesh.clock.Now()
 	own := mesh.plan.Rank(mesh.self.Name)
 	rank := 0
-	for name, heard := range mesh.heard {
-		if now.Sub(heard.ReceivedAt) <= staleAfter && mesh.plan.Rank(name) < own && counts(heard.Report) {
+	for name, received := range mesh.reports {
+		if now.Sub(received.ReceivedAt) <= staleAfter && mesh.plan.Rank(name) < own && counts(received.Report) {
 			rank++
 		}
 	}
--- a/share/message.go
+++ b/share/message.go
@@ -13,15 +13,15 @@
 )
 
 // ErrMalformed means that a datagram is no message of this protocol.
-var ErrMalformed = errors.New("the message cannot be read")
+var ErrMalformed = errors.New("malformed message")
 
 // The methods of the protocol.
 const (
-	methodReport = "Report"
-	methodLoad   = "Load"
-	methodSum    = "Sum"
-	methodDemand = "Demand"
-	methodTell   = "Tell"
+	methodReport   = "Report"
+	methodLoad     = "Load"
+	methodSum      = "Sum"
+	methodDemand   = "Demand"
+	methodAnnounce = "Tell"
 )
 
 // Report is what a host tells all others when it changes, and at a slow pace.
@@ -69,12 +69,12 @@
 }
 
 func (counts *Counts) add(other Counts, times int) {
-	addAll(counts.Running, other.Running, times)
-	addAll(counts.Waiting, other.Waiting, times)
-	addAll(counts.Queued, other.Queued, times)
+	addScaled(counts.Running, other.Running, times)
+	addScaled(counts.Waiting, other.Waiting, times)
+	addScaled(counts.Queued, other.Queued, times)
 }
 
-func addAll(sums, counts map[string]int, times int) {
+func addScaled(sums, counts map[string]int, times int) {
 	for name, count := range counts {
 		sum := sums[name] + times*count
 		sums[name] = sum
@@ -105,13 +105,13 @@
 
 // shortBytes makes short names of 4 characters: among 400 upstreams two share one in 1 case of 200, and
 // then each is counted with the other's requests too.
-const shortBytes = 3
+const shortNameBytes = 3
 
 // ShortName returns a name's short form.
 func ShortName(name string) string {
 	hash := xxhash.Sum64String(name)
 	bytes := []byte{byte(hash), byte(hash >> 8), byte(hash >> 16)}
-	return base64.RawURLEncoding.EncodeToString(bytes[:shortBytes])
+	return base64.RawURLEncoding.EncodeToString(bytes[:shortNameBytes])
 }
 
 // ShortenKeys returns counts by short names.
@@ -157,11 +157,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return pack(data)
+	return compress(data)
 }
 
 func decode(data []byte) (string, json.RawMessage, error) {
-	data, err := unpack(data)
+	data, err := decompress(data)
 	if err != nil {
 		return "", nil, err
 	}
--- a/share/pack.go
+++ b/share/pack.go
@@ -13,15 +13,15 @@
 	// packFrom is the size from which a message is compressed: a table of 231 upstreams is 40 KB as text and 6 KB
 	// packed, and links that are full drop large datagrams first. Smaller
 	// ones are mostly sums of counts, sent 12 times a second to up to 24 hosts, which would all unpack them.
-	packFrom = 3 << 10
+	compressMinBytes = 3 << 10
 	// unpackedMost bounds what a packed message may become.
-	unpackedMost = 1 << 20
+	maxUncompressedBytes = 1 << 20
 	// packedMark is the first byte of packed messages; all others begin with a brace.
-	packedMark = 0x1f
+	gzipFirstByte = 0x1f
 )
 
 // packers are kept, since each takes more than half a megabyte.
-var packers = sync.Pool{New: func() any {
+var gzipWriters = sync.Pool{New: func() any {
 	writer, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
 		return nil
@@ -30,16 +30,16 @@
 }}
 
 // pack compresses a large message.
-func pack(data []byte) ([]byte, error) {
-	if len(data) < packFrom {
+func compress(data []byte) ([]byte, error) {
+	if len(data) < compressMinBytes {
 		return data, nil
 	}
 	var buffer bytes.Buffer
-	writer, ok := packers.Get().(*gzip.Writer)
+	writer, ok := gzipWriters.Get().(*gzip.Writer)
 	if !ok {
-		return nil, errors.New("no packer")
+		return nil, errors.New("no gzip writer")
 	}
-	defer packers.Put(writer)
+	defer gzipWriters.Put(writer)
 	writer.Reset(&buffer)
 	_, err := writer.Write(data)
 	if err != nil {
@@ -50,20 +50,20 @@
 }
 
 // unpack returns a message as it was before pack.
-func unpack(data []byte) ([]byte, error) {
-	if len(data) == 0 || data[0] != packedMark {
+func decompress(data []byte) ([]byte, error) {
+	if len(data) == 0 || data[0] != gzipFirstByte {
 		return data, nil
 	}
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	plain, err := io.ReadAll(io.LimitReader(reader, unpackedMost+1))
+	plain, err := io.ReadAll(io.LimitReader(reader, maxUncompressedBytes+1))
 	switch {
 	case err != nil:
 		return nil, errors.Wrap(ErrMalformed, err.Error())
-	case len(plain) > unpackedMost:
-		return nil, errors.Wrap(ErrMalformed, "too large when unpacked")
+	case len(plain) > maxUncompressedBytes:
+		return nil, errors.Wrap(ErrMalformed, "too large after decompression")
 	default:
 		return plain, nil
 	}
--- a/share/send.go
+++ b/share/send.go
@@ -15,16 +15,16 @@
 
 const (
 	// replyFor is how long a host goes on reporting to one that has reported to it.
-	replyFor = 2 * time.Second
+	replyDuration = 2 * time.Second
 )
 
 // Run exchanges messages until the context ends.
 func (mesh *Mesh) Run(ctx context.Context) {
 	go mesh.receive()
-	ticker := time.NewTicker(busyEvery)
+	ticker := time.NewTicker(busyLoadInterval)
 	defer ticker.Stop()
 	defer mesh.socket.Close()
-	var sender sender
+	var last lastSent
 	for {
 		select {
 		case <-ctx.Done():
@@ -32,19 +32,19 @@
 		case <-ticker.C:
 		}
 		now := mesh.clock.Now()
-		mesh.awake(now)
+		mesh.canDateReads(now)
 		mesh.mutex.Lock()
 		mesh.replan()
 		mesh.mutex.Unlock()
-		mesh.sendReport(&sender, now)
-		mesh.sendLoad(&sender, now)
-		mesh.sendSum(&sender, now)
-		mesh.noteSilence(now)
+		mesh.sendReport(&last, now)
+		mesh.sendLoad(&last, now)
+		mesh.sendSum(&last, now)
+		mesh.logUnreachable(now)
 	}
 }
 
 // sender remembers what was sent last and when.
-type sender struct {
+type lastSent struct {
 	report   Report
 	reportAt cherrykeel.Instant
 	load     Load
@@ -53,138 +53,138 @@
 	sumAt cherrykeel.Instant
 }
 
-func (mesh *Mesh) sendReport(sender *sender, now cherrykeel.Instant) {
+func (mesh *Mesh) sendReport(last *lastSent, now cherrykeel.Instant) {
 	report := Report{Host: mesh.self.Name, Incarnation: mesh.self.Incarnation, Term: -1}
-	mesh.state.FillReport(&report)
-	mesh.noteStore(report.StoreAvailable)
+	mesh.source.FillReport(&report)
+	mesh.recordStoreAvailability(report.StoreAvailable)
 	// Times are other ones in each report; that alone is no change to tell of.
-	ages, finals := report.Ages, report.FinalGrants
+	ages, finalGrants := report.Ages, report.FinalGrants
 	report.Ages, report.FinalGrants = nil, nil
-	pace := reportEvery
+	interval := reportInterval
 	if !mesh.currentPlan().FullMesh {
-		pace *= reportSlowdown
+		interval *= reportSlowdown
 	}
-	if reflect.DeepEqual(report, sender.report) && now.Sub(sender.reportAt) < pace {
+	if reflect.DeepEqual(report, last.report) && now.Sub(last.reportAt) < interval {
 		return
 	}
-	sender.report = report
-	sender.reportAt = now
+	last.report = report
+	last.reportAt = now
 	report.Sequence = mesh.nextSequence()
-	report.Ages, report.FinalGrants, report.Stopped = ages, finals, mesh.hasEnded()
-	mesh.send(methodReport, report, mesh.reportTo(now))
+	report.Ages, report.FinalGrants, report.Stopped = ages, finalGrants, mesh.hasStopped()
+	mesh.send(methodReport, report, mesh.reportReceivers(now))
 }
 
 // ReportStopped reports to all hosts once more, whatever was reported before, and says that this host has ended. Each of them
 // would else warn of its silence: its record stays while the store is away.
 func (mesh *Mesh) ReportStopped() {
 	mesh.mutex.Lock()
-	mesh.ended = true
-	names := mesh.names()
+	mesh.stopped = true
+	names := mesh.peerNames()
 	mesh.mutex.Unlock()
 	report := Report{Host: mesh.self.Name, Incarnation: mesh.self.Incarnation, Term: -1, Stopped: true}
-	mesh.state.FillReport(&report)
+	mesh.source.FillReport(&report)
 	report.Sequence = mesh.nextSequence()
 	mesh.send(methodReport, report, names)
 }
 
 // hasEnded reports whether this host has reported its end; a report that is sent still must not take that back.
-func (mesh *Mesh) hasEnded() bool {
+func (mesh *Mesh) hasStopped() bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	return mesh.ended
+	return mesh.stopped
 }
 
-func (mesh *Mesh) noteStore(well bool) {
+func (mesh *Mesh) recordStoreAvailability(available bool) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	mesh.storeless = !well
+	mesh.storeUnreachable = !available
 }
 
 // reportTo returns who hears this host's reports: the watchers and the keeper, who hear from all; whoever
 // reports to this host, since it takes it for one of them; and all hosts if it is one.
-func (mesh *Mesh) reportTo(now cherrykeel.Instant) []string {
+func (mesh *Mesh) reportReceivers(now cherrykeel.Instant) []string {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	plan := mesh.plan
 	if plan.FullMesh || plan.IsHub(mesh.self.Name) || mesh.keeper == mesh.self.Name {
-		return mesh.names()
+		return mesh.peerNames()
 	}
-	to := map[string]bool{mesh.keeper: true}
+	receivers := map[string]bool{mesh.keeper: true}
 	for _, name := range plan.Hubs {
-		to[name] = true
-		mesh.spoken.expect(name, now)
+		receivers[name] = true
+		mesh.contacts.expectMessage(name, now)
 	}
-	for name, heard := range mesh.heard {
-		if now.Sub(heard.ReceivedAt) < replyFor {
-			to[name] = true
+	for name, received := range mesh.reports {
+		if now.Sub(received.ReceivedAt) < replyDuration {
+			receivers[name] = true
 		}
 	}
-	return keys(to)
+	return hostNames(receivers)
 }
 
-func (mesh *Mesh) sendLoad(sender *sender, now cherrykeel.Instant) {
+func (mesh *Mesh) sendLoad(last *lastSent, now cherrykeel.Instant) {
 	load := Load{Host: mesh.self.Name, Incarnation: mesh.self.Incarnation}
-	pace := calmEvery
-	if mesh.state.FillLoad(&load) {
-		pace = busyEvery
+	interval := quietLoadInterval
+	if mesh.source.FillLoad(&load) {
+		interval = busyLoadInterval
 	}
-	if reflect.DeepEqual(load, sender.load) {
-		pace = reportEvery
+	if reflect.DeepEqual(load, last.load) {
+		interval = reportInterval
 	}
-	if now.Sub(sender.loadAt)+busyEvery/2 < pace {
+	if now.Sub(last.loadAt)+busyLoadInterval/2 < interval {
 		return
 	}
-	sender.load = load
-	sender.loadAt = now
+	last.load = load
+	last.loadAt = now
 	load.Sequence = mesh.nextSequence()
-	mesh.send(methodLoad, load, mesh.loadTo(load, now))
+	mesh.send(methodLoad, load, mesh.loadReceivers(load, now))
 }
 
 // loadTo returns who hears this host's load: all hosts while they are few, else the head of its group.
-func (mesh *Mesh) loadTo(load Load, now cherrykeel.Instant) []string {
+func (mesh *Mesh) loadReceivers(load Load, now cherrykeel.Instant) []string {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	mesh.loads.sent(load, now)
+	mesh.loads.recordOwn(load, now)
 	if mesh.plan.FullMesh {
-		return mesh.names()
+		return mesh.peerNames()
 	}
 	if mesh.plan.Aggregator == mesh.self.Name {
 		return nil
 	}
-	mesh.spoken.expect(mesh.plan.Aggregator, now)
+	mesh.contacts.expectMessage(mesh.plan.Aggregator, now)
 	return []string{mesh.plan.Aggregator}
 }
 
 // sendSum tells the members of this host's group what the group does, and less often what all other groups
 // do; and the other groups' heads what this one does. Few groups tell each other as often as each tells its own.
-func (mesh *Mesh) sendSum(sender *sender, now cherrykeel.Instant) {
+func (mesh *Mesh) sendSum(last *lastSent, now cherrykeel.Instant) {
 	mesh.mutex.Lock()
 	plan := mesh.plan
 	if plan.FullMesh || plan.Aggregator != mesh.self.Name {
 		mesh.mutex.Unlock()
 		return
 	}
-	sum := mesh.loads.sum(plan, mesh.self, now)
-	rest := Sum{Host: sum.Host, Incarnation: sum.Incarnation, Group: restOf(plan.GroupLabel), Counts: mesh.loads.rest(plan, now)}
-	heads := map[string]bool{}
+	sum := mesh.loads.groupSum(plan, mesh.self, now)
+	others := Sum{Host: sum.Host, Incarnation: sum.Incarnation, Group: otherGroupsLabel(plan.GroupLabel), Counts: mesh.loads.otherGroups(plan, now)}
+	aggregators := map[string]bool{}
 	for _, name := range plan.Aggregators {
-		heads[name] = true
-		mesh.spoken.expect(name, now)
+		aggregators[name] = true
+		mesh.contacts.expectMessage(name, now)
 	}
-	for name := range mesh.loads.heads(now) {
-		heads[name] = true
+	for name := range mesh.loads.freshAggregators(now) {
+		aggregators[name] = true
 	}
 	mesh.mutex.Unlock()
 	sum.Sequence = mesh.nextSequence()
 	mesh.send(methodSum, sum, plan.Group)
-	if now.Sub(sender.sumAt)+busyEvery/2 < time.Duration(plan.SumTicks())*busyEvery {
+	if now.Sub(last.sumAt)+busyLoadInterval/2 < time.Duration(plan.SumTicks())*busyLoadInterval {
 		return
 	}
-	sender.sumAt = now
+	last.sumAt = now
 	sum.IncludedSequences = nil
-	mesh.send(methodSum, sum, keys(heads))
-	rest.Sequence = mesh.nextSequence()
-	mesh.send(methodSum, rest, plan.Group)
+	mesh.send(methodSum, sum, hostNames(aggregators))
+	others.Sequence = mesh.nextSequence()
+	mesh.send(methodSum, others, plan.Group)
 }
 
 func (mesh *Mesh) nextSequence() uint64 {
@@ -224,7 +224,7 @@
 }
 
 // names returns all other hosts; Mesh.mutex is held.
-func (mesh *Mesh) names() []string {
+func (mesh *Mesh) peerNames() []string {
 	names := make([]string, 0, len(mesh.peers))
 	for name := range mesh.peers {
 		names = append(names, name)
@@ -238,7 +238,7 @@
 	return mesh.plan
 }
 
-func keys(set map[string]bool) []string {
+func hostNames(set map[string]bool) []string {
 	names := make([]string, 0, len(set))
 	for name := range set {
 		names = append(names, name)
