--- a/share/awake.go
+++ b/share/awake.go
@@ -10,25 +10,27 @@
 )
 
 const (
-	// standstill is the pause after which this process must have been suspended, since it looks each
-	// busyEvery. Datagrams that came meanwhile wait in the socket and are read at once when it goes on; dated
-	// by their reading, a second-old word of a term would let a keeper grant beside its successor. So what
-	// is read within undatedFor after that is dropped, and the next message of each host is waited for.
+	// suspendThreshold is the pause between two checks, which come every busyLoadInterval, after which the process must
+	// have been suspended. Datagrams that arrive during a suspension wait in the socket and are read at once
+	// afterwards. Dated by when they are read, a second-old report of an old term could let a keeper issue grants beside
+	// its successor. So messages that are read within discardAfterResume after a suspension are dropped, and each host's
+	// next message is used instead.
 	suspendThreshold   = 500 * time.Millisecond
 	discardAfterResume = 150 * time.Millisecond
-	// pauseLeast is the pause after which this process may have stood still; shorter ones its timers have on any busy host.
+	// minPause is the shortest pause that can be a suspension; on any busy host timers are late by less than that.
 	minPause = 2 * busyLoadInterval
 )
 
-// awake notes that the process runs, and reports whether what is read now can be dated by its reading.
+// canDateReads records that the process runs, and reports whether a message that is read now can be taken to have just
+// arrived.
 func (mesh *Mesh) canDateReads(now cherrykeel.Instant) bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	elapsed := now.Sub(mesh.lastRunAt)
-	// The rest of a pause has passed without the process.
+	// Of a longer time the process has run for one interval at the most.
 	mesh.ranSincePause += min(elapsed, busyLoadInterval)
 	if elapsed >= minPause && (mesh.ranSincePause > discardAfterResume || elapsed >= mesh.pauseEnd.Sub(mesh.pauseStart)) {
-		// A shorter pause just after a longer one does not count: what came in that one may not have been noticed yet.
+		// A shorter pause just after a longer one is ignored: events of the longer one may not have been noticed yet.
 		mesh.pauseStart = mesh.lastRunAt
 		mesh.pauseEnd = now
 		mesh.ranSincePause = 0
@@ -41,8 +43,8 @@
 	return now >= mesh.discardUntil
 }
 
-// EarliestEventTime returns the earliest instant at which what the process notices now can have come: when it last stood still, if
-// it has just gone on. A signal that was sent meanwhile is noticed after it.
+// EarliestEventTime returns the earliest instant at which an event that the process notices now can have happened: now,
+// or the start of a pause that has just ended. A signal that is sent during a suspension is noticed only after it.
 func (mesh *Mesh) EarliestEventTime() cherrykeel.Instant {
 	now := mesh.clock.Now()
 	mesh.canDateReads(now)
--- a/share/demand.go
+++ b/share/demand.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// demandEvery is the pace at which keys are told to the keeper.
+	// demandInterval is the interval at which requested keys are reported to the keeper.
 	demandInterval = 100 * time.Millisecond
-	// demandSlowdown is by how much the pace is slower once not every host tells every other: most of 72
-	// hosts have no more than one key to tell in that time.
+	// demandSlowdown multiplies the interval when the hosts are too many for a full mesh: most of 72 hosts have at most
+	// one key to report in one interval.
 	demandSlowdown = 3
-	// workEvery is when an upstream's work time is told again though it is the same: the keeper believes a
-	// word for 3 s, and messages are lost. A change by workChange is told with the next keys.
+	// processingTimeInterval is when an upstream's processing time is reported again although it has not changed: the
+	// keeper uses a reported time for 3 s, and messages get lost. A change by the share processingTimeChange is sent
+	// with the next keys.
 	processingTimeInterval = time.Second
 	processingTimeChange   = 0.1
-	// maxKeys bounds the keys of one message; what is beyond it is not counted.
+	// maxDemandKeys bounds the keys of a service in one message; further keys are not counted.
 	maxDemandKeys = 4000
 )
 
-// RecordKeyRequest notes that a key was asked for, to be told to the keeper.
+// RecordKeyRequest records a request for a key, for the next report to the keeper.
 func (mesh *Mesh) RecordKeyRequest(service string, key int) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -29,8 +30,9 @@
 	}
 }
 
-// ReportDemand sends the keys asked for since the last time to the keeper, which may be this host, with what
-// work tells of a service's upstreams. With many hosts it waits for some more keys.
+// ReportDemand sends the keys requested since the last report to the keeper, which may be this host, with the
+// processing times of each service's upstreams. If the hosts are too many for a full mesh, most calls send nothing, so
+// that each report has more keys.
 func (mesh *Mesh) ReportDemand(keeper string, processingTimes func(service string) map[string]time.Duration) {
 	now := mesh.clock.Now()
 	mesh.mutex.Lock()
@@ -52,14 +54,14 @@
 	}
 }
 
-// toldWork is what the keeper was told of an upstream.
+// sentProcessingTime is the processing time of an upstream that was last sent to the keeper.
 type sentProcessingTime struct {
 	processingTime time.Duration
 	sentAt         cherrykeel.Instant
 }
 
-// news keeps of the work times those that the keeper does not know yet, or might have missed. All of them,
-// for 130 upstreams, were 3 KB in each message.
+// unsentProcessingTimes returns the processing times that the keeper has not been sent, or may have missed. Those of
+// 130 upstreams would take 3 KB in each message.
 func (mesh *Mesh) unsentProcessingTimes(times map[string]time.Duration, now cherrykeel.Instant) map[string]time.Duration {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -76,7 +78,7 @@
 	return unsent
 }
 
-// DemandInterval is the pace at which TellDemand is to be called.
+// DemandInterval returns the interval at which ReportDemand must be called.
 func DemandInterval() time.Duration {
 	return demandInterval
 }
--- a/share/doc.go
+++ b/share/doc.go
@@ -1,7 +1,6 @@
-// Package share tells the other hosts what this one does, and keeps what they
-// tell: requests at each upstream, requests waiting, and the newest term known.
-// Messages are JSON-RPC notifications in datagrams: a lost one is replaced by
-// the next within a fraction of a second.
+// Package share exchanges state between hosts: each host reports its requests at each upstream, its waiting requests
+// and the newest term that it has read, and keeps the newest reports of the others. Messages are JSON-RPC notifications
+// in datagrams. A lost message is replaced by the next one within a fraction of a second.
 //
 // Lock order: Mesh.mutex is taken alone.
 package share
--- a/share/liveness.go
+++ b/share/liveness.go
@@ -4,7 +4,7 @@
 	"cherrykeel"
 )
 
-// spoken remembers who was heard and who should have been.
+// contacts records when a message of each host was last received, and since when one is expected.
 type contacts struct {
 	expected   map[string]cherrykeel.Instant
 	receivedAt map[string]cherrykeel.Instant
@@ -14,7 +14,7 @@
 	return contacts{expected: map[string]cherrykeel.Instant{}, receivedAt: map[string]cherrykeel.Instant{}}
 }
 
-// expect notes that a host is sent messages to which it answers with its own.
+// expectMessage records that a host gets messages that it answers with its own.
 func (contacts *contacts) expectMessage(name string, now cherrykeel.Instant) {
 	_, known := contacts.expected[name]
 	if !known {
@@ -32,14 +32,14 @@
 	delete(contacts.receivedAt, name)
 }
 
-// liveness shows the plan what this host knows of the others; Mesh.mutex is held.
+// liveness is the view of the other hosts from which the plan is made; Mesh.mutex is held.
 type liveness struct {
 	mesh *Mesh
 	now  cherrykeel.Instant
 }
 
-// IsUnreachable implements topo.View. A host that has not been heard stays silent until it is: it would else
-// be chosen again each second.
+// IsUnreachable implements topo.View. A host of which no message has been received stays unreachable until one is; else
+// the plan would choose it again each second.
 func (liveness *liveness) IsUnreachable(name string) bool {
 	contacts := &liveness.mesh.contacts
 	since, expected := contacts.expected[name]
--- a/share/loads.go
+++ b/share/loads.go
@@ -7,30 +7,33 @@
 	"cherrykeel/topo"
 )
 
-// keptLoads is how many of its own loads a host remembers, to take out of a sum the one that is in it; a sum
-// is at most two paces old, or some six after lost messages.
+// maxOwnLoads is how many of its own loads a host remembers, to subtract from a sum the one that is included in it. A
+// sum is at most two intervals old, or about six after lost messages.
 const maxOwnLoads = 8
 
+// timedLoad is a load and when it was received or, of this host's own, sent.
 type timedLoad struct {
 	load       Load
 	recordedAt cherrykeel.Instant
 }
 
+// receivedSum is a group's sum and when it was received.
 type receivedSum struct {
 	sum        Sum
 	receivedAt cherrykeel.Instant
 }
 
-// fresh reports whether a sum was heard, and lately.
+// isFresh reports whether a sum has been received within staleAfter.
 func (received receivedSum) isFresh(now cherrykeel.Instant) bool {
 	return received.sum.Host != "" && now.Sub(received.receivedAt) <= staleAfter
 }
 
-// loads keeps what hosts and groups of hosts do, as they told last. It is guarded by Mesh.mutex.
+// loads keeps the newest loads of hosts and sums of groups. It is guarded by Mesh.mutex.
 type loads struct {
+	// own are the loads that this host has sent, the newest last.
 	own   []timedLoad
 	hosts map[string]timedLoad
-	// sums are by group.
+	// sums are by group label.
 	sums map[string]receivedSum
 }
 
@@ -38,7 +41,7 @@
 	return loads{hosts: map[string]timedLoad{}, sums: map[string]receivedSum{}}
 }
 
-// keep forgets what hosts told that are gone, or told in an earlier life.
+// retain drops loads and sums of hosts that are no peers any more, or from an earlier incarnation of a host.
 func (loads *loads) retain(peers map[string]cherrykeel.Peer) {
 	for name, received := range loads.hosts {
 		if peers[name].Incarnation != received.load.Incarnation {
@@ -52,11 +55,13 @@
 	}
 }
 
+// recordOwn records a load that this host sends.
 func (loads *loads) recordOwn(load Load, now cherrykeel.Instant) {
 	loads.own = append(loads.own, timedLoad{load: load, recordedAt: now})
 	loads.own = loads.own[max(0, len(loads.own)-maxOwnLoads):]
 }
 
+// recordIfNewer records a host's load, and reports whether it was newer than the one known.
 func (loads *loads) recordIfNewer(load Load, now cherrykeel.Instant) bool {
 	old, known := loads.hosts[load.Host]
 	if known && old.load.Sequence >= load.Sequence {
@@ -66,8 +71,9 @@
 	return true
 }
 
-// takeSum keeps a sum unless it is older than the one known of the same head. Another head has taken over,
-// or two take each other for silent: the one that spoke last is believed.
+// recordSumIfNewer records a group's sum, and reports false if it is older than the known one of the same aggregator. A
+// sum of another aggregator always replaces the known one: that one has taken over, or each of the two takes the other
+// for unreachable.
 func (loads *loads) recordSumIfNewer(sum Sum, now cherrykeel.Instant) bool {
 	old, known := loads.sums[sum.Group]
 	if known && old.sum.Host == sum.Host && old.sum.Sequence >= sum.Sequence {
@@ -77,7 +83,7 @@
 	return true
 }
 
-// heads returns the hosts whose sums are fresh.
+// freshAggregators returns the hosts whose sums of their groups are fresh.
 func (loads *loads) freshAggregators(now cherrykeel.Instant) map[string]bool {
 	aggregators := map[string]bool{}
 	for _, received := range loads.sums {
@@ -88,7 +94,7 @@
 	return aggregators
 }
 
-// sum adds up what this host's group does, this host included.
+// groupSum adds up the fresh loads of this host's group, this host included.
 func (loads *loads) groupSum(plan topo.Plan, self cherrykeel.Peer, now cherrykeel.Instant) Sum {
 	sum := Sum{Host: self.Name, Incarnation: self.Incarnation, Group: plan.GroupLabel, Counts: newCounts(), IncludedSequences: map[string]uint64{}}
 	for _, name := range plan.Group {
@@ -104,7 +110,7 @@
 	return sum
 }
 
-// total adds up what all others do, as far as they told lately.
+// otherHosts adds up the fresh loads of all other hosts.
 func (loads *loads) otherHosts(plan topo.Plan, self string, now cherrykeel.Instant) Counts {
 	total := newCounts()
 	if plan.FullMesh || plan.Aggregator == self {
@@ -123,7 +129,7 @@
 		return total
 	}
 	own, others := loads.sums[plan.GroupLabel], loads.sums[otherGroupsLabel(plan.GroupLabel)]
-	// Hundreds of upstreams stand in both; grown one by one, the map took as long as all else here.
+	// Both sums have hundreds of upstreams; growing the map step by step took as long as the rest of this function.
 	total.Running = make(map[string]int, len(own.sum.Running)+len(others.sum.Running))
 	if own.isFresh(now) {
 		total.add(own.sum.Counts, 1)
@@ -135,7 +141,7 @@
 	return total
 }
 
-// rest adds up what the other groups do, as their heads told this one.
+// otherGroups adds up the fresh sums that this aggregator has received from the other groups' aggregators.
 func (loads *loads) otherGroups(plan topo.Plan, now cherrykeel.Instant) Counts {
 	others := newCounts()
 	for label, received := range loads.sums {
@@ -146,7 +152,7 @@
 	return others
 }
 
-// restSuffix marks the sum of all other groups, as a head tells it to its own.
+// otherGroupsSuffix marks the sum of all other groups, which an aggregator sends to its group.
 const otherGroupsSuffix = " others"
 
 func otherGroupsLabel(label string) string {
@@ -157,7 +163,7 @@
 	return strings.HasSuffix(label, otherGroupsSuffix)
 }
 
-// included returns the load of this host's own that a sum has in it.
+// ownCountsAt returns this host's own counts that a sum includes, by the sequence of the included load; 0 means none.
 func (loads *loads) ownCountsAt(sequence uint64) Counts {
 	if sequence == 0 || len(loads.own) == 0 {
 		return Counts{}
--- a/share/mesh.go
+++ b/share/mesh.go
@@ -14,45 +14,47 @@
 )
 
 const (
-	// busyEvery is the pace of loads while some upstream is full or a request waits. A request takes 40 to
-	// 900 ms at an upstream, so counts of 80 ms ago are wrong by few requests, which its own queue takes up.
+	// busyLoadInterval is the interval of loads while an upstream is full or a request waits, and of the main loop. A
+	// request takes 40 to 900 ms at an upstream, so counts that are 80 ms old are wrong by few requests, which the
+	// upstream's own queue absorbs.
 	busyLoadInterval = 80 * time.Millisecond
-	// calmEvery is the pace while every upstream has free slots and the counts decide little. Sent at the
-	// busy pace all day, loads made two thirds of the bytes between availability zones.
+	// quietLoadInterval is the interval of loads while every upstream has free slots and the counts affect few
+	// decisions. Sent every busyLoadInterval all day, loads were two thirds of the bytes between availability zones.
 	quietLoadInterval = 160 * time.Millisecond
-	// reportEvery is the pace of reports, and of loads that do not change.
+	// reportInterval is the interval of reports, and of loads that do not change.
 	reportInterval = 250 * time.Millisecond
-	// reportSlowdown is by how much reports are slower once not every host tells every other; a silent keeper
-	// has to be missed within a second.
+	// reportSlowdown multiplies the interval of reports when the hosts are too many for a full mesh; it is small since
+	// the loss of a keeper must be noticed within a second.
 	reportSlowdown = 2
-	// staleAfter is when a silent host's counts are no longer believed.
+	// staleAfter is the age from which a host's reports and counts are not used any more.
 	staleAfter = time.Second
-	// maxDatagram bounds one message; demand beyond it is cut.
+	// maxDatagramBytes bounds the encoded size of an announcement; larger ones are not sent.
 	maxDatagramBytes = 60 << 10
 )
 
-// ReceivedReport is what a host told last.
+// ReceivedReport is the newest report of a host and when it was received on this host's clock.
 type ReceivedReport struct {
 	Report     Report
 	ReceivedAt cherrykeel.Instant
 }
 
-// StateSource is what a host has to tell of itself.
+// StateSource fills in this host's own state before it is sent.
 type StateSource interface {
-	// FillReport fills in the slow part.
+	// FillReport fills in the part that changes slowly.
 	FillReport(report *Report)
-	// FillLoad fills in the present work and reports whether it is so much that counts matter.
+	// FillLoad fills in the requests at upstreams and waiting, and reports whether an upstream is full or a request
+	// waits.
 	FillLoad(load *Load) bool
 }
 
-// Mesh exchanges reports with the other hosts.
+// Mesh exchanges state with the other hosts.
 type Mesh struct {
 	self   cherrykeel.Peer
 	clock  cherrykeel.Clock
 	logger *zap.Logger
 	source StateSource
-	// reported is called after others' reports have come, and counted after their loads; demand takes a
-	// message for the keeper.
+	// onReport is called after a report of another host was recorded, onCounts after a load or a sum. onDemand gets
+	// demand for the keeper, onAnnouncement the records that another host announces.
 	onReport       func()
 	onCounts       func()
 	onDemand       func(demand Demand)
@@ -62,26 +64,28 @@
 	mutex    sync.Mutex
 	peers    map[string]cherrykeel.Peer
 	resolved map[string]*net.UDPAddr
+	// reports has the newest report by host, unreachable the hosts that have been logged as unreachable.
 	reports       map[string]ReceivedReport
 	unreachable   map[string]bool
 	requestedKeys map[string][]int
 	sequence      uint64
 	keeper        string
-	// unknown says that a host has reported that is not among the peers.
+	// unknownSender is set when a host has reported that is not among the peers, or another incarnation of one.
 	unknownSender bool
-	// storeless says that the store does not serve this host.
+	// storeUnreachable is set while the store does not serve this host.
 	storeUnreachable bool
-	// ended says that this host has reported its end.
+	// stopped is set once this host has reported that it has stopped.
 	stopped bool
 	fleet   *topo.Fleet
 	plan    topo.Plan
-	// watchingSince is when this host last became one that hears from all.
+	// hubSince is when this host last began to receive the reports of all hosts.
 	hubSince cherrykeel.Instant
-	// awakeAt is when the process was last seen to run, undatedUntil ends what is dropped after a suspension.
+	// lastRunAt is when the process last recorded that it runs; until discardUntil messages are dropped after a
+	// suspension.
 	lastRunAt    cherrykeel.Instant
 	discardUntil cherrykeel.Instant
-	// pausedAt and wokeAt are the ends of the pause in which what is noticed now may have come, ran is how long the process
-	// ran since.
+	// pauseStart and pauseEnd bound the last pause in which events may have happened that are noticed only now;
+	// ranSincePause is how long the process has run since.
 	pauseStart          cherrykeel.Instant
 	pauseEnd            cherrykeel.Instant
 	ranSincePause       time.Duration
@@ -91,7 +95,7 @@
 	demandSentAt        cherrykeel.Instant
 }
 
-// New returns a mesh; reported, counted, demand and told are called from its own goroutines.
+// New returns a mesh; the callbacks are called from its own goroutines, and onDemand also from ReportDemand.
 func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, source StateSource, onReport, onCounts func(), onDemand func(Demand), onAnnouncement func(Announcement)) *Mesh {
 	return &Mesh{
 		self: self, clock: clock, logger: logger, source: source, onReport: onReport, onCounts: onCounts, onDemand: onDemand, onAnnouncement: onAnnouncement,
@@ -101,7 +105,7 @@
 	}
 }
 
-// Listen opens the socket.
+// Listen opens the socket on this host's internal address; its errors are those of net.
 func (mesh *Mesh) Listen() error {
 	address, err := net.ResolveUDPAddr("udp", mesh.self.InternalAddress)
 	if err != nil {
@@ -111,7 +115,7 @@
 	return errors.WithStack(err)
 }
 
-// SetPeers replaces the hosts that are told and believed.
+// SetPeers replaces the hosts to which messages are sent and of which they are accepted.
 func (mesh *Mesh) SetPeers(peers []cherrykeel.Peer) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -144,14 +148,14 @@
 	mesh.replan()
 }
 
-// SetKeeper tells who keeps the spans: reports go there, from wherever they come.
+// SetKeeper sets the host that is the keeper of spans; reports are sent to it from every host.
 func (mesh *Mesh) SetKeeper(name string) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	mesh.keeper = name
 }
 
-// replan decides anew to whom to send; Mesh.mutex is held.
+// replan decides again to which hosts to send; Mesh.mutex is held.
 func (mesh *Mesh) replan() {
 	now := mesh.clock.Now()
 	before := mesh.plan
@@ -166,6 +170,7 @@
 	}
 }
 
+// logUnreachable logs each host once whose last report has become stale, unless it has stopped.
 func (mesh *Mesh) logUnreachable(now cherrykeel.Instant) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -179,14 +184,14 @@
 	}
 }
 
-// OtherCounts adds up what all other hosts do, as far as they told lately.
+// OtherCounts returns the sum of the fresh counts of all other hosts.
 func (mesh *Mesh) OtherCounts() Counts {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	return mesh.loads.otherHosts(mesh.plan, mesh.self.Name, mesh.clock.Now())
 }
 
-// Reports returns what other hosts told within the given age.
+// Reports returns the reports of other hosts that were received within the given age.
 func (mesh *Mesh) Reports(age time.Duration) []ReceivedReport {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -200,12 +205,13 @@
 	return fresh
 }
 
-// FreshReports returns the reports that are still believed.
+// FreshReports returns the reports that are recent enough to use.
 func (mesh *Mesh) FreshReports() []ReceivedReport {
 	return mesh.Reports(staleAfter)
 }
 
-// TimeSinceReport returns how long a host has not been heard; false if it never was in its present life.
+// TimeSinceReport returns how long ago a host's last report was received; false if its present incarnation has sent
+// none.
 func (mesh *Mesh) TimeSinceReport(name string) (time.Duration, bool) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -216,12 +222,12 @@
 	return mesh.clock.Now().Sub(received.ReceivedAt), true
 }
 
-// watches reports whether this host hears from all others under a plan.
+// receivesFromAll reports whether this host receives the reports of all hosts under a plan.
 func (mesh *Mesh) receivesFromAll(plan topo.Plan) bool {
 	return plan.FullMesh || plan.IsHub(mesh.self.Name)
 }
 
-// HubDuration returns how long this host has heard from all others; 0 while it does not.
+// HubDuration returns for how long this host has received the reports of all hosts; 0 while it does not.
 func (mesh *Mesh) HubDuration() time.Duration {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -231,7 +237,8 @@
 	return mesh.clock.Now().Sub(mesh.hubSince)
 }
 
-// Rank returns this host's place among those that are believed and that count, from 0; counts must not ask the mesh.
+// Rank returns how many hosts come before this one in the order of hosts, of those with a fresh report that counts
+// accepts. It calls counts with Mesh.mutex held, so counts must not call the mesh.
 func (mesh *Mesh) Rank(counts func(report Report) bool) int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -246,7 +253,7 @@
 	return rank
 }
 
-// Position returns this host's place in the order of all hosts, heard or not, from 0.
+// Position returns this host's position in the order of all hosts, reachable or not, from 0.
 func (mesh *Mesh) Position() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
--- a/share/message.go
+++ b/share/message.go
@@ -24,38 +24,38 @@
 	methodAnnounce = "Tell"
 )
 
-// Report is what a host tells all others when it changes, and at a slow pace.
+// Report is a host's state that changes slowly; it is sent after each change and at an interval.
 type Report struct {
 	Host        string
 	Incarnation string `json:"Life"`
-	// Sequence grows with each message; an older one that comes late is dropped.
+	// Sequence grows with each message; an older one that arrives late is dropped.
 	Sequence uint64
 	// Term is the newest term of the spans that the host has read since its start, or -1.
 	Term int64
-	// Offsets has, by topic of the store, where the newest change stands that the host knows.
+	// Offsets has, by topic of the store, the offset of the newest change that the host has read.
 	Offsets map[string]int64
-	// StoreAvailable says that the store serves the host.
+	// StoreAvailable is set while the store serves the host.
 	StoreAvailable bool `json:"StoreWell"`
-	// Ages has, by topic, how long before this report the host's own last read of it was begun. Together
-	// with Offsets it tells how old the receiver's knowledge is; reads longer ago are left out.
+	// Ages has, by topic, how long before this report the host's own last read of it began; reads that are too old are
+	// left out. Together with Offsets it shows the receiver how old its own state is.
 	Ages map[string]time.Duration `json:",omitempty"`
-	// FinalGrants is told by the keeper of spans, and passed on by the others.
+	// FinalGrants comes from the keeper of spans, and is passed on by the other hosts.
 	FinalGrants *FinalGrants `json:"Finals,omitempty"`
-	// Stopped says that this is the host's last word: it has stopped by plan.
+	// Stopped marks the last report of a host, sent in its graceful shutdown.
 	Stopped bool `json:"Ended,omitempty"`
 }
 
-// FinalGrants tells of owners that the keeper of a term grants nothing any more.
+// FinalGrants names owners whose grants the keeper of a term will not renew.
 type FinalGrants struct {
 	Term int64
-	// EndsWithin is the time from this report in which all that was granted to an owner has surely ended.
+	// EndsWithin is the time from this report after which every grant of an owner has ended.
 	EndsWithin map[string]time.Duration `json:"Within"`
-	// Departed are owners that leave and answer nothing any more.
+	// Departed are owners that leave and do not answer any more.
 	Departed []string `json:",omitempty"`
 }
 
-// Counts are requests at upstreams and waiting. They are sent most often of all, so upstreams and services
-// stand in them by their Short names.
+// Counts are requests at upstreams and waiting requests. They are the messages that are sent most often, so upstreams
+// and services are named by their short names.
 type Counts struct {
 	// Running counts requests at each upstream.
 	Running map[string]int `json:",omitempty"`
@@ -68,6 +68,7 @@
 	return Counts{Running: map[string]int{}, Waiting: map[string]int{}, Queued: map[string]int{}}
 }
 
+// add adds other counts the given number of times; -1 subtracts them.
 func (counts *Counts) add(other Counts, times int) {
 	addScaled(counts.Running, other.Running, times)
 	addScaled(counts.Waiting, other.Waiting, times)
@@ -84,7 +85,7 @@
 	}
 }
 
-// Load is a host's present work.
+// Load is the counts of one host.
 type Load struct {
 	Host        string
 	Incarnation string `json:"Life"`
@@ -92,29 +93,29 @@
 	Counts
 }
 
-// Sum is what all hosts of a group do, as the group's head told.
+// Sum is the sum of the loads of a group's hosts, sent by the group's aggregator.
 type Sum struct {
 	Host        string
 	Incarnation string `json:"Life"`
 	Group       string
 	Sequence    uint64
 	Counts
-	// IncludedSequences has, by the members' Short names, the Sequence of each one's load that is in the sum.
+	// IncludedSequences has, by the members' short names, the Sequence of each member's load that is in the sum.
 	IncludedSequences map[string]uint64 `json:"Included,omitempty"`
 }
 
-// shortBytes makes short names of 4 characters: among 400 upstreams two share one in 1 case of 200, and
+// shortNameBytes makes short names of 4 characters: among 400 upstreams two have the same one in 1 case of 200, and
 // then each is counted with the other's requests too.
 const shortNameBytes = 3
 
-// ShortName returns a name's short form.
+// ShortName returns a short form of a name, a hash of it in 4 characters.
 func ShortName(name string) string {
 	hash := xxhash.Sum64String(name)
 	bytes := []byte{byte(hash), byte(hash >> 8), byte(hash >> 16)}
 	return base64.RawURLEncoding.EncodeToString(bytes[:shortNameBytes])
 }
 
-// ShortenKeys returns counts by short names.
+// ShortenKeys returns the counts by short names.
 func ShortenKeys(counts map[string]int) map[string]int {
 	short := make(map[string]int, len(counts))
 	for name, count := range counts {
@@ -128,25 +129,28 @@
 	Host    string
 	Topic   string
 	Records []cherrykeel.KeyedRecord
-	// PreviousOffset is the offset of the change before these, or NoChange; who does not know it has missed one.
+	// PreviousOffset is the offset of the change before these records, or NoPreviousChange; a receiver that has not
+	// read that change has missed one.
 	PreviousOffset int64 `json:"Before"`
 	// Forward asks the receiver to pass the message on to the hosts of its group.
 	Forward bool `json:",omitempty"`
 }
 
-// NoPreviousChange stands for no change before.
+// NoPreviousChange is the PreviousOffset of records that do not depend on an earlier change.
 const NoPreviousChange = -1
 
-// Demand tells the keeper which keys were asked for since the last one, and how fast their owners are.
+// Demand reports to the keeper which keys were requested since the last report, and the processing times of their
+// owners.
 type Demand struct {
 	Host    string
 	Service string
 	Keys    []int
-	// ProcessingTimes is the mean time that a request takes at each upstream, as the host finds it; only those that
-	// changed, or that were not told for a while.
+	// ProcessingTimes has the mean processing time of a request by upstream, as this host observes it; only those that
+	// have changed or were not sent for a while.
 	ProcessingTimes map[string]time.Duration `json:"Work,omitempty"`
 }
 
+// encode returns a message as a datagram's content, compressed if it is large.
 func encode(method string, message any) ([]byte, error) {
 	params, err := json.Marshal(message)
 	if err != nil {
@@ -160,6 +164,7 @@
 	return compress(data)
 }
 
+// decode returns a datagram's method and parameters; its error is ErrMalformed.
 func decode(data []byte) (string, json.RawMessage, error) {
 	data, err := decompress(data)
 	if err != nil {
--- a/share/pack.go
+++ b/share/pack.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// packFrom is the size from which a message is compressed: a table of 231 upstreams is 40 KB as text and 6 KB
-	// packed, and links that are full drop large datagrams first. Smaller
-	// ones are mostly sums of counts, sent 12 times a second to up to 24 hosts, which would all unpack them.
+	// compressMinBytes is the size from which a message is compressed: a table of 231 upstreams is 40 KB as text and 6
+	// KB compressed, and congested links drop large datagrams first. Smaller messages are mostly sums of counts, which
+	// are sent 12 times a second to up to 24 hosts, and each of these would have to decompress them.
 	compressMinBytes = 3 << 10
-	// unpackedMost bounds what a packed message may become.
+	// maxUncompressedBytes bounds the size of a message after decompression.
 	maxUncompressedBytes = 1 << 20
-	// packedMark is the first byte of packed messages; all others begin with a brace.
+	// gzipFirstByte is the first byte of compressed messages; all others begin with a brace.
 	gzipFirstByte = 0x1f
 )
 
-// packers are kept, since each takes more than half a megabyte.
+// gzipWriters are reused, since each takes more than half a megabyte.
 var gzipWriters = sync.Pool{New: func() any {
 	writer, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return writer
 }}
 
-// pack compresses a large message.
+// compress compresses a large message and returns a small one as it is.
 func compress(data []byte) ([]byte, error) {
 	if len(data) < compressMinBytes {
 		return data, nil
@@ -49,7 +49,7 @@
 	return buffer.Bytes(), errors.WithStack(err)
 }
 
-// unpack returns a message as it was before pack.
+// decompress returns a message as it was before compress.
 func decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != gzipFirstByte {
 		return data, nil
--- a/share/send.go
+++ b/share/send.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// replyFor is how long a host goes on reporting to one that has reported to it.
+	// replyDuration is how long a host goes on reporting to a host that has reported to it.
 	replyDuration = 2 * time.Second
 )
 
-// Run exchanges messages until the context ends.
+// Run sends and receives messages until the context ends, and then closes the socket.
 func (mesh *Mesh) Run(ctx context.Context) {
 	go mesh.receive()
 	ticker := time.NewTicker(busyLoadInterval)
@@ -43,13 +43,13 @@
 	}
 }
 
-// sender remembers what was sent last and when.
+// lastSent remembers the last report and load that were sent, and when.
 type lastSent struct {
 	report   Report
 	reportAt cherrykeel.Instant
 	load     Load
 	loadAt   cherrykeel.Instant
-	// sumAt is when the other groups' heads were told.
+	// sumAt is when the sums were last exchanged with the other groups.
 	sumAt cherrykeel.Instant
 }
 
@@ -57,7 +57,7 @@
 	report := Report{Host: mesh.self.Name, Incarnation: mesh.self.Incarnation, Term: -1}
 	mesh.source.FillReport(&report)
 	mesh.recordStoreAvailability(report.StoreAvailable)
-	// Times are other ones in each report; that alone is no change to tell of.
+	// Ages and final grants differ in each report, so they do not count as a change.
 	ages, finalGrants := report.Ages, report.FinalGrants
 	report.Ages, report.FinalGrants = nil, nil
 	interval := reportInterval
@@ -74,8 +74,8 @@
 	mesh.send(methodReport, report, mesh.reportReceivers(now))
 }
 
-// ReportStopped reports to all hosts once more, whatever was reported before, and says that this host has ended. Each of them
-// would else warn of its silence: its record stays while the store is away.
+// ReportStopped sends all hosts a last report, which marks this host as stopped. Without it each of them would log the
+// host as unreachable, since its record stays while the store is unavailable.
 func (mesh *Mesh) ReportStopped() {
 	mesh.mutex.Lock()
 	mesh.stopped = true
@@ -87,7 +87,7 @@
 	mesh.send(methodReport, report, names)
 }
 
-// hasEnded reports whether this host has reported its end; a report that is sent still must not take that back.
+// hasStopped reports whether ReportStopped was called; a report that is sent after it must repeat the mark.
 func (mesh *Mesh) hasStopped() bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -100,8 +100,9 @@
 	mesh.storeUnreachable = !available
 }
 
-// reportTo returns who hears this host's reports: the watchers and the keeper, who hear from all; whoever
-// reports to this host, since it takes it for one of them; and all hosts if it is one.
+// reportReceivers returns the hosts that get this host's reports: all hosts if it is a hub or the keeper; else the hubs
+// and the keeper, which receive the reports of all hosts, and every host that reports to this one, since that host
+// takes it for a hub or the keeper.
 func (mesh *Mesh) reportReceivers(now cherrykeel.Instant) []string {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -140,7 +141,8 @@
 	mesh.send(methodLoad, load, mesh.loadReceivers(load, now))
 }
 
-// loadTo returns who hears this host's load: all hosts while they are few, else the head of its group.
+// loadReceivers records the load and returns the hosts that get it: all hosts in a full mesh, else the aggregator of
+// this host's group.
 func (mesh *Mesh) loadReceivers(load Load, now cherrykeel.Instant) []string {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -155,8 +157,9 @@
 	return []string{mesh.plan.Aggregator}
 }
 
-// sendSum tells the members of this host's group what the group does, and less often what all other groups
-// do; and the other groups' heads what this one does. Few groups tell each other as often as each tells its own.
+// sendSum sends, if this host is its group's aggregator, the group's sum to its members. Less often it sends that sum
+// to the other groups' aggregators, and the sum of all other groups to its members. With few groups these are sent as
+// often as the group's own sum.
 func (mesh *Mesh) sendSum(last *lastSent, now cherrykeel.Instant) {
 	mesh.mutex.Lock()
 	plan := mesh.plan
@@ -218,12 +221,12 @@
 	}
 	mesh.mutex.Unlock()
 	for _, address := range addresses {
-		// A datagram that cannot be sent is as one that is lost; its silence is noted at the other end.
+		// A datagram that cannot be sent is like a lost one: the receiver notices that no report arrives.
 		_, _ = mesh.socket.WriteToUDP(data, address)
 	}
 }
 
-// names returns all other hosts; Mesh.mutex is held.
+// peerNames returns the names of all other hosts; Mesh.mutex is held.
 func (mesh *Mesh) peerNames() []string {
 	names := make([]string, 0, len(mesh.peers))
 	for name := range mesh.peers {
--- a/share/take.go
+++ b/share/take.go
@@ -10,6 +10,7 @@
 	"cherrykeel/events"
 )
 
+// receive handles messages until the socket is closed.
 func (mesh *Mesh) receive() {
 	buffer := make([]byte, 64<<10)
 	for {
@@ -71,12 +72,13 @@
 	return errors.WithStack(err)
 }
 
-// dated reports whether a message is believed for a time from its reading.
+// isTimeLimited reports whether a message's content is used only for a time, counted from when it was read.
 func isTimeLimited(method string) bool {
 	return method == methodReport || method == methodLoad || method == methodSum
 }
 
-// note keeps a report of a known host's present life.
+// recordReport records a report, unless it is not from the present incarnation of a known host or is older than the one
+// known; it reports whether it did.
 func (mesh *Mesh) recordReport(report Report) bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -99,8 +101,8 @@
 	return true
 }
 
-// HasUnknownSender reports whether a host that is not among the peers, or an unknown life of one, has reported since the last
-// call.
+// HasUnknownSender reports whether, since the last call, a host has reported that is not among the peers, or another
+// incarnation of one.
 func (mesh *Mesh) HasUnknownSender() bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -109,7 +111,7 @@
 	return found
 }
 
-// noteLoad keeps a load of a known host's present life.
+// recordLoad records a load of a known host's present incarnation, and reports whether it was new.
 func (mesh *Mesh) recordLoad(load Load) bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -120,7 +122,7 @@
 	return mesh.loads.recordIfNewer(load, mesh.clock.Now())
 }
 
-// noteSum keeps a group's sum, of a known host's present life.
+// recordSum records a sum from a known host's present incarnation, and reports whether it was new.
 func (mesh *Mesh) recordSum(sum Sum) bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
--- a/share/tell.go
+++ b/share/tell.go
@@ -7,13 +7,14 @@
 	"cherrykeel/events"
 )
 
-// tellBytes bounds the records of one message. What is told when many upstreams register at once was one datagram of
-// up to 60 KB for each host, and was not sent at all beyond that; a link that is full drops such ones first.
+// maxAnnouncementBytes bounds the records of one message. When many upstreams registered at once, a single datagram of
+// up to 60 KB went to each host, and beyond that nothing was sent; a congested link drops such datagrams first.
 const maxAnnouncementBytes = 12 << 10
 
-// Announce passes records on to all other hosts. Among many hosts they go to this host's group and to two hosts of each
-// other group, which pass them on: sent to 194 hosts one by one a table's change took the sender's link for tens of
-// milliseconds, and reports of it overtook it. What is too large for a datagram the hosts read for themselves.
+// Announce sends records to all other hosts. If the hosts are too many for a full mesh, they go to this host's group
+// and to two hosts of each other group, which pass them on: sent to 194 hosts one by one, a change of the table
+// occupied the sender's link for tens of milliseconds, and reports of the change arrived before it. Hosts read records
+// that are too large for a datagram from the store.
 func (mesh *Mesh) Announce(topic string, records []cherrykeel.KeyedRecord, previousOffset int64) {
 	if mesh.socket == nil {
 		return
@@ -30,7 +31,8 @@
 	}
 }
 
-// tellTo returns who is told by this host, and who passes it on besides.
+// announcementReceivers returns the hosts to which this host sends announcements, and those that must also pass them
+// on.
 func (mesh *Mesh) announcementReceivers() (direct, forwarders []string) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -40,7 +42,7 @@
 	return mesh.plan.Group, mesh.plan.Forwarders
 }
 
-// forward passes a message on to this host's group if it is asked to.
+// forwardToGroup passes a message on to this host's group if the message asks for it.
 func (mesh *Mesh) forwardToGroup(announcement Announcement) {
 	if !announcement.Forward {
 		return
@@ -66,7 +68,7 @@
 	}
 }
 
-// split cuts records into parts of bounded size, in their order.
+// splitBySize splits records into chunks of bounded size, in their order.
 func splitBySize(records []cherrykeel.KeyedRecord) [][]cherrykeel.KeyedRecord {
 	var chunks [][]cherrykeel.KeyedRecord
 	begin, size := 0, 0
