--- a/share/bench_test.go
+++ b/share/bench_test.go
@@ -12,8 +12,8 @@
 	"cherrykeel/topo"
 )
 
-// messages are what a host of 195 with 659 upstreams sends most often.
-func messages() map[string]any {
+// sampleMessages returns the messages that a host of 195 with 659 upstreams sends most often, by method.
+func sampleMessages() map[string]any {
 	counts := newCounts()
 	for i := range 659 {
 		counts.Running[ShortName(fmt.Sprintf("i-%010d", i))] = 1 + i%3
@@ -37,9 +37,9 @@
 	}
 }
 
-// BenchmarkMessage is a message's way through its sender, and through each of its receivers.
+// BenchmarkMessage measures how long a message takes at its sender, and at each of its receivers.
 func BenchmarkMessage(b *testing.B) {
-	for method, message := range messages() {
+	for method, message := range sampleMessages() {
 		b.Run("send/"+method, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -53,7 +53,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.Run("take/"+method, func(b *testing.B) {
+		b.Run("receive/"+method, func(b *testing.B) {
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(data)), "B/message")
 			for b.Loop() {
@@ -71,22 +71,24 @@
 	}
 }
 
-// BenchmarkOthers adds up what all other hosts of 195 do at 659 upstreams, as a member of a group does with each sum.
+// BenchmarkOthers adds up the counts of all other hosts of 195 at 659 upstreams, as a group's member does after each
+// sum.
 func BenchmarkOthers(b *testing.B) {
-	sum := messages()[methodSum].(Sum)
-	rest := sum
-	rest.Group = restOf(sum.Group)
+	sum := sampleMessages()[methodSum].(Sum)
+	others := sum
+	others.Group = otherGroupsLabel(sum.Group)
 	loads := newLoads()
-	loads.takeSum(sum, 1)
-	loads.takeSum(rest, 1)
+	loads.recordSumIfNewer(sum, 1)
+	loads.recordSumIfNewer(others, 1)
 	plan := topo.Plan{GroupLabel: sum.Group, Aggregator: sum.Host}
 	b.ReportAllocs()
 	for b.Loop() {
-		loads.total(plan, "front-2", 1)
+		loads.otherHosts(plan, "front-2", 1)
 	}
 }
 
-// BenchmarkRank is a watcher's look for its place among 195 hosts, which each of its topics takes ten times a second.
+// BenchmarkRank measures how long a hub takes to find its rank among 195 hosts, which each of its topics does ten times
+// a second.
 func BenchmarkRank(b *testing.B) {
 	self := cherrykeel.Peer{Name: "host-0", Zone: "z1"}
 	mesh := New(self, cherrykeel.SystemClock(), zap.NewNop(), nil, nil, nil, nil, nil)
@@ -97,7 +99,7 @@
 	mesh.fleet = topo.NewFleet(self.Name, peers)
 	mesh.replan()
 	for _, peer := range peers[1:] {
-		mesh.heard[peer.Name] = ReceivedReport{Report: Report{Host: peer.Name, StoreAvailable: true}, ReceivedAt: mesh.clock.Now().Add(time.Hour)}
+		mesh.reports[peer.Name] = ReceivedReport{Report: Report{Host: peer.Name, StoreAvailable: true}, ReceivedAt: mesh.clock.Now().Add(time.Hour)}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/share/ended_test.go
+++ b/share/ended_test.go
@@ -12,38 +12,38 @@
 	"cherrykeel/events"
 )
 
-var _ = Describe("a host that has stopped by plan", func() {
-	// The store is away while a host stops, so that its record stays. Guards against warnings of its silence at each of
-	// 193 other hosts, which whoever is on call reads for nothing. A host that was lost is still warned of.
-	It("is not warned of as silent, though its record is still there", func() {
+var _ = Describe("a host after a graceful shutdown", func() {
+	// Guards against warnings of an unreachable host at each of 193 other hosts after a planned stop: while the store
+	// is unavailable the stopped host's record stays. A host that crashed must still be logged.
+	It("is not logged as unreachable, though its record is still there", func() {
 		core, logged := observer.New(zapcore.InfoLevel)
-		witness := newMemberWith(zap.New(core), "h-1", "a", "z1")
+		observing := newMemberWith(zap.New(core), "h-1", "a", "z1")
 		stopping := newMember("h-2", "a", "z1")
-		lost := newMember("h-3", "a", "z1")
-		join(witness, stopping, lost)
-		Eventually(func() int { return len(witness.mesh.FreshReports()) }, generous).Should(Equal(2))
+		crashed := newMember("h-3", "a", "z1")
+		join(observing, stopping, crashed)
+		Eventually(func() int { return len(observing.mesh.FreshReports()) }, generous).Should(Equal(2))
 		stopping.mesh.ReportStopped()
 		stopping.mesh.ReportStopped()
 		stopping.stop()
-		Eventually(func() bool { return witness.heardLast("h-2") }, generous).Should(BeTrue())
-		lost.stop()
-		silent := func() []string {
+		Eventually(func() bool { return observing.hasStopReport("h-2") }, generous).Should(BeTrue())
+		crashed.stop()
+		unreachable := func() []string {
 			var names []string
 			for _, entry := range logged.FilterMessage(events.PeerSilent.Text).All() {
 				names = append(names, entry.ContextMap()["Host"].(string))
 			}
 			return names
 		}
-		Eventually(silent, generous).Should(ContainElement("h-3"))
-		Eventually(witness.mesh.FreshReports, generous).Should(BeEmpty(), "a host that has ended counts no longer than before")
-		Consistently(silent, "300ms").Should(Equal([]string{"h-3"}))
+		Eventually(unreachable, generous).Should(ContainElement("h-3"))
+		Eventually(observing.mesh.FreshReports, generous).Should(BeEmpty(), "a stopped host's report gets stale as any other")
+		Consistently(unreachable, "300ms").Should(Equal([]string{"h-3"}))
 	})
 })
 
-// heardLast reports whether a host's last word has come.
-func (member *member) heardLast(name string) bool {
-	for _, heard := range member.mesh.Reports(time.Hour) {
-		if heard.Report.Host == name && heard.Report.Stopped {
+// hasStopReport reports whether the last report of a host that has stopped has been received.
+func (member *member) hasStopReport(name string) bool {
+	for _, received := range member.mesh.Reports(time.Hour) {
+		if received.Report.Host == name && received.Report.Stopped {
 			return true
 		}
 	}
--- a/share/group_test.go
+++ b/share/group_test.go
@@ -28,9 +28,9 @@
 		return func() int { return member.mesh.OtherCounts().Running[id] }
 	}
 
-	// Each host has one request at the same upstream. Every other one has to count all but its own: with its
-	// own counted twice an upstream would look fuller than it is, and slots stay unused.
-	It("count each other's requests through the heads of their groups, and not their own", func() {
+	// Guards against a host that counts its own requests among the others'. Each host has one request at the same
+	// upstream; counted twice, it would make the upstream look fuller than it is, and slots would stay unused.
+	It("count each other's requests through their groups' aggregators, and not their own", func() {
 		for _, member := range members {
 			member.set(func() { member.running["u1"] = 1 })
 		}
@@ -42,48 +42,48 @@
 		Eventually(running(members[4], "u1"), generous).Should(Equal(len(members) - 2))
 	})
 
-	// A host tells of a change. It sends to its own group and to two hosts of the other one, which pass it on to
-	// theirs: each host hears of it though one of the two has died, and nobody passes it on twice over.
-	It("are all told through two hosts of each other group", func() {
-		teller := members[0]
-		plan := topo.New(teller.peer.Name, peersOf(members), allHeard{})
+	// Guards against an announcement that misses a group because one of the two hosts that pass it on is down, and
+	// against hosts that pass it on more than once.
+	It("all get an announcement through two hosts of each other group", func() {
+		sender := members[0]
+		plan := topo.New(sender.peer.Name, peersOf(members), allReachable{})
 		Expect(plan.Forwarders).To(HaveLen(2))
 		for _, member := range members {
 			if member.peer.Name == plan.Forwarders[0] {
 				member.stop()
 			}
 		}
-		teller.mesh.Announce("spans", []cherrykeel.KeyedRecord{{Key: "table", Value: []byte("x"), Offset: 7}}, 6)
+		sender.mesh.Announce("spans", []cherrykeel.KeyedRecord{{Key: "table", Value: []byte("x"), Offset: 7}}, 6)
 		for _, member := range members[1:] {
 			if member.peer.Name == plan.Forwarders[0] {
 				continue
 			}
-			Eventually(func() int { member.mutex.Lock(); defer member.mutex.Unlock(); return len(member.told) }, generous).Should(BeNumerically(">=", 1))
-			Consistently(func() int { member.mutex.Lock(); defer member.mutex.Unlock(); return len(member.told) }, "50ms").Should(BeNumerically("<=", 2))
+			Eventually(func() int { member.mutex.Lock(); defer member.mutex.Unlock(); return len(member.announcements) }, generous).Should(BeNumerically(">=", 1))
+			Consistently(func() int { member.mutex.Lock(); defer member.mutex.Unlock(); return len(member.announcements) }, "50ms").Should(BeNumerically("<=", 2))
 		}
 	})
 
-	// The heads of both groups die. For a second their groups go on with what they heard, then the next hosts
-	// sum up, and find each other.
-	It("go on when the heads are lost", func() {
-		lost := map[string]bool{}
+	// Guards against groups that stay without sums when the aggregators of both crash: after a second the next hosts
+	// must take over and find each other.
+	It("replace aggregators that crash", func() {
+		crashed := map[string]bool{}
 		alive := func() []*member {
-			var rest []*member
+			var remaining []*member
 			for _, member := range members {
-				if !lost[member.peer.Name] {
-					rest = append(rest, member)
+				if !crashed[member.peer.Name] {
+					remaining = append(remaining, member)
 				}
 			}
-			return rest
+			return remaining
 		}
 		for _, member := range members {
-			plan := topo.New(member.peer.Name, peersOf(members), allHeard{})
+			plan := topo.New(member.peer.Name, peersOf(members), allReachable{})
 			if plan.Aggregator == member.peer.Name {
-				lost[member.peer.Name] = true
+				crashed[member.peer.Name] = true
 				member.stop()
 			}
 		}
-		Expect(lost).To(HaveLen(2))
+		Expect(crashed).To(HaveLen(2))
 		for _, member := range alive() {
 			member.set(func() { member.running["u2"] = 1 })
 		}
@@ -92,20 +92,21 @@
 		}
 	})
 
-	// Only a few hosts hear from all; they can keep spans and drop records of the lost. All hear the keeper.
-	It("report to the watchers and the keeper, who report to all", func() {
-		plan := topo.New("host-0", peersOf(members), allHeard{})
+	// Only hubs, which may become keepers and remove records of crashed hosts, receive all reports; every host receives
+	// the keeper's.
+	It("report to the hubs and the keeper, which report to all", func() {
+		plan := topo.New("host-0", peersOf(members), allReachable{})
 		keeper := plan.Order[len(plan.Order)-1]
 		for _, member := range members {
 			member.mesh.SetKeeper(keeper)
 		}
 		for _, member := range members {
-			hears := func() int { return len(member.mesh.FreshReports()) }
+			received := func() int { return len(member.mesh.FreshReports()) }
 			if plan.IsHub(member.peer.Name) || member.peer.Name == keeper {
-				Eventually(hears, generous).Should(Equal(len(members) - 1))
+				Eventually(received, generous).Should(Equal(len(members) - 1))
 				continue
 			}
-			Eventually(func() bool { _, heard := member.mesh.TimeSinceReport(keeper); return heard }, generous).Should(BeTrue())
+			Eventually(func() bool { _, known := member.mesh.TimeSinceReport(keeper); return known }, generous).Should(BeTrue())
 			Expect(member.mesh.HubDuration()).To(BeZero())
 			Eventually(func() int {
 				return member.mesh.Rank(func(share.Report) bool { return true })
@@ -113,26 +114,26 @@
 		}
 	})
 
-	// All watchers die, the one that keeps spans among them. Others must come to hear most hosts, or nobody
-	// could claim.
-	It("choose other watchers when these are lost", func() {
-		plan := topo.New("host-0", peersOf(members), allHeard{})
-		var rest []*member
+	// Guards against a fleet in which no host can claim the spans: all hubs crash, the keeper among them, and others
+	// must begin to receive the reports of most hosts.
+	It("choose other hubs when these crash", func() {
+		plan := topo.New("host-0", peersOf(members), allReachable{})
+		var remaining []*member
 		for _, member := range members {
 			if plan.IsHub(member.peer.Name) {
 				member.stop()
 				continue
 			}
-			rest = append(rest, member)
+			remaining = append(remaining, member)
 		}
 		Eventually(func() int {
-			hearing := 0
-			for _, member := range rest {
-				if len(member.mesh.Reports(time.Second)) == len(rest)-1 && member.mesh.HubDuration() > 0 {
-					hearing++
+			receiving := 0
+			for _, member := range remaining {
+				if len(member.mesh.Reports(time.Second)) == len(remaining)-1 && member.mesh.HubDuration() > 0 {
+					receiving++
 				}
 			}
-			return hearing
+			return receiving
 		}, generous).Should(BeNumerically(">=", 4))
 	})
 })
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -22,20 +22,21 @@
 	RunSpecs(t, "share")
 }
 
+// generous is a timeout that is long enough on a busy machine.
 const generous = "20s"
 
-// member is one host of a test's mesh.
+// member is one host of a test's mesh, and the source of its state.
 type member struct {
 	peer cherrykeel.Peer
 	mesh *share.Mesh
 	stop context.CancelFunc
 
-	mutex   sync.Mutex
-	running map[string]int
-	term    int64
-	demands []share.Demand
-	told    []share.Announcement
-	changes atomic.Int64
+	mutex         sync.Mutex
+	running       map[string]int
+	term          int64
+	demands       []share.Demand
+	announcements []share.Announcement
+	changes       atomic.Int64
 }
 
 func (member *member) FillReport(report *share.Report) {
@@ -72,7 +73,9 @@
 	member := &member{peer: cherrykeel.Peer{Name: name, Incarnation: life, InternalAddress: fakes.FreeAddress(), Zone: zone}, running: map[string]int{}}
 	member.mesh = share.New(member.peer, cherrykeel.SystemClock(), logger, member, func() { member.changes.Add(1) }, func() { member.changes.Add(1) },
 		func(demand share.Demand) { member.set(func() { member.demands = append(member.demands, demand) }) },
-		func(told share.Announcement) { member.set(func() { member.told = append(member.told, told) }) })
+		func(announcement share.Announcement) {
+			member.set(func() { member.announcements = append(member.announcements, announcement) })
+		})
 	Expect(member.mesh.Listen()).To(Succeed())
 	ctx, stop := context.WithCancel(context.Background())
 	member.stop = stop
@@ -81,7 +84,7 @@
 	return member
 }
 
-func noWork(string) map[string]time.Duration { return nil }
+func noProcessingTimes(string) map[string]time.Duration { return nil }
 
 func join(members ...*member) {
 	for _, member := range members {
@@ -97,19 +100,19 @@
 	return peers
 }
 
-// allHeard is the view of a host that hears all others.
-type allHeard struct{}
+// allReachable is the view of a host that reaches all others.
+type allReachable struct{}
 
-func (allHeard) IsUnreachable(string) bool      { return false }
-func (allHeard) IsStoreUnreachable(string) bool { return false }
+func (allReachable) IsUnreachable(string) bool      { return false }
+func (allReachable) IsStoreUnreachable(string) bool { return false }
 
 var _ = Describe("the hosts", func() {
-	var one, two *member
+	var first, second *member
 
 	BeforeEach(func() {
-		one = newMember("host-1", "a", "zone")
-		two = newMember("host-2", "b", "zone")
-		join(one, two)
+		first = newMember("host-1", "a", "zone")
+		second = newMember("host-2", "b", "zone")
+		join(first, second)
 	})
 
 	running := func(member *member, id string) func() int {
@@ -118,41 +121,42 @@
 		}
 	}
 
-	It("tell each other their requests and the newest term", func() {
-		two.set(func() { two.running["u1"] = 3; two.term = 7 })
-		Eventually(running(one, "u1"), generous).Should(Equal(3))
-		Eventually(func() int64 { return one.mesh.FreshReports()[0].Report.Term }, generous).Should(Equal(int64(7)))
-		two.set(func() { delete(two.running, "u1") })
-		Eventually(running(one, "u1"), generous).Should(BeZero())
-		Expect(one.changes.Load()).NotTo(BeZero())
-		Expect(one.mesh.HostCount()).To(Equal(2))
+	It("report their requests and the newest term to each other", func() {
+		second.set(func() { second.running["u1"] = 3; second.term = 7 })
+		Eventually(running(first, "u1"), generous).Should(Equal(3))
+		Eventually(func() int64 { return first.mesh.FreshReports()[0].Report.Term }, generous).Should(Equal(int64(7)))
+		second.set(func() { delete(second.running, "u1") })
+		Eventually(running(first, "u1"), generous).Should(BeZero())
+		Expect(first.changes.Load()).NotTo(BeZero())
+		Expect(first.mesh.HostCount()).To(Equal(2))
 	})
 
-	// A host dies with requests at an upstream. Counted for ever, they would keep the upstream's slots from
-	// all other hosts.
-	It("forget the counts of a host that has fallen silent", func() {
-		two.set(func() { two.running["u1"] = 3 })
-		Eventually(running(one, "u1"), generous).Should(Equal(3))
-		two.stop()
-		Eventually(running(one, "u1"), generous).Should(BeZero())
-		silence, heard := one.mesh.TimeSinceReport("host-2")
-		Expect(heard).To(BeTrue())
+	// Guards against slots that stay blocked for ever: a host crashes with requests at an upstream, which must not be
+	// counted any more.
+	It("drop the counts of a host that has become unreachable", func() {
+		second.set(func() { second.running["u1"] = 3 })
+		Eventually(running(first, "u1"), generous).Should(Equal(3))
+		second.stop()
+		Eventually(running(first, "u1"), generous).Should(BeZero())
+		silence, known := first.mesh.TimeSinceReport("host-2")
+		Expect(known).To(BeTrue())
 		Expect(silence).To(BeNumerically(">", 0))
 	})
 
-	// A host is replaced under the same name. What its former life said, also late, is not the new one's word.
-	It("believe only the present life of a host", func() {
-		Eventually(func() int { return len(one.mesh.FreshReports()) }, generous).Should(Equal(1))
-		next := two.peer
+	// Guards against reports of a host's earlier incarnation, also late ones, that are taken for those of its
+	// replacement under the same name.
+	It("accept reports only of a host's present incarnation", func() {
+		Eventually(func() int { return len(first.mesh.FreshReports()) }, generous).Should(Equal(1))
+		next := second.peer
 		next.Incarnation = "c"
-		one.mesh.SetPeers([]cherrykeel.Peer{one.peer, next})
-		Consistently(func() int { return len(one.mesh.FreshReports()) }, "600ms").Should(BeZero())
+		first.mesh.SetPeers([]cherrykeel.Peer{first.peer, next})
+		Consistently(func() int { return len(first.mesh.FreshReports()) }, "600ms").Should(BeZero())
 	})
 
-	It("do not believe a host that has not announced itself", func() {
-		three := newMember("host-3", "x", "zone")
-		three.mesh.SetPeers([]cherrykeel.Peer{one.peer, three.peer})
-		Consistently(func() int { return len(one.mesh.FreshReports()) }, "600ms").Should(BeNumerically("<=", 1))
+	It("accept no reports of a host that has not announced itself", func() {
+		third := newMember("host-3", "x", "zone")
+		third.mesh.SetPeers([]cherrykeel.Peer{first.peer, third.peer})
+		Consistently(func() int { return len(first.mesh.FreshReports()) }, "600ms").Should(BeNumerically("<=", 1))
 	})
 
 	It("shorten names in what they send most often", func() {
@@ -162,34 +166,38 @@
 		Expect(share.ShortName("i-667efb5e2c")).To(HaveLen(4))
 	})
 
-	It("tell the keeper which keys are asked for, which may be the host itself", func() {
-		one.mesh.RecordKeyRequest("halls", 7)
-		one.mesh.RecordKeyRequest("halls", 9)
-		one.mesh.ReportDemand("host-2", noWork)
-		Eventually(func() []share.Demand { two.mutex.Lock(); defer two.mutex.Unlock(); return two.demands }, generous).
+	It("report the requested keys to the keeper, which may be the host itself", func() {
+		first.mesh.RecordKeyRequest("halls", 7)
+		first.mesh.RecordKeyRequest("halls", 9)
+		first.mesh.ReportDemand("host-2", noProcessingTimes)
+		Eventually(func() []share.Demand { second.mutex.Lock(); defer second.mutex.Unlock(); return second.demands }, generous).
 			Should(Equal([]share.Demand{{Host: "host-1", Service: "halls", Keys: []int{7, 9}}}))
-		one.mesh.RecordKeyRequest("halls", 8)
-		one.mesh.ReportDemand("host-1", noWork)
-		Expect(one.demands).To(HaveLen(1))
-		one.mesh.ReportDemand("host-1", noWork)
-		Expect(one.demands).To(HaveLen(1))
+		first.mesh.RecordKeyRequest("halls", 8)
+		first.mesh.ReportDemand("host-1", noProcessingTimes)
+		Expect(first.demands).To(HaveLen(1))
+		first.mesh.ReportDemand("host-1", noProcessingTimes)
+		Expect(first.demands).To(HaveLen(1))
 	})
 
-	It("pass on records that they have read", func() {
+	It("announce records that they have read", func() {
 		record := cherrykeel.KeyedRecord{Key: "table", Value: []byte("x"), Offset: 4}
-		one.mesh.Announce("spans", []cherrykeel.KeyedRecord{record}, 3)
-		Eventually(func() []share.Announcement { two.mutex.Lock(); defer two.mutex.Unlock(); return two.told }, generous).
+		first.mesh.Announce("spans", []cherrykeel.KeyedRecord{record}, 3)
+		Eventually(func() []share.Announcement {
+			second.mutex.Lock()
+			defer second.mutex.Unlock()
+			return second.announcements
+		}, generous).
 			Should(Equal([]share.Announcement{{Host: "host-1", Topic: "spans", Records: []cherrykeel.KeyedRecord{record}, PreviousOffset: 3}}))
 	})
 
-	It("go on after a message that cannot be read", func() {
-		socket, err := net.Dial("udp", one.peer.InternalAddress)
+	It("continue after a malformed message", func() {
+		socket, err := net.Dial("udp", first.peer.InternalAddress)
 		Expect(err).NotTo(HaveOccurred())
 		defer socket.Close()
 		for _, text := range []string{"", "{", `{"jsonrpc":"2.0","method":"Report"}`, `{"jsonrpc":"2.0","method":"Report","params":[1]}`, `{"jsonrpc":"2.0","method":"Other","params":{}}`} {
 			_, _ = socket.Write([]byte(text))
 		}
-		two.set(func() { two.running["u1"] = 1 })
-		Eventually(running(one, "u1"), generous).Should(Equal(1))
+		second.set(func() { second.running["u1"] = 1 })
+		Eventually(running(first, "u1"), generous).Should(Equal(1))
 	})
 })
