--- a/relay/again.go
+++ b/relay/again.go
@@ -19,81 +19,81 @@
 	misdirectedPause  = 15 * time.Millisecond
 	misdirectedGrowth = 4
 	// budgetPace is how often a request that has not run, and that the budget cannot pay for yet, asks again.
-	budgetPace = 50 * time.Millisecond
+	budgetRetryInterval = 50 * time.Millisecond
 	// pauseShare is the part of the time that is left which a request waits at most before it is sent once more.
-	pauseShare = 0.25
+	maxPauseShare = 0.25
 	// leastOwnerPause is waited at least before the only upstream that may serve a request is asked once more.
-	leastOwnerPause = 50 * time.Millisecond
+	minOwnerPause = 50 * time.Millisecond
 )
 
 // again decides whether the request may be sent once more; if so the budget has paid.
-func (exchange *exchange) again(ctx context.Context, result result, now cherrykeel.Instant) bool {
+func (exchange *exchange) canRetry(ctx context.Context, result result, now cherrykeel.Instant) bool {
 	if now >= exchange.deadline {
 		return false
 	}
-	if result.finding == uncertain && !exchange.route.Repeatable {
+	if result.outcome == outcomeUnknown && !exchange.route.Repeatable {
 		return false
 	}
-	if result.unanswered && exchange.listed.Suspected() {
+	if result.unanswered && exchange.denyRequest.Suspected() {
 		return false
 	}
 	if result.misdirected && exchange.dispatcher.keyed {
-		return exchange.againElsewhere(ctx)
+		return exchange.canRetryMisdirected(ctx)
 	}
-	if result.finding == notSent {
+	if result.outcome == notSent {
 		// Nothing arrived anywhere, so neither the budget nor the count of upstreams is touched.
 		exchange.attempts--
 		return true
 	}
-	if exchange.attempts >= exchange.route.MaxAttempts || !exchange.dispatcher.spend(exchange.relay.HostCount(), now) {
+	if exchange.attempts >= exchange.route.MaxAttempts || !exchange.dispatcher.trySpendRetry(exchange.relay.HostCount(), now) {
 		return false
 	}
-	return !exchange.hasOwner() || sleep(ctx, exchange.ownerPause(now))
+	return !exchange.needsOwner() || sleep(ctx, exchange.ownerPause(now))
 }
 
 // lostWithKey reports whether an upstream has failed a request since its key was moved meanwhile: work that outlasts
 // the hold of its key is ended. What may run twice runs at the new owner then, if attempts and budget allow it; else
 // the caller gets the upstream's own answer.
-func (exchange *exchange) lostWithKey(result result, now cherrykeel.Instant) bool {
-	if result.status != http.StatusInternalServerError || !exchange.route.Repeatable || !exchange.hasOwner() {
+func (exchange *exchange) canRetryAtNewOwner(result result, now cherrykeel.Instant) bool {
+	if result.status != http.StatusInternalServerError || !exchange.route.Repeatable || !exchange.needsOwner() {
 		return false
 	}
-	owner := exchange.relay.Owner(exchange.dispatcher.name, exchange.asked.Key)
-	moved := owner.ID != exchange.inputs.Owner || owner.InTransfer
-	return moved && exchange.attempts < exchange.route.MaxAttempts && now < exchange.deadline && exchange.dispatcher.spend(exchange.relay.HostCount(), now)
+	owner := exchange.relay.Owner(exchange.dispatcher.name, exchange.headers.Key)
+	transferred := owner.ID != exchange.inputs.Owner || owner.InTransfer
+	return transferred && exchange.attempts < exchange.route.MaxAttempts && now < exchange.deadline && exchange.dispatcher.trySpendRetry(exchange.relay.HostCount(), now)
 }
 
 // keptAnswer is an answer that the caller gets if nothing better comes.
-type keptAnswer struct {
-	place  *flow.Slot
+type fallbackAnswer struct {
+	slot   *flow.Slot
 	result result
 }
 
 // instead passes on the upstream's answer that is kept, if there is one, in place of a failure of the router's own.
-func (exchange *exchange) instead(failure *cherrykeel.Failure) *cherrykeel.Failure {
-	if exchange.kept == nil || failure.Status == statusCallerGone {
+func (exchange *exchange) preferFallback(failure *cherrykeel.Failure) *cherrykeel.Failure {
+	if exchange.fallback == nil || failure.Status == statusCallerGone {
 		return failure
 	}
-	exchange.pass(exchange.kept.place, exchange.kept.result)
+	exchange.writeAnswer(exchange.fallback.slot, exchange.fallback.result)
 	return nil
 }
 
 // hasOwner reports whether one upstream alone may serve the request.
-func (exchange *exchange) hasOwner() bool {
-	return exchange.dispatcher.keyed && exchange.asked.Key != cherrykeel.NoKey
+func (exchange *exchange) needsOwner() bool {
+	return exchange.dispatcher.keyed && exchange.headers.Key != cherrykeel.NoKey
 }
 
 // ownerPause is about the time in which an owner that has rejected a request gets a place free: sent again a
 // millisecond later, the request met the same full queue, and had no third try.
 func (exchange *exchange) ownerPause(now cherrykeel.Instant) time.Duration {
-	most := time.Duration(pauseShare * float64(exchange.deadline.Sub(now)))
+	maxPause := time.Duration(maxPauseShare * float64(exchange.deadline.Sub(now)))
 	pause := time.Duration((0.5 + 0.5*rand.Float64()) * float64(exchange.inputs.ProcessingTime))
-	return min(max(leastOwnerPause, pause), most)
+	return min(max(minOwnerPause, pause), maxPause)
 }
 
 // againElsewhere waits for the key's new owner, and for the budget to pay: the request has surely not run, so there
 // is time while its caller waits.
-func (exchange *exchange) againElsewhere(ctx context.Context) bool {
+func (exchange *exchange) canRetryMisdirected(ctx context.Context) bool {
 	exchange.attempts--
 	exchange.misdirected++
 	exchange.tried = nil
@@ -111,9 +111,9 @@
 // awaitBudget waits until the budget pays for one more send, for a part of the time that is left.
 func (exchange *exchange) awaitBudget(ctx context.Context) bool {
 	now := exchange.relay.clock.Now()
-	until := now.Add(time.Duration(pauseShare * float64(exchange.deadline.Sub(now))))
-	for !exchange.dispatcher.spend(exchange.relay.HostCount(), now) {
-		if now >= until || !sleep(ctx, budgetPace) {
+	until := now.Add(time.Duration(maxPauseShare * float64(exchange.deadline.Sub(now))))
+	for !exchange.dispatcher.trySpendRetry(exchange.relay.HostCount(), now) {
+		if now >= until || !sleep(ctx, budgetRetryInterval) {
 			return false
 		}
 		now = exchange.relay.clock.Now()
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -17,22 +17,22 @@
 )
 
 // finding is what an attempt showed of whether the request ran.
-type finding int
+type outcome int
 
 const (
 	// answered requests have an answer to pass on.
-	answered finding = iota
+	answered outcome = iota
 	// notSent requests never left this host.
 	notSent
 	// notRun requests were refused by the upstream, which did not act.
 	notRun
 	// uncertain requests may have run.
-	uncertain
+	outcomeUnknown
 )
 
 // result is what an attempt brought.
 type result struct {
-	finding     finding
+	outcome     outcome
 	misdirected bool
 	status      int
 	header      http.Header
@@ -41,9 +41,9 @@
 	detail      string
 	// unanswered says that the connection ended under the request, refused that none was to be had since nobody
 	// listens at the address, own that the answer is one of the upstream that was meant.
-	unanswered bool
-	refused    bool
-	own        bool
+	unanswered        bool
+	connectionRefused bool
+	fromTarget        bool
 	// reset says that the connection was reset, not closed, and abandoned that this host closed it before an answer.
 	reset     bool
 	abandoned bool
@@ -54,14 +54,14 @@
 	maxAnswerBytes = 32 << 20
 	// freshWithin is how recently a connection has to have been in use to carry a request that must not
 	// be lost: an upstream may forget an idle connection, and what is sent there is reset.
-	freshWithin = 6 * time.Second
-	usualIdle   = 8 * time.Second
+	maxIdleUnrepeatable = 6 * time.Second
+	maxIdleRepeatable   = 8 * time.Second
 	// watchNew is how long a new connection is watched before a request that must not be lost is sent. An
 	// upstream needs 1 ms to take a connection, and resets one too many then.
-	watchNew = 3 * time.Millisecond
+	newConnWatch = 3 * time.Millisecond
 )
 
-var errForeign = errors.New("the answer belongs to another request")
+var errWrongRequest = errors.New("answer of another request")
 
 // hopHeaders belong to one connection and are not passed on.
 var hopHeaders = []string{
@@ -81,14 +81,14 @@
 }
 
 // outgoing returns the request as an upstream gets it: method, target and body as they came.
-func (exchange *exchange) outgoing(upstream cherrykeel.Upstream, left time.Duration) *http.Request {
+func (exchange *exchange) upstreamRequest(upstream cherrykeel.Upstream, remaining time.Duration) *http.Request {
 	incoming := exchange.request
 	header := incoming.Header.Clone()
 	dropHopHeaders(header)
 	if _, given := header["User-Agent"]; !given {
 		header["User-Agent"] = []string{""}
 	}
-	exchange.relay.dialect.MarkRequest(header, upstream, left)
+	exchange.relay.dialect.MarkRequest(header, upstream, remaining)
 	path, query, hasQuery := strings.Cut(incoming.RequestURI, "?")
 	request := &http.Request{
 		Method: incoming.Method,
@@ -111,76 +111,76 @@
 }
 
 // attempt sends the request to one upstream and reads its whole answer.
-func (exchange *exchange) attempt(ctx context.Context, place *flow.Slot) result {
-	left := exchange.deadline.Sub(exchange.relay.clock.Now())
-	ctx, cancel := context.WithTimeout(ctx, left)
+func (exchange *exchange) attempt(ctx context.Context, slot *flow.Slot) result {
+	remaining := exchange.deadline.Sub(exchange.relay.clock.Now())
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
-	care := conns.Care{MaxIdle: usualIdle}
+	care := conns.Care{MaxIdle: maxIdleRepeatable}
 	if !exchange.route.Repeatable {
-		care = conns.Care{MaxIdle: freshWithin, Watch: watchNew}
+		care = conns.Care{MaxIdle: maxIdleUnrepeatable, Watch: newConnWatch}
 	}
-	answer, progress, err := exchange.relay.pool.SendWith(ctx, place.Upstream.Address, exchange.outgoing(place.Upstream, left), care)
+	answer, progress, err := exchange.relay.pool.SendWith(ctx, slot.Upstream.Address, exchange.upstreamRequest(slot.Upstream, remaining), care)
 	if err != nil {
-		result := broken(progress, err)
+		result := failedSend(progress, err)
 		result.unanswered = progress.Unanswered() && ctx.Err() == nil
 		result.abandoned = progress.Unanswered() && ctx.Err() != nil
 		return result
 	}
 	defer answer.Close()
 	reply := exchange.relay.dialect.ReadReply(answer.Status, answer.Header)
-	exchange.noteUnreadableLoad(place.Upstream, reply.Load)
+	exchange.logMalformedLoad(slot.Upstream, reply.Load)
 	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes+1))
 	result := result{status: answer.Status, header: answer.Header, body: body, load: reply.Load, misdirected: reply.Misdirected}
 	result.unanswered = err != nil && ctx.Err() == nil
 	result.reset = errors.Is(err, conns.ErrReset)
-	result.own = err == nil && (reply.Instance == "" || reply.Instance == place.Upstream.ID)
+	result.fromTarget = err == nil && (reply.Instance == "" || reply.Instance == slot.Upstream.ID)
 	switch {
-	case reply.ID != "" && reply.ID != exchange.asked.ID:
-		result.finding = uncertain
-		result.detail = errForeign.Error()
-		result.own = false
-	case reply.Misdirected && reply.Instance != "" && reply.Instance != place.Upstream.ID:
-		result.finding = notRun
-		result.detail = "another upstream has the address"
-		exchange.relay.OnUpstreamReplaced(place.Upstream.ID)
+	case reply.ID != "" && reply.ID != exchange.headers.ID:
+		result.outcome = outcomeUnknown
+		result.detail = errWrongRequest.Error()
+		result.fromTarget = false
+	case reply.Misdirected && reply.Instance != "" && reply.Instance != slot.Upstream.ID:
+		result.outcome = notRun
+		result.detail = "another upstream answered at the address"
+		exchange.relay.OnUpstreamReplaced(slot.Upstream.ID)
 	case reply.NotRun:
-		result.finding = notRun
-		result.detail = "the upstream did not run it: " + http.StatusText(answer.Status)
+		result.outcome = notRun
+		result.detail = "the upstream did not run the request: " + http.StatusText(answer.Status)
 	case err != nil:
-		result.finding = uncertain
+		result.outcome = outcomeUnknown
 		result.detail = err.Error()
 	case len(body) > maxAnswerBytes:
-		result.finding = uncertain
-		result.detail = "the answer is too large"
+		result.outcome = outcomeUnknown
+		result.detail = "answer too large"
 	default:
-		result.judge(reply)
+		result.classify(reply)
 	}
-	if result.finding == uncertain {
+	if result.outcome == outcomeUnknown {
 		answer.Spoil()
 	}
 	return result
 }
 
 // judge decides whether a whole answer may be passed on.
-func (result *result) judge(reply cherrykeel.ReplyHeaders) {
+func (result *result) classify(reply cherrykeel.ReplyHeaders) {
 	encoded := result.header.Get("Content-Encoding") != ""
 	success := result.status < http.StatusBadRequest
 	switch {
 	case success && (!reply.Signed || reply.ID == "" || encoded):
-		result.finding = uncertain
-		result.detail = "a success without the upstream's signature"
-	case promises(result.status):
+		result.outcome = outcomeUnknown
+		result.detail = "success without the upstream's signature"
+	case impliesNotRun(result.status):
 		// The status says that nothing ran, but the upstream did not say so: passed on, the caller
 		// would send again what may have run.
-		result.finding = uncertain
-		result.detail = "a refusal that does not say that nothing ran"
+		result.outcome = outcomeUnknown
+		result.detail = "refusal that does not state that the request did not run"
 	default:
-		result.finding = answered
+		result.outcome = answered
 	}
 }
 
 // promises reports whether callers take the status for a promise that the request never runs.
-func promises(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -189,23 +189,23 @@
 	}
 }
 
-func broken(progress conns.Progress, err error) result {
+func failedSend(progress conns.Progress, err error) result {
 	if progress == conns.NotSent {
-		return result{finding: notSent, detail: err.Error(), refused: errors.Is(err, conns.ErrRefused)}
+		return result{outcome: notSent, detail: err.Error(), connectionRefused: errors.Is(err, conns.ErrRefused)}
 	}
-	return result{finding: uncertain, detail: err.Error(), reset: errors.Is(err, conns.ErrReset)}
+	return result{outcome: outcomeUnknown, detail: err.Error(), reset: errors.Is(err, conns.ErrReset)}
 }
 
 // ending tells the scheduler how the place was left.
-func (result *result) ending(gone bool) flow.Result {
+func (result *result) slotResult(callerGone bool) flow.Result {
 	switch {
-	case result.finding == answered:
+	case result.outcome == answered:
 		return flow.Answered
-	case gone:
+	case callerGone:
 		return flow.Abandoned
-	case result.finding == notSent:
+	case result.outcome == notSent:
 		return flow.Unreachable
-	case result.finding == notRun:
+	case result.outcome == notRun:
 		return flow.Refused
 	default:
 		return flow.Failed
--- a/relay/dispatcher.go
+++ b/relay/dispatcher.go
@@ -19,15 +19,15 @@
 	// upstreams are those that the service was last given.
 	upstreams []cherrykeel.Upstream
 	// queued is called when a request begins to wait.
-	queued func()
+	onQueued func()
 }
 
-func newDispatcher(name string, keyed bool, zone string, owner func(service string, key int) flow.Owner, bounds func() cherrykeel.Bounds, queued func()) *dispatcher {
-	var find func(key int) flow.Owner
+func newDispatcher(name string, keyed bool, zone string, owner func(service string, key int) flow.Owner, bounds func() cherrykeel.Bounds, onQueued func()) *dispatcher {
+	var ownerOf func(key int) flow.Owner
 	if keyed {
-		find = func(key int) flow.Owner { return owner(name, key) }
+		ownerOf = func(key int) flow.Owner { return owner(name, key) }
 	}
-	return &dispatcher{name: name, keyed: keyed, service: flow.New(zone, find, rand.Float64), budget: newBudget(bounds), queued: queued}
+	return &dispatcher{name: name, keyed: keyed, service: flow.New(zone, ownerOf, rand.Float64), budget: newBudget(bounds), onQueued: onQueued}
 }
 
 // setUpstreams gives the service its upstreams; mostly another service's have changed.
@@ -43,53 +43,53 @@
 }
 
 // offer asks for a place; the verdict comes on the channel.
-func (dispatcher *dispatcher) offer(ticket *flow.Ticket, now cherrykeel.Instant) <-chan flow.Decision {
-	verdicts := make(chan flow.Decision, 1)
-	ticket.Notify = func(verdict flow.Decision) { verdicts <- verdict }
-	if dispatcher.offered(ticket, now, verdicts) {
-		dispatcher.queued()
+func (dispatcher *dispatcher) submit(ticket *flow.Ticket, now cherrykeel.Instant) <-chan flow.Decision {
+	decisions := make(chan flow.Decision, 1)
+	ticket.Notify = func(decision flow.Decision) { decisions <- decision }
+	if dispatcher.isWaitingAfterSubmit(ticket, now, decisions) {
+		dispatcher.onQueued()
 	}
-	return verdicts
+	return decisions
 }
 
 // offered reports whether the ticket waits.
-func (dispatcher *dispatcher) offered(ticket *flow.Ticket, now cherrykeel.Instant, verdicts <-chan flow.Decision) bool {
+func (dispatcher *dispatcher) isWaitingAfterSubmit(ticket *flow.Ticket, now cherrykeel.Instant, decisions <-chan flow.Decision) bool {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	dispatcher.service.Submit(ticket, now)
-	return len(verdicts) == 0
+	return len(decisions) == 0
 }
 
 // cancel takes a ticket back; a place that was given meanwhile is left again.
-func (dispatcher *dispatcher) cancel(ticket *flow.Ticket, verdicts <-chan flow.Decision, now cherrykeel.Instant) {
+func (dispatcher *dispatcher) cancel(ticket *flow.Ticket, decisions <-chan flow.Decision, now cherrykeel.Instant) {
 	dispatcher.mutex.Lock()
-	taken := dispatcher.service.Cancel(ticket)
+	cancelled := dispatcher.service.Cancel(ticket)
 	dispatcher.mutex.Unlock()
-	if taken {
+	if cancelled {
 		return
 	}
-	verdict := <-verdicts
-	if verdict.Slot != nil {
-		dispatcher.leave(verdict.Slot, flow.Abandoned, cherrykeel.UpstreamLoad{}, now)
+	decision := <-decisions
+	if decision.Slot != nil {
+		dispatcher.release(decision.Slot, flow.Abandoned, cherrykeel.UpstreamLoad{}, now)
 	}
 }
 
-func (dispatcher *dispatcher) leave(place *flow.Slot, ending flow.Result, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
+func (dispatcher *dispatcher) release(slot *flow.Slot, result flow.Result, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	dispatcher.service.Release(place, ending, load, now)
+	dispatcher.service.Release(slot, result, load, now)
 }
 
-func (dispatcher *dispatcher) arrived(now cherrykeel.Instant) {
+func (dispatcher *dispatcher) recordRequest(now cherrykeel.Instant) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	dispatcher.budget.request(now)
+	dispatcher.budget.recordRequest(now)
 }
 
-func (dispatcher *dispatcher) spend(hosts int, now cherrykeel.Instant) bool {
+func (dispatcher *dispatcher) trySpendRetry(hosts int, now cherrykeel.Instant) bool {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	return dispatcher.budget.spend(hosts, now)
+	return dispatcher.budget.trySpend(hosts, now)
 }
 
 // dispatch reports whether requests wait still.
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -15,9 +15,9 @@
 	// callerMargin is kept of a caller's patience for the ways to it and back.
 	callerMargin = 8 * time.Millisecond
 	// unknownPatience is assumed of callers of routes without a timeout that do not say how long they wait.
-	unknownPatience = 2 * time.Second
+	defaultTimeout = 2 * time.Second
 	// elsewhere sends a caller to another host at once.
-	elsewhere = 10 * time.Millisecond
+	otherHostRetryAfter = 10 * time.Millisecond
 	// settingsRetryAfter is when a host that has just started knows the routes at the latest, as measured.
 	settingsRetryAfter = 200 * time.Millisecond
 )
@@ -28,8 +28,8 @@
 	request    *http.Request
 	writer     http.ResponseWriter
 	body       []byte
-	asked      cherrykeel.RequestHeaders
-	route      *dealt
+	headers    cherrykeel.RequestHeaders
+	route      *weightedRoute
 	version    int64
 	dispatcher *dispatcher
 	arrived    cherrykeel.Instant
@@ -40,33 +40,33 @@
 	tried       []string
 	// mayHaveRun says that no refusal may be told any more.
 	mayHaveRun bool
-	last       string
+	lastDetail string
 	// kept is an upstream's failure that the request was sent once more after, or nil.
-	kept *keptAnswer
+	fallback *fallbackAnswer
 	// inputs are what the last verdict of the scheduler rested on.
 	inputs flow.Inputs
 	// listed is the request as the list of those sees it that end upstreams.
-	listed *deny.Request
+	denyRequest *deny.Request
 }
 
 // ServeHTTP implements http.Handler.
 func (relay *Relay) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	exchange := &exchange{relay: relay, request: request, writer: writer, arrived: relay.clock.Now(), asked: relay.dialect.ReadRequest(request)}
-	defer exchange.noteFault()
+	exchange := &exchange{relay: relay, request: request, writer: writer, arrived: relay.clock.Now(), headers: relay.dialect.ReadRequest(request)}
+	defer exchange.logPanic()
 	failure := exchange.prepare()
 	if failure == nil {
 		failure = exchange.run()
 	}
 	if failure != nil {
-		exchange.fail(failure)
+		exchange.writeFailure(failure)
 	}
 }
 
 // prepare finds the route, the service and the time there is.
 func (exchange *exchange) prepare() *cherrykeel.Failure {
-	route, version, known := exchange.relay.match(exchange.request)
+	route, version, known := exchange.relay.matchRoute(exchange.request)
 	if !known {
-		failure := cherrykeel.Refuse(http.StatusServiceUnavailable, "no-settings", "this host knows no routes yet")
+		failure := cherrykeel.Refuse(http.StatusServiceUnavailable, "no-settings", "this host has not read the routes yet")
 		failure.RetryAfter = settingsRetryAfter
 		return failure
 	}
@@ -75,40 +75,40 @@
 		return cherrykeel.Refuse(http.StatusNotFound, "no-route", "no route matches")
 	}
 	exchange.route = route
-	patience := exchange.asked.Timeout
-	if patience == 0 {
-		patience = max(route.Timeout, unknownPatience)
+	timeout := exchange.headers.Timeout
+	if timeout == 0 {
+		timeout = max(route.Timeout, defaultTimeout)
 	}
-	patience -= callerMargin
+	timeout -= callerMargin
 	if route.Timeout > 0 {
-		patience = min(patience, route.Timeout)
+		timeout = min(timeout, route.Timeout)
 	}
-	exchange.deadline = exchange.arrived.Add(patience)
-	service := route.deal()
+	exchange.deadline = exchange.arrived.Add(timeout)
+	service := route.nextService()
 	exchange.dispatcher = exchange.relay.dispatcher(service)
 	if exchange.dispatcher == nil {
-		return exchange.refuse("no-service", "the route's service is not known")
+		return exchange.refuse("no-service", "the route's service is unknown")
 	}
-	body, err := wholeBody(exchange.request)
+	body, err := readBody(exchange.request)
 	if err != nil {
 		return cherrykeel.Refuse(http.StatusBadRequest, "body-broke", "%s", err)
 	}
 	exchange.body = body
-	exchange.listed = exchange.relay.DenyList.Request(exchange.parts())
+	exchange.denyRequest = exchange.relay.DenyList.Request(exchange.fingerprintParts())
 	if exchange.outlastsHost() {
-		failure := exchange.refuse("stopping", "this host ends before the request would")
-		failure.RetryAfter = elsewhere
+		failure := exchange.refuse("stopping", "this host exits before the request's deadline")
+		failure.RetryAfter = otherHostRetryAfter
 		return failure
 	}
-	exchange.dispatcher.arrived(exchange.arrived)
-	if exchange.dispatcher.keyed && exchange.asked.Key != cherrykeel.NoKey {
-		exchange.relay.OnKeyRequest(service, exchange.asked.Key)
+	exchange.dispatcher.recordRequest(exchange.arrived)
+	if exchange.dispatcher.keyed && exchange.headers.Key != cherrykeel.NoKey {
+		exchange.relay.OnKeyRequest(service, exchange.headers.Key)
 	}
 	return nil
 }
 
 // wholeBody returns the body, without a copy if it has been read already.
-func wholeBody(request *http.Request) ([]byte, error) {
+func readBody(request *http.Request) ([]byte, error) {
 	whole, read := request.Body.(interface{ Bytes() []byte })
 	if read {
 		return whole.Bytes(), nil
@@ -120,7 +120,7 @@
 // search in a hundred takes five times the usual, so that only the whole of its time is enough not to cut it
 // off; its caller is served by another host at once.
 func (exchange *exchange) outlastsHost() bool {
-	end := exchange.relay.endsAt.Load()
+	end := exchange.relay.processEnd.Load()
 	return end != 0 && exchange.deadline > cherrykeel.Instant(end)
 }
 
@@ -128,96 +128,96 @@
 func (exchange *exchange) run() *cherrykeel.Failure {
 	ctx := exchange.request.Context()
 	for {
-		verdict, failure := exchange.admit(ctx)
+		decision, failure := exchange.acquireSlot(ctx)
 		if failure != nil {
-			return exchange.instead(failure)
+			return exchange.preferFallback(failure)
 		}
-		place := verdict.Slot
+		slot := decision.Slot
 		exchange.attempts++
-		exchange.tried = append(exchange.tried, place.Upstream.ID)
-		result := exchange.attemptThere(ctx, place)
-		gone := ctx.Err() != nil
+		exchange.tried = append(exchange.tried, slot.Upstream.ID)
+		result := exchange.attemptInSlot(ctx, slot)
+		callerGone := ctx.Err() != nil
 		now := exchange.relay.clock.Now()
-		exchange.tellOfUpstream(place, result, now)
-		if result.finding == answered && !exchange.lostWithKey(result, now) {
-			exchange.pass(place, result)
+		exchange.recordEvidence(slot, result, now)
+		if result.outcome == answered && !exchange.canRetryAtNewOwner(result, now) {
+			exchange.writeAnswer(slot, result)
 			return nil
 		}
-		exchange.last = result.detail
-		exchange.mayHaveRun = exchange.mayHaveRun || result.finding == uncertain || result.finding == answered
-		exchange.noteAttempt(place, result)
-		if result.finding == answered {
-			exchange.kept = &keptAnswer{place: place, result: result}
+		exchange.lastDetail = result.detail
+		exchange.mayHaveRun = exchange.mayHaveRun || result.outcome == outcomeUnknown || result.outcome == answered
+		exchange.logAttempt(slot, result)
+		if result.outcome == answered {
+			exchange.fallback = &fallbackAnswer{slot: slot, result: result}
 		}
-		if gone {
-			return exchange.callerGone()
+		if callerGone {
+			return exchange.failCallerGone()
 		}
-		if result.finding != answered && !exchange.again(ctx, result, now) {
-			return exchange.instead(exchange.giveUp(now))
+		if result.outcome != answered && !exchange.canRetry(ctx, result, now) {
+			return exchange.preferFallback(exchange.refuseNotRun(now))
 		}
 	}
 }
 
 // attemptThere makes an attempt and leaves its place, also if it panics: the place would count as taken for ever.
-func (exchange *exchange) attemptThere(ctx context.Context, place *flow.Slot) result {
-	result := result{finding: uncertain}
+func (exchange *exchange) attemptInSlot(ctx context.Context, slot *flow.Slot) result {
+	result := result{outcome: outcomeUnknown}
 	defer func() {
-		exchange.dispatcher.leave(place, result.ending(ctx.Err() != nil), result.load, exchange.relay.clock.Now())
+		exchange.dispatcher.release(slot, result.slotResult(ctx.Err() != nil), result.load, exchange.relay.clock.Now())
 	}()
-	result = exchange.attempt(ctx, place)
+	result = exchange.attempt(ctx, slot)
 	return result
 }
 
 // admit waits for a place on an upstream, unless the request is one that ends upstreams.
-func (exchange *exchange) admit(ctx context.Context) (flow.Decision, *cherrykeel.Failure) {
+func (exchange *exchange) acquireSlot(ctx context.Context) (flow.Decision, *cherrykeel.Failure) {
 	denials := exchange.relay.DenyList.Changed()
-	if failure := exchange.denied(); failure != nil {
+	if failure := exchange.refuseDenied(); failure != nil {
 		return flow.Decision{}, failure
 	}
 	now := exchange.relay.clock.Now()
 	ticket := &flow.Ticket{
 		Priority: exchange.route.Priority,
-		Key:      exchange.asked.Key,
+		Key:      exchange.headers.Key,
 		Arrived:  exchange.arrived,
 		Target:   min(exchange.arrived.Add(exchange.route.TargetLatency), exchange.deadline),
 		Deadline: exchange.deadline,
 		Tried:    exchange.tried,
 	}
-	verdicts := exchange.dispatcher.offer(ticket, now)
+	decisions := exchange.dispatcher.submit(ticket, now)
 	timer := time.NewTimer(max(0, exchange.deadline.Sub(now)))
 	defer timer.Stop()
 	for {
 		select {
-		case verdict := <-verdicts:
-			return exchange.admitted(verdict)
+		case decision := <-decisions:
+			return exchange.checkDecision(decision)
 		case <-denials:
 			denials = exchange.relay.DenyList.Changed()
-			failure := exchange.denied()
+			failure := exchange.refuseDenied()
 			if failure == nil {
 				continue
 			}
-			exchange.dispatcher.cancel(ticket, verdicts, exchange.relay.clock.Now())
+			exchange.dispatcher.cancel(ticket, decisions, exchange.relay.clock.Now())
 			return flow.Decision{}, failure
 		case <-ctx.Done():
-			exchange.dispatcher.cancel(ticket, verdicts, exchange.relay.clock.Now())
-			return flow.Decision{}, exchange.callerGone()
+			exchange.dispatcher.cancel(ticket, decisions, exchange.relay.clock.Now())
+			return flow.Decision{}, exchange.failCallerGone()
 		case <-timer.C:
-			exchange.dispatcher.cancel(ticket, verdicts, exchange.relay.clock.Now())
-			return flow.Decision{}, exchange.refuse("timeout", "no upstream became free in time")
+			exchange.dispatcher.cancel(ticket, decisions, exchange.relay.clock.Now())
+			return flow.Decision{}, exchange.refuse("timeout", "no upstream had a free slot in time")
 		}
 	}
 }
 
 // admitted takes the scheduler's verdict. It may have come together with what shows that the request is not to be
 // sent.
-func (exchange *exchange) admitted(verdict flow.Decision) (flow.Decision, *cherrykeel.Failure) {
-	exchange.inputs = verdict.Inputs
-	if verdict.Slot == nil {
-		return verdict, exchange.refuse(string(verdict.Reason), "no upstream can answer in time")
+func (exchange *exchange) checkDecision(decision flow.Decision) (flow.Decision, *cherrykeel.Failure) {
+	exchange.inputs = decision.Inputs
+	if decision.Slot == nil {
+		return decision, exchange.refuse(string(decision.Reason), "no upstream can answer in time")
 	}
-	failure := exchange.denied()
+	failure := exchange.refuseDenied()
 	if failure != nil {
-		exchange.dispatcher.leave(verdict.Slot, flow.Abandoned, cherrykeel.UpstreamLoad{}, exchange.relay.clock.Now())
+		exchange.dispatcher.release(decision.Slot, flow.Abandoned, cherrykeel.UpstreamLoad{}, exchange.relay.clock.Now())
 	}
-	return verdict, failure
+	return decision, failure
 }
--- a/relay/match.go
+++ b/relay/match.go
@@ -12,21 +12,21 @@
 // matcher finds the route of a request in one version of the routes.
 type matcher struct {
 	version int64
-	domains map[string][]*dealt
+	domains map[string][]*weightedRoute
 }
 
 // dealt is a route with the state by which its requests are dealt to its parts.
-type dealt struct {
+type weightedRoute struct {
 	cherrykeel.Route
 	mutex  sync.Mutex
 	credit []float64
 }
 
 func newMatcher(routes cherrykeel.RouteSet) *matcher {
-	matcher := &matcher{version: routes.Version, domains: map[string][]*dealt{}}
+	matcher := &matcher{version: routes.Version, domains: map[string][]*weightedRoute{}}
 	for _, route := range routes.Routes {
 		domain := strings.ToLower(route.Domain)
-		matcher.domains[domain] = append(matcher.domains[domain], &dealt{Route: route, credit: make([]float64, len(route.SplitTargets))})
+		matcher.domains[domain] = append(matcher.domains[domain], &weightedRoute{Route: route, credit: make([]float64, len(route.SplitTargets))})
 	}
 	for _, list := range matcher.domains {
 		sort.SliceStable(list, func(i, j int) bool { return len(list[i].PathPrefix) > len(list[j].PathPrefix) })
@@ -35,7 +35,7 @@
 }
 
 // find returns the route with the longest prefix of the path, or nil.
-func (matcher *matcher) find(domain, path string) *dealt {
+func (matcher *matcher) findRoute(domain, path string) *weightedRoute {
 	host, _, err := net.SplitHostPort(domain)
 	if err == nil {
 		domain = host
@@ -50,21 +50,21 @@
 
 // deal returns the next part's service. Each part gains its weight in credit with each request, and the
 // richest is chosen and pays: over any run of requests the shares differ from the weights by one request.
-func (dealt *dealt) deal() string {
-	if len(dealt.SplitTargets) == 1 {
-		return dealt.SplitTargets[0].Service
+func (weightedRoute *weightedRoute) nextService() string {
+	if len(weightedRoute.SplitTargets) == 1 {
+		return weightedRoute.SplitTargets[0].Service
 	}
-	dealt.mutex.Lock()
-	defer dealt.mutex.Unlock()
+	weightedRoute.mutex.Lock()
+	defer weightedRoute.mutex.Unlock()
 	best := 0
 	total := 0.0
-	for i, part := range dealt.SplitTargets {
-		dealt.credit[i] += part.Weight
-		total += part.Weight
-		if dealt.credit[i] > dealt.credit[best] {
+	for i, target := range weightedRoute.SplitTargets {
+		weightedRoute.credit[i] += target.Weight
+		total += target.Weight
+		if weightedRoute.credit[i] > weightedRoute.credit[best] {
 			best = i
 		}
 	}
-	dealt.credit[best] -= total
-	return dealt.SplitTargets[best].Service
+	weightedRoute.credit[best] -= total
+	return weightedRoute.SplitTargets[best].Service
 }
--- a/relay/meter.go
+++ b/relay/meter.go
@@ -22,7 +22,7 @@
 	return &meter{scope: scope, scopes: map[[2]string]tally.Scope{}}
 }
 
-func (meter *meter) tagged(service, result string) tally.Scope {
+func (meter *meter) taggedScope(service, result string) tally.Scope {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	key := [2]string{service, result}
@@ -34,15 +34,15 @@
 	return scope
 }
 
-func (meter *meter) served(service string, status int, took time.Duration) {
-	meter.note(meter.tagged(service, strconv.Itoa(status)), took)
+func (meter *meter) recordServed(service string, status int, duration time.Duration) {
+	meter.record(meter.taggedScope(service, strconv.Itoa(status)), duration)
 }
 
-func (meter *meter) failed(service, code string, took time.Duration) {
-	meter.note(meter.tagged(service, code), took)
+func (meter *meter) recordFailed(service, code string, duration time.Duration) {
+	meter.record(meter.taggedScope(service, code), duration)
 }
 
-func (meter *meter) note(scope tally.Scope, took time.Duration) {
+func (meter *meter) record(scope tally.Scope, duration time.Duration) {
 	scope.Counter("requests").Inc(1)
-	scope.Histogram("latency", latencyBuckets).RecordDuration(took)
+	scope.Histogram("latency", latencyBuckets).RecordDuration(duration)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -18,7 +18,7 @@
 )
 
 // loadLineEvery is the pace of log lines on loads that cannot be read: all upstreams of a version tell them alike.
-const loadLineEvery = time.Minute
+const loadLogInterval = time.Minute
 
 // Settings is what a Relay needs of its host.
 type Settings struct {
@@ -56,16 +56,16 @@
 	dispatchers map[string]*dispatcher
 	upstreams   []cherrykeel.Upstream
 	// endsAt is when the host's process ends, or 0.
-	endsAt atomic.Int64
-	queued chan struct{}
+	processEnd atomic.Int64
+	queued     chan struct{}
 	// loadLines bounds the log lines on loads that cannot be read.
-	loadLines *rate.Sometimes
+	loadLogLimit *rate.Sometimes
 }
 
 // SetProcessEnd tells when the host's process will have ended: from now on requests are refused that may
 // outlast it and be cut off.
 func (relay *Relay) SetProcessEnd(end cherrykeel.Instant) {
-	relay.endsAt.Store(int64(end))
+	relay.processEnd.Store(int64(end))
 }
 
 // New returns a relay that knows no routes and refuses all requests.
@@ -82,7 +82,7 @@
 		dispatchers: map[string]*dispatcher{},
 		queued:      make(chan struct{}, 1),
 
-		loadLines: &rate.Sometimes{First: 1, Interval: loadLineEvery},
+		loadLogLimit: &rate.Sometimes{First: 1, Interval: loadLogInterval},
 	}
 }
 
@@ -92,7 +92,7 @@
 	return relay.queued
 }
 
-func (relay *Relay) noteQueued() {
+func (relay *Relay) signalQueued() {
 	select {
 	case relay.queued <- struct{}{}:
 	default:
@@ -109,16 +109,16 @@
 		if known && old.keyed == service.Keyed {
 			continue
 		}
-		relay.dispatchers[name] = newDispatcher(name, service.Keyed, relay.Zone, relay.Owner, relay.Bounds, relay.noteQueued)
+		relay.dispatchers[name] = newDispatcher(name, service.Keyed, relay.Zone, relay.Owner, relay.Bounds, relay.signalQueued)
 	}
 	relay.matcher = matcher
-	relay.share()
+	relay.assignUpstreams()
 }
 
 // SetUpstreams replaces the upstreams that may get requests.
 func (relay *Relay) SetUpstreams(upstreams []cherrykeel.Upstream) {
-	for _, life := range relay.replaceUpstreams(upstreams) {
-		relay.DenyList.Ended(life)
+	for _, incarnation := range relay.replaceUpstreams(upstreams) {
+		relay.DenyList.Ended(incarnation)
 	}
 }
 
@@ -126,43 +126,43 @@
 func (relay *Relay) replaceUpstreams(upstreams []cherrykeel.Upstream) []poison.Life {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	over := relay.forgetEnded(upstreams)
+	ended := relay.closeEnded(upstreams)
 	relay.upstreams = upstreams
-	relay.share()
-	return over
+	relay.assignUpstreams()
+	return ended
 }
 
 // forgetEnded closes the connections to upstreams that have started again, and returns the lives that are over;
 // Relay.mutex is held.
-func (relay *Relay) forgetEnded(next []cherrykeel.Upstream) []poison.Life {
-	born := map[string]int64{}
+func (relay *Relay) closeEnded(next []cherrykeel.Upstream) []poison.Life {
+	startedAt := map[string]int64{}
 	for _, upstream := range next {
-		born[upstream.ID] = upstream.StartedAt
+		startedAt[upstream.ID] = upstream.StartedAt
 	}
-	var over []poison.Life
+	var ended []poison.Life
 	for _, upstream := range relay.upstreams {
-		nextBorn, listed := born[upstream.ID]
-		if !listed || nextBorn > upstream.StartedAt {
-			over = append(over, poison.LifeOf(upstream))
+		nextStart, listed := startedAt[upstream.ID]
+		if !listed || nextStart > upstream.StartedAt {
+			ended = append(ended, poison.LifeOf(upstream))
 		}
-		if nextBorn > upstream.StartedAt {
+		if nextStart > upstream.StartedAt {
 			relay.pool.Forget(upstream.Address)
 		}
 	}
-	return over
+	return ended
 }
 
 // share gives each dispatcher its upstreams; Relay.mutex is held.
-func (relay *Relay) share() {
+func (relay *Relay) assignUpstreams() {
 	now := relay.clock.Now()
 	for name, dispatcher := range relay.dispatchers {
-		var fit []cherrykeel.Upstream
+		var assigned []cherrykeel.Upstream
 		for _, upstream := range relay.upstreams {
 			if upstream.Service == name && !upstream.Leaving {
-				fit = append(fit, upstream)
+				assigned = append(assigned, upstream)
 			}
 		}
-		dispatcher.setUpstreams(fit, now)
+		dispatcher.setUpstreams(assigned, now)
 	}
 }
 
@@ -183,7 +183,7 @@
 // SetOtherCounts takes the sums over the other hosts.
 func (relay *Relay) SetOtherCounts(others RequestCounts) {
 	now := relay.clock.Now()
-	for _, dispatcher := range relay.all() {
+	for _, dispatcher := range relay.allDispatchers() {
 		dispatcher.mutex.Lock()
 		dispatcher.service.SetRemoteCounts(others.Running, others.Waiting, others.Queued[dispatcher.name], now)
 		dispatcher.mutex.Unlock()
@@ -193,7 +193,7 @@
 // OwnCounts returns this host's requests at upstreams and waiting.
 func (relay *Relay) OwnCounts() RequestCounts {
 	own := NewRequestCounts()
-	for _, dispatcher := range relay.all() {
+	for _, dispatcher := range relay.allDispatchers() {
 		dispatcher.mutex.Lock()
 		for id, count := range dispatcher.service.Running() {
 			own.Running[id] = count
@@ -214,7 +214,7 @@
 // Services returns the names of the services that routes lead to.
 func (relay *Relay) Services() []string {
 	var names []string
-	for _, dispatcher := range relay.all() {
+	for _, dispatcher := range relay.allDispatchers() {
 		names = append(names, dispatcher.name)
 	}
 	return names
@@ -224,7 +224,7 @@
 func (relay *Relay) Dispatch() bool {
 	now := relay.clock.Now()
 	queued := false
-	for _, dispatcher := range relay.all() {
+	for _, dispatcher := range relay.allDispatchers() {
 		queued = dispatcher.dispatch(now) || queued
 	}
 	return queued
@@ -241,14 +241,14 @@
 	return dispatcher.service.ProcessingTimes()
 }
 
-func (relay *Relay) all() []*dispatcher {
+func (relay *Relay) allDispatchers() []*dispatcher {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	all := make([]*dispatcher, 0, len(relay.dispatchers))
+	dispatchers := make([]*dispatcher, 0, len(relay.dispatchers))
 	for _, dispatcher := range relay.dispatchers {
-		all = append(all, dispatcher)
+		dispatchers = append(dispatchers, dispatcher)
 	}
-	return all
+	return dispatchers
 }
 
 func (relay *Relay) dispatcher(service string) *dispatcher {
@@ -257,12 +257,12 @@
 	return relay.dispatchers[service]
 }
 
-func (relay *Relay) match(request *http.Request) (*dealt, int64, bool) {
+func (relay *Relay) matchRoute(request *http.Request) (*weightedRoute, int64, bool) {
 	relay.mutex.Lock()
 	matcher := relay.matcher
 	relay.mutex.Unlock()
 	if matcher == nil {
 		return nil, 0, false
 	}
-	return matcher.find(request.Host, request.URL.Path), matcher.version, true
+	return matcher.findRoute(request.Host, request.URL.Path), matcher.version, true
 }
