--- a/relay/again.go
+++ b/relay/again.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// maxMisdirected bounds the sends of one request that ended at an upstream without the key.
+	// maxMisdirected bounds the sends of one request to upstreams that no longer own its key.
 	maxMisdirected = 3
-	// misdirectedPause is about what a move's last step takes: the record, then the grant. Each further pause is
-	// misdirectedGrowth times as long: a new owner that has not got its grant in 15 ms seldom has it 2 ms later, and
-	// three sends within 34 ms used up what the retry budget allows.
+	// misdirectedPause is about the time between the record and the grant of a key's transfer. Each further pause is
+	// misdirectedGrowth times as long: a new owner that has no grant after 15 ms seldom has it 2 ms later, and three
+	// sends within 34 ms used up the retry budget.
 	misdirectedPause  = 15 * time.Millisecond
 	misdirectedGrowth = 4
-	// budgetPace is how often a request that has not run, and that the budget cannot pay for yet, asks again.
+	// budgetRetryInterval is how often a request that has not run checks whether the budget allows one more send.
 	budgetRetryInterval = 50 * time.Millisecond
-	// pauseShare is the part of the time that is left which a request waits at most before it is sent once more.
+	// maxPauseShare bounds a wait before another send, as a share of the time until the request's deadline.
 	maxPauseShare = 0.25
-	// leastOwnerPause is waited at least before the only upstream that may serve a request is asked once more.
+	// minOwnerPause is the shortest pause before a request is sent again to the only upstream that may serve it.
 	minOwnerPause = 50 * time.Millisecond
 )
 
-// again decides whether the request may be sent once more; if so the budget has paid.
+// canRetry decides whether the request may be sent again, and waits before that if it must. True means that the retry
+// budget has been charged if the send needs it.
 func (exchange *exchange) canRetry(ctx context.Context, result result, now cherrykeel.Instant) bool {
 	if now >= exchange.deadline {
 		return false
@@ -41,7 +42,7 @@
 		return exchange.canRetryMisdirected(ctx)
 	}
 	if result.outcome == notSent {
-		// Nothing arrived anywhere, so neither the budget nor the count of upstreams is touched.
+		// Nothing reached an upstream, so the send counts neither against the budget nor as an attempt.
 		exchange.attempts--
 		return true
 	}
@@ -51,9 +52,10 @@
 	return !exchange.needsOwner() || sleep(ctx, exchange.ownerPause(now))
 }
 
-// lostWithKey reports whether an upstream has failed a request since its key was moved meanwhile: work that outlasts
-// the hold of its key is ended. What may run twice runs at the new owner then, if attempts and budget allow it; else
-// the caller gets the upstream's own answer.
+// canRetryAtNewOwner reports whether an upstream failed the request since the request's key was transferred meanwhile:
+// work that outlasts the upstream's lease of the key is ended with status 500. If the request is repeatable, and
+// attempts and budget allow it, it runs again at the new owner; else the caller gets the upstream's own answer. True
+// means that the retry budget has been charged.
 func (exchange *exchange) canRetryAtNewOwner(result result, now cherrykeel.Instant) bool {
 	if result.status != http.StatusInternalServerError || !exchange.route.Repeatable || !exchange.needsOwner() {
 		return false
@@ -63,13 +65,14 @@
 	return transferred && exchange.attempts < exchange.route.MaxAttempts && now < exchange.deadline && exchange.dispatcher.trySpendRetry(exchange.relay.HostCount(), now)
 }
 
-// keptAnswer is an answer that the caller gets if nothing better comes.
+// fallbackAnswer is an upstream's failure that the caller gets if no better answer comes.
 type fallbackAnswer struct {
 	slot   *flow.Slot
 	result result
 }
 
-// instead passes on the upstream's answer that is kept, if there is one, in place of a failure of the router's own.
+// preferFallback writes the fallback answer, if there is one, in place of a failure of the router's own, which it
+// returns otherwise.
 func (exchange *exchange) preferFallback(failure *cherrykeel.Failure) *cherrykeel.Failure {
 	if exchange.fallback == nil || failure.Status == statusCallerGone {
 		return failure
@@ -78,21 +81,21 @@
 	return nil
 }
 
-// hasOwner reports whether one upstream alone may serve the request.
+// needsOwner reports whether only the owner of the request's key may serve it.
 func (exchange *exchange) needsOwner() bool {
 	return exchange.dispatcher.keyed && exchange.headers.Key != cherrykeel.NoKey
 }
 
-// ownerPause is about the time in which an owner that has rejected a request gets a place free: sent again a
-// millisecond later, the request met the same full queue, and had no third try.
+// ownerPause returns about the time after which an owner that has rejected a request has a free slot. Sent again a
+// millisecond later, a request met the same full queue and had no third attempt.
 func (exchange *exchange) ownerPause(now cherrykeel.Instant) time.Duration {
 	maxPause := time.Duration(maxPauseShare * float64(exchange.deadline.Sub(now)))
 	pause := time.Duration((0.5 + 0.5*rand.Float64()) * float64(exchange.inputs.ProcessingTime))
 	return min(max(minOwnerPause, pause), maxPause)
 }
 
-// againElsewhere waits for the key's new owner, and for the budget to pay: the request has surely not run, so there
-// is time while its caller waits.
+// canRetryMisdirected waits for the key's new owner and for the budget. The request has certainly not run, so there is
+// time until its deadline.
 func (exchange *exchange) canRetryMisdirected(ctx context.Context) bool {
 	exchange.attempts--
 	exchange.misdirected++
@@ -108,7 +111,8 @@
 	return sleep(ctx, pause) && exchange.awaitBudget(ctx)
 }
 
-// awaitBudget waits until the budget pays for one more send, for a part of the time that is left.
+// awaitBudget waits until the budget allows one more send, for a share of the time until the deadline; it reports
+// whether it did.
 func (exchange *exchange) awaitBudget(ctx context.Context) bool {
 	now := exchange.relay.clock.Now()
 	until := now.Add(time.Duration(maxPauseShare * float64(exchange.deadline.Sub(now))))
@@ -121,7 +125,7 @@
 	return now < exchange.deadline
 }
 
-// sleep reports false if the context ended first.
+// sleep reports false if the context ended before the pause.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// A refused caller comes back after a part of what it has left: early enough to be served in time,
-	// spread so that the refused of one moment do not come back in one moment, and below the third that
-	// callers honour.
+	// A refused caller is told to retry after a random share of the time until its deadline: early enough to be served
+	// in time, spread so that callers refused at one moment do not all return at one moment, and below the third of
+	// that time up to which callers honour Retry-After.
 	minRetryAfterShare = 0.08
 	maxRetryAfterShare = 0.3
 )
 
-// refuse says that the request has not run and when to come back, unless an attempt may have run.
+// refuse returns the failure of a request that has not run, with the time after which to retry. If an attempt may have
+// run, the outcome is unknown instead.
 func (exchange *exchange) refuse(code, detail string) *cherrykeel.Failure {
 	if exchange.mayHaveRun {
 		return exchange.failUnknown()
@@ -34,6 +35,7 @@
 	return failure
 }
 
+// failUnknown returns the failure of a request that may have run.
 func (exchange *exchange) failUnknown() *cherrykeel.Failure {
 	if exchange.relay.clock.Now() >= exchange.deadline {
 		return cherrykeel.FailUnknown(http.StatusGatewayTimeout, "upstream-timeout", "%s", exchange.lastDetail)
@@ -41,13 +43,15 @@
 	return cherrykeel.FailUnknown(http.StatusBadGateway, "upstream-broke", "%s", exchange.lastDetail)
 }
 
+// refuseNotRun refuses a request after its last attempt; the detail is that attempt's.
 func (exchange *exchange) refuseNotRun(cherrykeel.Instant) *cherrykeel.Failure {
 	return exchange.refuse("not-run", exchange.lastDetail)
 }
 
-// statusCallerGone is for the log; the caller does not read it.
+// statusCallerGone is the status in logs; the caller is no longer there to read the answer.
 const statusCallerGone = 499
 
+// failCallerGone returns the failure of a request whose caller has closed its connection.
 func (exchange *exchange) failCallerGone() *cherrykeel.Failure {
 	failure := cherrykeel.Refuse(statusCallerGone, "caller-gone", "the caller left")
 	if exchange.mayHaveRun {
@@ -56,7 +60,7 @@
 	return failure
 }
 
-// pass writes the upstream's answer.
+// writeAnswer writes the upstream's answer to the caller, records it in the metrics and logs it.
 func (exchange *exchange) writeAnswer(slot *flow.Slot, result result) {
 	header := exchange.writer.Header()
 	dropHopHeaders(result.header)
@@ -74,7 +78,7 @@
 		zap.Int("Attempts", exchange.attempts), zap.Duration("Waited", slot.StartedAt.Sub(exchange.arrived)), zap.Duration("Took", took), zap.Error(err))...)
 }
 
-// fail writes an answer of the router's own.
+// writeFailure writes an answer of the router's own, records it in the metrics and logs it.
 func (exchange *exchange) writeFailure(failure *cherrykeel.Failure) {
 	took := exchange.relay.clock.Now().Sub(exchange.arrived)
 	service := ""
@@ -103,6 +107,7 @@
 	_, _ = io.WriteString(exchange.writer, failure.Code+"\n")
 }
 
+// logFields returns the log fields that are known of the request so far.
 func (exchange *exchange) logFields() []zap.Field {
 	fields := []zap.Field{zap.String("Request", exchange.headers.ID), zap.Int64("Routes", exchange.version)}
 	if exchange.route != nil {
@@ -124,6 +129,7 @@
 	return fields
 }
 
+// logAttempt logs an attempt whose answer, if there is one, is not passed on at once.
 func (exchange *exchange) logAttempt(slot *flow.Slot, result result) {
 	events.Log(exchange.relay.Logger, events.AttemptEnded, append(exchange.logFields(),
 		zap.String("Upstream", slot.Upstream.ID), zap.String("Address", slot.Upstream.Address), zap.Int("Load", slot.Load), zap.Bool("Trial", slot.Probe),
@@ -131,7 +137,8 @@
 		zap.String("Detail", result.detail), zap.Duration("Took", exchange.relay.clock.Now().Sub(slot.StartedAt)))...)
 }
 
-// noteUnreadableLoad logs that an upstream's load cannot be read: it is then as if it told none, which is silent.
+// logMalformedLoad logs an upstream's load report that cannot be parsed. Scheduling goes on without it, so nothing else
+// shows the fault.
 func (exchange *exchange) logMalformedLoad(upstream cherrykeel.Upstream, load cherrykeel.UpstreamLoad) {
 	if load.Malformed == "" {
 		return
@@ -142,7 +149,7 @@
 	})
 }
 
-// noteFault lets a panic be found by the request's id; who serves the connection contains it.
+// logPanic logs a panic with the request's id and panics again; the server of the connection recovers it.
 func (exchange *exchange) logPanic() {
 	failure := recover()
 	if failure == nil {
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -16,7 +16,7 @@
 	"cherrykeel/flow"
 )
 
-// finding is what an attempt showed of whether the request ran.
+// outcome is what an attempt showed of whether the request ran.
 type outcome int
 
 const (
@@ -24,13 +24,13 @@
 	answered outcome = iota
 	// notSent requests never left this host.
 	notSent
-	// notRun requests were refused by the upstream, which did not act.
+	// notRun requests were refused by the upstream, which did not act on them.
 	notRun
-	// uncertain requests may have run.
+	// outcomeUnknown requests may have run.
 	outcomeUnknown
 )
 
-// result is what an attempt brought.
+// result is the result of one attempt.
 type result struct {
 	outcome     outcome
 	misdirected bool
@@ -39,36 +39,42 @@
 	body        []byte
 	load        cherrykeel.UpstreamLoad
 	detail      string
-	// unanswered says that the connection ended under the request, refused that none was to be had since nobody
-	// listens at the address, own that the answer is one of the upstream that was meant.
+	// unanswered means that the connection broke after some of the request was sent and before the whole answer came.
+	// connectionRefused means that nothing listens at the address. fromTarget means that a whole answer came that is
+	// not another upstream's.
 	unanswered        bool
 	connectionRefused bool
 	fromTarget        bool
-	// reset says that the connection was reset, not closed, and abandoned that this host closed it before an answer.
+	// reset means that the connection was reset, not closed, and abandoned that this host closed it before an answer
+	// came.
 	reset     bool
 	abandoned bool
 }
 
 const (
-	// maxAnswerBytes bounds an answer, which is held whole so that one that breaks off is never passed on.
+	// maxAnswerBytes bounds an answer, which is read whole before it is passed on, so that callers never get a
+	// truncated one.
 	maxAnswerBytes = 32 << 20
-	// freshWithin is how recently a connection has to have been in use to carry a request that must not
-	// be lost: an upstream may forget an idle connection, and what is sent there is reset.
+	// maxIdleUnrepeatable is how long ago a connection may have been in use to carry a request that is not repeatable:
+	// an upstream may drop an idle connection without notice, and what is sent on it then is reset. Repeatable requests
+	// may use connections up to maxIdleRepeatable.
 	maxIdleUnrepeatable = 6 * time.Second
 	maxIdleRepeatable   = 8 * time.Second
-	// watchNew is how long a new connection is watched before a request that must not be lost is sent. An
-	// upstream needs 1 ms to take a connection, and resets one too many then.
+	// newConnWatch is how long a new connection is watched before a request that is not repeatable is sent on it. An
+	// upstream needs 1 ms to accept a connection, and resets the connection at that point if it has too many.
 	newConnWatch = 3 * time.Millisecond
 )
 
+// errWrongRequest is the failure of an answer that names another request than the one sent.
 var errWrongRequest = errors.New("answer of another request")
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the headers that belong to one connection and are not passed on.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
+// dropHopHeaders removes the headers that belong to one connection, also those that its Connection header names.
 func dropHopHeaders(header http.Header) {
 	for _, list := range header["Connection"] {
 		for _, name := range strings.Split(list, ",") {
@@ -80,7 +86,7 @@
 	}
 }
 
-// outgoing returns the request as an upstream gets it: method, target and body as they came.
+// upstreamRequest returns the request as it is sent to an upstream: method, target and body are the caller's.
 func (exchange *exchange) upstreamRequest(upstream cherrykeel.Upstream, remaining time.Duration) *http.Request {
 	incoming := exchange.request
 	header := incoming.Header.Clone()
@@ -161,7 +167,7 @@
 	return result
 }
 
-// judge decides whether a whole answer may be passed on.
+// classify decides whether a whole answer may be passed on.
 func (result *result) classify(reply cherrykeel.ReplyHeaders) {
 	encoded := result.header.Get("Content-Encoding") != ""
 	success := result.status < http.StatusBadRequest
@@ -179,7 +185,7 @@
 	}
 }
 
-// promises reports whether callers take the status for a promise that the request never runs.
+// impliesNotRun reports whether callers take the status to mean that the request never runs.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -189,6 +195,7 @@
 	}
 }
 
+// failedSend returns the result of an attempt that got no answer.
 func failedSend(progress conns.Progress, err error) result {
 	if progress == conns.NotSent {
 		return result{outcome: notSent, detail: err.Error(), connectionRefused: errors.Is(err, conns.ErrRefused)}
@@ -196,7 +203,7 @@
 	return result{outcome: outcomeUnknown, detail: err.Error(), reset: errors.Is(err, conns.ErrReset)}
 }
 
-// ending tells the scheduler how the place was left.
+// slotResult returns the result that the scheduler records for the slot.
 func (result *result) slotResult(callerGone bool) flow.Result {
 	switch {
 	case result.outcome == answered:
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -3,14 +3,15 @@
 import "cherrykeel"
 
 const (
-	// budgetBuckets divides the window; what falls out of it is forgotten a bucket at a time.
+	// budgetBuckets divides the window; counts that are older than the window are dropped one bucket at a time.
 	budgetBuckets = 20
-	// budgetCaution keeps a part of the allowance back, since hosts divide it by what each sees.
+	// budgetSafetyFactor is the share of the allowance that is used: each host divides it by the number of hosts that
+	// it sees, and these numbers differ.
 	budgetSafetyFactor = 0.8
 )
 
-// budget counts one service's requests and repeated sends on this host within the platform's window.
-// The allowance is shared by all hosts: each takes its own requests' share and an equal part of the slack.
+// budget counts one service's requests and retries on this host within the platform's window. All hosts share the
+// allowance: each may use the ratio of its own requests and an equal share of the slack.
 type budget struct {
 	bounds   func() cherrykeel.Bounds
 	requests [budgetBuckets]float64
@@ -18,10 +19,12 @@
 	current  int64
 }
 
+// newBudget returns a budget within the bounds, which are read at each use.
 func newBudget(bounds func() cherrykeel.Bounds) *budget {
 	return &budget{bounds: bounds}
 }
 
+// advance drops the buckets that are out of the window and returns the current one.
 func (budget *budget) advance(now cherrykeel.Instant) int {
 	number := int64(now) / int64(max(1, budget.bounds().RetryWindow/budgetBuckets))
 	for budget.current < number {
@@ -33,12 +36,12 @@
 	return int(number % budgetBuckets)
 }
 
-// request counts a caller's request.
+// recordRequest counts a caller's request.
 func (budget *budget) recordRequest(now cherrykeel.Instant) {
 	budget.requests[budget.advance(now)]++
 }
 
-// spend takes one repeated send, if the allowance has room for it.
+// trySpend counts one retry if the allowance permits it, and reports whether it does.
 func (budget *budget) trySpend(hosts int, now cherrykeel.Instant) bool {
 	index := budget.advance(now)
 	requests, retries := 0.0, 0.0
--- a/relay/denied.go
+++ b/relay/denied.go
@@ -10,7 +10,7 @@
 	"cherrykeel/poison"
 )
 
-// parts are what makes this request the same one when it is sent again.
+// fingerprintParts returns the parts of the request that are equal for all its repeats.
 func (exchange *exchange) fingerprintParts() poison.Parts {
 	key := ""
 	if exchange.headers.Key != cherrykeel.NoKey {
@@ -19,8 +19,9 @@
 	return deny.PartsOf(exchange.request, exchange.request.RequestURI, key, exchange.body)
 }
 
-// denied refuses a request under which upstreams have ended. It is not sent, so it surely does not run, and would not
-// for as long as that is remembered.
+// refuseDenied refuses a request that was running at enough upstreams when they crashed. It is not sent, so it
+// certainly does not run; the caller is told to retry when the denial expires. It returns nil if the request is not
+// denied.
 func (exchange *exchange) refuseDenied() *cherrykeel.Failure {
 	remaining, refused := exchange.denyRequest.Refused()
 	if !refused {
@@ -33,7 +34,7 @@
 	return failure
 }
 
-// tellOfUpstream says what an attempt showed of the upstream's process, and of the request.
+// recordEvidence records in the deny list what an attempt showed of the upstream's process and of the request.
 func (exchange *exchange) recordEvidence(slot *flow.Slot, result result, now cherrykeel.Instant) {
 	incarnation := poison.LifeOf(slot.Upstream)
 	switch {
@@ -54,14 +55,15 @@
 	}
 }
 
-// failed reports whether an upstream ran the request and answered with a failure. It may be at work on it still: one
-// that tells that the time is up ends some milliseconds later, and the request would not have been there.
+// isServerError reports whether the upstream ran the request and answered with a server error. It may still be working
+// on the request: an upstream that answers that the time is up may crash some milliseconds later, and without this
+// record the request would not be among those that it was running.
 func (result *result) isServerError() bool {
 	return result.fromTarget && result.outcome == answered && result.status >= http.StatusInternalServerError
 }
 
-// served reports whether an upstream has run the request to a good end. A failure of its own may have come before the
-// part that ends it.
+// isServed reports whether the upstream ran the request without a server error. A server error may come before the code
+// that crashes the upstream was reached.
 func (result *result) isServed() bool {
 	return result.outcome == answered && result.status < http.StatusInternalServerError
 }
--- a/relay/dispatcher.go
+++ b/relay/dispatcher.go
@@ -9,19 +9,20 @@
 	"cherrykeel/flow"
 )
 
-// dispatcher is one service's scheduler with its lock and retry budget.
+// dispatcher is one service's scheduler with its lock and its retry budget.
 type dispatcher struct {
 	name    string
 	keyed   bool
 	mutex   sync.Mutex
 	service *flow.Service
 	budget  *budget
-	// upstreams are those that the service was last given.
+	// upstreams are those that the scheduler was last given.
 	upstreams []cherrykeel.Upstream
-	// queued is called when a request begins to wait.
+	// onQueued is called when a request begins to wait.
 	onQueued func()
 }
 
+// newDispatcher returns the dispatcher of a service; owner is asked only if the service is keyed.
 func newDispatcher(name string, keyed bool, zone string, owner func(service string, key int) flow.Owner, bounds func() cherrykeel.Bounds, onQueued func()) *dispatcher {
 	var ownerOf func(key int) flow.Owner
 	if keyed {
@@ -30,7 +31,8 @@
 	return &dispatcher{name: name, keyed: keyed, service: flow.New(zone, ownerOf, rand.Float64), budget: newBudget(bounds), onQueued: onQueued}
 }
 
-// setUpstreams gives the service its upstreams; mostly another service's have changed.
+// setUpstreams gives the scheduler its upstreams. Most calls come after a change of another service's upstreams and
+// change nothing here.
 func (dispatcher *dispatcher) setUpstreams(upstreams []cherrykeel.Upstream, now cherrykeel.Instant) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -42,7 +44,7 @@
 	dispatcher.service.SetUpstreams(upstreams, now)
 }
 
-// offer asks for a place; the verdict comes on the channel.
+// submit asks for a slot; the decision comes on the channel.
 func (dispatcher *dispatcher) submit(ticket *flow.Ticket, now cherrykeel.Instant) <-chan flow.Decision {
 	decisions := make(chan flow.Decision, 1)
 	ticket.Notify = func(decision flow.Decision) { decisions <- decision }
@@ -52,7 +54,7 @@
 	return decisions
 }
 
-// offered reports whether the ticket waits.
+// isWaitingAfterSubmit passes the ticket to the scheduler and reports whether it waits there.
 func (dispatcher *dispatcher) isWaitingAfterSubmit(ticket *flow.Ticket, now cherrykeel.Instant, decisions <-chan flow.Decision) bool {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -60,7 +62,7 @@
 	return len(decisions) == 0
 }
 
-// cancel takes a ticket back; a place that was given meanwhile is left again.
+// cancel withdraws a ticket; a slot that it got meanwhile is released.
 func (dispatcher *dispatcher) cancel(ticket *flow.Ticket, decisions <-chan flow.Decision, now cherrykeel.Instant) {
 	dispatcher.mutex.Lock()
 	cancelled := dispatcher.service.Cancel(ticket)
@@ -74,25 +76,28 @@
 	}
 }
 
+// release returns a slot to the scheduler, with what its use showed of the upstream.
 func (dispatcher *dispatcher) release(slot *flow.Slot, result flow.Result, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	dispatcher.service.Release(slot, result, load, now)
 }
 
+// recordRequest counts a caller's request in the retry budget.
 func (dispatcher *dispatcher) recordRequest(now cherrykeel.Instant) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	dispatcher.budget.recordRequest(now)
 }
 
+// trySpendRetry charges one retry to the budget, and reports whether the budget allows it.
 func (dispatcher *dispatcher) trySpendRetry(hosts int, now cherrykeel.Instant) bool {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	return dispatcher.budget.trySpend(hosts, now)
 }
 
-// dispatch reports whether requests wait still.
+// dispatch lets the scheduler decide on waiting requests, and reports whether some still wait.
 func (dispatcher *dispatcher) dispatch(now cherrykeel.Instant) bool {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,6 +1,6 @@
-// Package relay takes callers' requests to upstreams and their answers back: it
-// matches routes, deals requests to the parts of a split, asks package flow for
-// a place, makes attempts, and tells callers what is known when none succeeds.
+// Package relay takes callers' requests to upstreams and their answers back: it matches routes, spreads requests over
+// the targets of a split, asks package flow for a slot, makes attempts, and answers callers with what is known when no
+// attempt succeeds.
 //
 // Lock order: Relay.mutex before dispatcher.mutex; budgets are locked inside their dispatcher.
 package relay
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// callerMargin is kept of a caller's patience for the ways to it and back.
+	// callerMargin is subtracted from the caller's timeout for the time on the network in both directions.
 	callerMargin = 8 * time.Millisecond
-	// unknownPatience is assumed of callers of routes without a timeout that do not say how long they wait.
+	// defaultTimeout is assumed for callers that send no timeout, on routes with none or a shorter one.
 	defaultTimeout = 2 * time.Second
-	// elsewhere sends a caller to another host at once.
+	// otherHostRetryAfter makes a caller retry at once, at another host.
 	otherHostRetryAfter = 10 * time.Millisecond
-	// settingsRetryAfter is when a host that has just started knows the routes at the latest, as measured.
+	// settingsRetryAfter is the time within which a host that has just started has read the routes.
 	settingsRetryAfter = 200 * time.Millisecond
 )
 
-// exchange is one request on its way.
+// exchange is one caller's request while this host handles it.
 type exchange struct {
 	relay      *Relay
 	request    *http.Request
@@ -34,18 +34,19 @@
 	dispatcher *dispatcher
 	arrived    cherrykeel.Instant
 	deadline   cherrykeel.Instant
-	// attempts counts sends that may have reached an upstream, misdirected those refused for the key.
+	// attempts counts sends that may have reached an upstream, misdirected those refused since the upstream no longer
+	// owns the key.
 	attempts    int
 	misdirected int
 	tried       []string
-	// mayHaveRun says that no refusal may be told any more.
+	// mayHaveRun is set once an attempt may have run; from then on no answer may state that the request has not run.
 	mayHaveRun bool
 	lastDetail string
-	// kept is an upstream's failure that the request was sent once more after, or nil.
+	// fallback is an upstream's failure after which the request was sent again, or nil.
 	fallback *fallbackAnswer
-	// inputs are what the last verdict of the scheduler rested on.
+	// inputs are the figures behind the scheduler's last decision.
 	inputs flow.Inputs
-	// listed is the request as the list of those sees it that end upstreams.
+	// denyRequest is the request's state in the deny list.
 	denyRequest *deny.Request
 }
 
@@ -62,7 +63,7 @@
 	}
 }
 
-// prepare finds the route, the service and the time there is.
+// prepare finds the route and the service, sets the deadline and reads the body.
 func (exchange *exchange) prepare() *cherrykeel.Failure {
 	route, version, known := exchange.relay.matchRoute(exchange.request)
 	if !known {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// wholeBody returns the body, without a copy if it has been read already.
+// readBody returns the whole body, without a copy if it has already been read.
 func readBody(request *http.Request) ([]byte, error) {
 	whole, read := request.Body.(interface{ Bytes() []byte })
 	if read {
@@ -116,15 +117,15 @@
 	return io.ReadAll(request.Body)
 }
 
-// outlastsHost reports whether the host's process will have ended before the request's time is up. One
-// search in a hundred takes five times the usual, so that only the whole of its time is enough not to cut it
-// off; its caller is served by another host at once.
+// outlastsHost reports whether the host's process may exit before the request's deadline. One search in a hundred takes
+// five times the usual time, so only the whole time until the deadline is enough not to cut it off. A refused caller is
+// served by another host at once.
 func (exchange *exchange) outlastsHost() bool {
 	end := exchange.relay.processEnd.Load()
 	return end != 0 && exchange.deadline > cherrykeel.Instant(end)
 }
 
-// run makes attempts until one brings an answer or none can any more.
+// run makes attempts until one brings an answer or no further one is allowed.
 func (exchange *exchange) run() *cherrykeel.Failure {
 	ctx := exchange.request.Context()
 	for {
@@ -158,7 +159,8 @@
 	}
 }
 
-// attemptThere makes an attempt and leaves its place, also if it panics: the place would count as taken for ever.
+// attemptInSlot makes an attempt and releases its slot, also after a panic; otherwise the slot would count as used for
+// ever.
 func (exchange *exchange) attemptInSlot(ctx context.Context, slot *flow.Slot) result {
 	result := result{outcome: outcomeUnknown}
 	defer func() {
@@ -168,7 +170,7 @@
 	return result
 }
 
-// admit waits for a place on an upstream, unless the request is one that ends upstreams.
+// acquireSlot waits for a slot of an upstream, unless the request is denied or becomes denied while it waits.
 func (exchange *exchange) acquireSlot(ctx context.Context) (flow.Decision, *cherrykeel.Failure) {
 	denials := exchange.relay.DenyList.Changed()
 	if failure := exchange.refuseDenied(); failure != nil {
@@ -208,8 +210,8 @@
 	}
 }
 
-// admitted takes the scheduler's verdict. It may have come together with what shows that the request is not to be
-// sent.
+// checkDecision handles the scheduler's decision. A denial of the request may have arrived together with it; then the
+// slot is released.
 func (exchange *exchange) checkDecision(decision flow.Decision) (flow.Decision, *cherrykeel.Failure) {
 	exchange.inputs = decision.Inputs
 	if decision.Slot == nil {
--- a/relay/match.go
+++ b/relay/match.go
@@ -15,13 +15,15 @@
 	domains map[string][]*weightedRoute
 }
 
-// dealt is a route with the state by which its requests are dealt to its parts.
+// weightedRoute is a route with the state that spreads its requests over its split targets by weight.
 type weightedRoute struct {
 	cherrykeel.Route
-	mutex  sync.Mutex
+	mutex sync.Mutex
+	// credit is how far each split target is behind its share of the requests.
 	credit []float64
 }
 
+// newMatcher returns a matcher of one version of the routes.
 func newMatcher(routes cherrykeel.RouteSet) *matcher {
 	matcher := &matcher{version: routes.Version, domains: map[string][]*weightedRoute{}}
 	for _, route := range routes.Routes {
@@ -34,7 +36,7 @@
 	return matcher
 }
 
-// find returns the route with the longest prefix of the path, or nil.
+// findRoute returns the domain's route with the longest matching path prefix, or nil.
 func (matcher *matcher) findRoute(domain, path string) *weightedRoute {
 	host, _, err := net.SplitHostPort(domain)
 	if err == nil {
@@ -48,8 +50,9 @@
 	return nil
 }
 
-// deal returns the next part's service. Each part gains its weight in credit with each request, and the
-// richest is chosen and pays: over any run of requests the shares differ from the weights by one request.
+// nextService returns the service of the next request's split target. With each request every target's credit grows by
+// its weight, and the target with the most credit gets the request and pays the total weight. Over any run of requests
+// the shares differ from the weights by at most one request.
 func (weightedRoute *weightedRoute) nextService() string {
 	if len(weightedRoute.SplitTargets) == 1 {
 		return weightedRoute.SplitTargets[0].Service
--- a/relay/meter.go
+++ b/relay/meter.go
@@ -8,10 +8,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// latencyBuckets reach from a router's own refusal to the longest patience of callers.
+// latencyBuckets reach from the durations of the router's own refusals to the longest timeouts of callers.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
-// meter counts and times requests.
+// meter counts and times requests by service and result.
 type meter struct {
 	scope  tally.Scope
 	mutex  sync.Mutex
@@ -22,6 +22,7 @@
 	return &meter{scope: scope, scopes: map[[2]string]tally.Scope{}}
 }
 
+// taggedScope returns the cached metrics scope of a service and a result.
 func (meter *meter) taggedScope(service, result string) tally.Scope {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -17,10 +17,11 @@
 	"cherrykeel/poison"
 )
 
-// loadLineEvery is the pace of log lines on loads that cannot be read: all upstreams of a version tell them alike.
+// loadLogInterval is the interval of log lines on malformed load reports; all upstreams of one version send the same
+// ones.
 const loadLogInterval = time.Minute
 
-// Settings is what a Relay needs of its host.
+// Settings has what a Relay needs from its host.
 type Settings struct {
 	Zone    string
 	Bounds  func() cherrykeel.Bounds
@@ -29,21 +30,21 @@
 	Pool    *conns.Pool
 	Logger  *zap.Logger
 	Scope   tally.Scope
-	// Owner says who has a key of a service.
+	// Owner returns the upstream that owns a key of a service.
 	Owner func(service string, key int) flow.Owner
-	// OnKeyRequest is told each key that is asked for.
+	// OnKeyRequest is called with the key of each request to a keyed service.
 	OnKeyRequest func(service string, key int)
 	// HostCount returns how many hosts share the retry budget.
 	HostCount func() int
-	// OnMisdirected is called when an upstream says that another one has the key.
+	// OnMisdirected is called when an upstream answers that it does not own the request's key.
 	OnMisdirected func()
-	// OnUpstreamReplaced is told that an upstream's process has ended, since another one answered at its address.
+	// OnUpstreamReplaced is called with the id of an upstream at whose address another one answers.
 	OnUpstreamReplaced func(id string)
-	// DenyList are the requests that end the upstreams that run them.
+	// DenyList has the requests that were running when upstreams crashed; nil means an empty list.
 	DenyList *deny.List
 }
 
-// Relay serves callers' requests; it is an http.Handler that gets whole requests.
+// Relay serves callers' requests; it is an http.Handler whose requests have whole bodies.
 type Relay struct {
 	Settings
 	dialect cherrykeel.Dialect
@@ -55,20 +56,21 @@
 	matcher     *matcher
 	dispatchers map[string]*dispatcher
 	upstreams   []cherrykeel.Upstream
-	// endsAt is when the host's process ends, or 0.
+	// processEnd is when the host's process exits, as a cherrykeel.Instant, or 0.
 	processEnd atomic.Int64
-	queued     chan struct{}
-	// loadLines bounds the log lines on loads that cannot be read.
+	// queued has a value once a request has begun to wait.
+	queued chan struct{}
+	// loadLogLimit bounds the log lines on malformed load reports.
 	loadLogLimit *rate.Sometimes
 }
 
-// SetProcessEnd tells when the host's process will have ended: from now on requests are refused that may
-// outlast it and be cut off.
+// SetProcessEnd sets when the host's process will have exited: from now on requests are refused that may outlast it and
+// be cut off.
 func (relay *Relay) SetProcessEnd(end cherrykeel.Instant) {
 	relay.processEnd.Store(int64(end))
 }
 
-// New returns a relay that knows no routes and refuses all requests.
+// New returns a relay without routes, which refuses all requests.
 func New(settings Settings) *Relay {
 	if settings.DenyList == nil {
 		settings.DenyList = deny.New(deny.Settings{Clock: settings.Clock, Logger: settings.Logger})
@@ -86,12 +88,13 @@
 	}
 }
 
-// QueuedSignal gives a value after a request has begun to wait: from then on Dispatch is to be called every now
-// and then until it reports that none does.
+// QueuedSignal returns a channel that gets a value when a request has begun to wait. From then on Dispatch must be
+// called periodically until it returns false.
 func (relay *Relay) QueuedSignal() <-chan struct{} {
 	return relay.queued
 }
 
+// signalQueued sends the value of QueuedSignal, unless one is pending.
 func (relay *Relay) signalQueued() {
 	select {
 	case relay.queued <- struct{}{}:
@@ -99,7 +102,7 @@
 	}
 }
 
-// SetRoutes puts routes in force.
+// SetRoutes applies a new version of the routes.
 func (relay *Relay) SetRoutes(routes cherrykeel.RouteSet) {
 	matcher := newMatcher(routes)
 	relay.mutex.Lock()
@@ -122,7 +125,7 @@
 	}
 }
 
-// replaceUpstreams returns the lives that are over.
+// replaceUpstreams applies the upstreams and returns the incarnations that have ended.
 func (relay *Relay) replaceUpstreams(upstreams []cherrykeel.Upstream) []poison.Life {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
@@ -132,8 +135,8 @@
 	return ended
 }
 
-// forgetEnded closes the connections to upstreams that have started again, and returns the lives that are over;
-// Relay.mutex is held.
+// closeEnded closes the connections to upstreams that have been restarted, and returns the incarnations that have
+// ended; Relay.mutex is held.
 func (relay *Relay) closeEnded(next []cherrykeel.Upstream) []poison.Life {
 	startedAt := map[string]int64{}
 	for _, upstream := range next {
@@ -152,7 +155,7 @@
 	return ended
 }
 
-// share gives each dispatcher its upstreams; Relay.mutex is held.
+// assignUpstreams gives each dispatcher the upstreams of its service that are not leaving; Relay.mutex is held.
 func (relay *Relay) assignUpstreams() {
 	now := relay.clock.Now()
 	for name, dispatcher := range relay.dispatchers {
@@ -166,21 +169,22 @@
 	}
 }
 
-// RequestCounts is what hosts say of their requests.
+// RequestCounts are requests at upstreams and waiting, of this host or of all others.
 type RequestCounts struct {
+	// Running counts requests by upstream, Waiting those that wait by owner, and Queued those that wait by service.
 	Running map[string]int
 	Waiting map[string]int
 	Queued  map[string]int
-	// Busy says that some request waits or some upstream has no free slot.
+	// Busy means that a request waits or that some upstream has no free slot.
 	Busy bool
 }
 
-// NewRequestCounts returns counts of nothing.
+// NewRequestCounts returns empty counts.
 func NewRequestCounts() RequestCounts {
 	return RequestCounts{Running: map[string]int{}, Waiting: map[string]int{}, Queued: map[string]int{}}
 }
 
-// SetOtherCounts takes the sums over the other hosts.
+// SetOtherCounts applies the sums over the other hosts.
 func (relay *Relay) SetOtherCounts(others RequestCounts) {
 	now := relay.clock.Now()
 	for _, dispatcher := range relay.allDispatchers() {
@@ -190,7 +194,7 @@
 	}
 }
 
-// OwnCounts returns this host's requests at upstreams and waiting.
+// OwnCounts returns the counts of this host's requests.
 func (relay *Relay) OwnCounts() RequestCounts {
 	own := NewRequestCounts()
 	for _, dispatcher := range relay.allDispatchers() {
@@ -211,7 +215,7 @@
 	return own
 }
 
-// Services returns the names of the services that routes lead to.
+// Services returns the names of the services of the routes.
 func (relay *Relay) Services() []string {
 	var names []string
 	for _, dispatcher := range relay.allDispatchers() {
@@ -220,7 +224,7 @@
 	return names
 }
 
-// Dispatch lets waiting requests go on whose upstream or owner has changed, and reports whether some wait still.
+// Dispatch lets waiting requests continue whose upstream or owner has changed, and reports whether some still wait.
 func (relay *Relay) Dispatch() bool {
 	now := relay.clock.Now()
 	queued := false
@@ -230,7 +234,8 @@
 	return queued
 }
 
-// ProcessingTimes returns the mean time that a request of a service takes at each upstream that has answered.
+// ProcessingTimes returns the mean processing time of a service's requests by upstream, of the upstreams that have
+// answered; nil if the service is unknown.
 func (relay *Relay) ProcessingTimes(service string) map[string]time.Duration {
 	dispatcher := relay.dispatcher(service)
 	if dispatcher == nil {
