--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -10,7 +10,7 @@
 	"cherrykeel"
 )
 
-// BenchmarkSetUpstreams is what a host does in its relay after each change of an upstream, by how many there are.
+// BenchmarkSetUpstreams measures, by the number of upstreams, the relay's work after each change of an upstream.
 func BenchmarkSetUpstreams(b *testing.B) {
 	for _, count := range []int{32, 659, 3000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -19,7 +19,7 @@
 				name := fmt.Sprintf("s%d", i)
 				services[name] = cherrykeel.RoutedService{Name: name, Keyed: i == 0}
 			}
-			relay := New(Settings{Clock: cherrykeel.SystemClock(), Dialect: silentDialect{}, Logger: zap.NewNop(), Scope: tally.NoopScope})
+			relay := New(Settings{Clock: cherrykeel.SystemClock(), Dialect: emptyDialect{}, Logger: zap.NewNop(), Scope: tally.NoopScope})
 			relay.SetRoutes(cherrykeel.RouteSet{Version: 1, Services: services})
 			var upstreams []cherrykeel.Upstream
 			for i := range count {
--- a/relay/load_test.go
+++ b/relay/load_test.go
@@ -14,17 +14,17 @@
 	"cherrykeel"
 )
 
-// Guards against loads that are thrown away in silence, and against a log line for each of them.
-var _ = Describe("a load that cannot be read", func() {
-	It("is logged once, with what was told", func() {
+// Guards against malformed load reports that are dropped without a log line, and against a line for each of them.
+var _ = Describe("a malformed load report", func() {
+	It("is logged once, with its text", func() {
 		core, lines := observer.New(zapcore.DebugLevel)
-		relay := New(Settings{Clock: cherrykeel.SystemClock(), Dialect: silentDialect{}, Logger: zap.New(core), Scope: tally.NoopScope})
+		relay := New(Settings{Clock: cherrykeel.SystemClock(), Dialect: emptyDialect{}, Logger: zap.New(core), Scope: tally.NoopScope})
 		request := httptest.NewRequest(http.MethodGet, "http://h/", nil)
 		exchange := &exchange{relay: relay, request: request}
-		exchange.noteUnreadableLoad(cherrykeel.Upstream{ID: "u"}, cherrykeel.UpstreamLoad{Known: true})
+		exchange.logMalformedLoad(cherrykeel.Upstream{ID: "u"}, cherrykeel.UpstreamLoad{Known: true})
 		Expect(lines.Len()).To(BeZero())
 		for range 3 {
-			exchange.noteUnreadableLoad(cherrykeel.Upstream{ID: "u"}, cherrykeel.UpstreamLoad{Malformed: "1,2,3,4,5"})
+			exchange.logMalformedLoad(cherrykeel.Upstream{ID: "u"}, cherrykeel.UpstreamLoad{Malformed: "1,2,3,4,5"})
 		}
 		Expect(lines.Len()).To(Equal(1))
 		Expect(lines.All()[0].ContextMap()).To(HaveKeyWithValue("Told", "1,2,3,4,5"))
