--- a/sock/intake.go
+++ b/sock/intake.go
@@ -21,45 +21,45 @@
 
 	mutex    sync.Mutex
 	received int64
-	shut     bool
+	stopped  bool
 }
 
 // NewReader returns the intake of a connection, which nobody else may read.
 func NewReader(conn net.Conn) *Reader {
-	intake := &Reader{conn: conn}
+	reader := &Reader{conn: conn}
 	source, ok := conn.(syscall.Conn)
 	if !ok {
-		return intake
+		return reader
 	}
 	raw, err := source.SyscallConn()
 	if err != nil {
-		return intake
+		return reader
 	}
-	intake.raw = raw
-	intake.source = source
-	return intake
+	reader.raw = raw
+	reader.source = source
+	return reader
 }
 
 // Read implements io.Reader; its errors are those of the connection, and net.ErrClosed once it is shut.
-func (intake *Reader) Read(buffer []byte) (int, error) {
-	if intake.raw == nil {
-		count, err := intake.conn.Read(buffer)
-		intake.mutex.Lock()
-		defer intake.mutex.Unlock()
-		intake.received += int64(count)
+func (reader *Reader) Read(buffer []byte) (int, error) {
+	if reader.raw == nil {
+		count, err := reader.conn.Read(buffer)
+		reader.mutex.Lock()
+		defer reader.mutex.Unlock()
+		reader.received += int64(count)
 		return count, err
 	}
 	count := 0
 	var failure error
-	err := intake.raw.Read(func(descriptor uintptr) bool {
-		count, failure = intake.take(int(descriptor), buffer)
+	err := reader.raw.Read(func(descriptor uintptr) bool {
+		count, failure = reader.readCounted(int(descriptor), buffer)
 		return !errors.Is(failure, unix.EAGAIN)
 	})
 	switch {
 	case err != nil:
-		return 0, intake.readError(err)
+		return 0, reader.readError(err)
 	case failure != nil:
-		return 0, intake.readError(failure)
+		return 0, reader.readError(failure)
 	case count == 0 && len(buffer) > 0:
 		return 0, io.EOF
 	default:
@@ -68,21 +68,21 @@
 }
 
 // ReadAvailable reads what lies in the socket, whatever the connection's deadline; it returns 0 if nothing does.
-func (intake *Reader) ReadAvailable(buffer []byte) int {
-	if intake.raw == nil {
+func (reader *Reader) ReadAvailable(buffer []byte) int {
+	if reader.raw == nil {
 		return 0
 	}
 	count := 0
-	_ = intake.raw.Control(func(descriptor uintptr) {
-		count, _ = intake.take(int(descriptor), buffer)
+	_ = reader.raw.Control(func(descriptor uintptr) {
+		count, _ = reader.readCounted(int(descriptor), buffer)
 	})
 	return count
 }
 
-func (intake *Reader) take(descriptor int, buffer []byte) (int, error) {
-	intake.mutex.Lock()
-	defer intake.mutex.Unlock()
-	if intake.shut {
+func (reader *Reader) readCounted(descriptor int, buffer []byte) (int, error) {
+	reader.mutex.Lock()
+	defer reader.mutex.Unlock()
+	if reader.stopped {
 		return 0, net.ErrClosed
 	}
 	count, err := unix.Read(descriptor, buffer)
@@ -90,12 +90,12 @@
 		count, err = unix.Read(descriptor, buffer)
 	}
 	count = max(count, 0)
-	intake.received += int64(count)
+	reader.received += int64(count)
 	return count, err
 }
 
 // readError gives an error the form that net gives errors of reads, which net/http tells apart.
-func (intake *Reader) readError(err error) error {
+func (reader *Reader) readError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) {
 		err = operation.Err
@@ -104,52 +104,52 @@
 	if errors.As(err, &number) {
 		err = os.NewSyscallError("read", number)
 	}
-	return &net.OpError{Op: "read", Net: intake.conn.LocalAddr().Network(), Source: intake.conn.LocalAddr(), Addr: intake.conn.RemoteAddr(), Err: err}
+	return &net.OpError{Op: "read", Net: reader.conn.LocalAddr().Network(), Source: reader.conn.LocalAddr(), Addr: reader.conn.RemoteAddr(), Err: err}
 }
 
 // ReceivedBytes returns how many bytes were read.
-func (intake *Reader) ReceivedBytes() int64 {
-	intake.mutex.Lock()
-	defer intake.mutex.Unlock()
-	return intake.received
+func (reader *Reader) ReceivedBytes() int64 {
+	reader.mutex.Lock()
+	defer reader.mutex.Unlock()
+	return reader.received
 }
 
 // HasMoreThan reports whether more bytes have come than the counted ones, read or not.
-func (intake *Reader) HasMoreThan(counted int64) bool {
-	intake.mutex.Lock()
-	defer intake.mutex.Unlock()
-	return intake.holdsMore(counted)
+func (reader *Reader) HasMoreThan(counted int64) bool {
+	reader.mutex.Lock()
+	defer reader.mutex.Unlock()
+	return reader.hasMoreLocked(counted)
 }
 
 // HasUnacknowledged reports whether bytes that were written to the connection have not arrived yet.
-func (intake *Reader) HasUnacknowledged() bool {
-	return intake.source != nil && HasUnacknowledged(intake.source)
+func (reader *Reader) HasUnacknowledged() bool {
+	return reader.source != nil && HasUnacknowledged(reader.source)
 }
 
 // StopUnlessMoreThan reads nothing more from now on, unless more bytes have come than the counted ones; it reports whether
 // it did. What comes later stays in the socket, so that its sender learns by the reset that nobody has read it.
-func (intake *Reader) StopUnlessMoreThan(counted int64) bool {
-	intake.mutex.Lock()
-	defer intake.mutex.Unlock()
-	if intake.holdsMore(counted) {
+func (reader *Reader) StopUnlessMoreThan(counted int64) bool {
+	reader.mutex.Lock()
+	defer reader.mutex.Unlock()
+	if reader.hasMoreLocked(counted) {
 		return false
 	}
-	intake.shut = true
+	reader.stopped = true
 	return true
 }
 
 // StopUnlessReceived reads nothing from now on, unless something was read already; it reports whether it did.
-func (intake *Reader) StopUnlessReceived() bool {
-	intake.mutex.Lock()
-	defer intake.mutex.Unlock()
-	if intake.received > 0 {
+func (reader *Reader) StopUnlessReceived() bool {
+	reader.mutex.Lock()
+	defer reader.mutex.Unlock()
+	if reader.received > 0 {
 		return false
 	}
-	intake.shut = true
+	reader.stopped = true
 	return true
 }
 
 // holdsMore is Unread while Intake.mutex is held.
-func (intake *Reader) holdsMore(counted int64) bool {
-	return intake.received > counted || intake.source != nil && IsReadable(intake.source)
+func (reader *Reader) hasMoreLocked(counted int64) bool {
+	return reader.received > counted || reader.source != nil && IsReadable(reader.source)
 }
--- a/sock/refuse.go
+++ b/sock/refuse.go
@@ -9,7 +9,7 @@
 )
 
 // ErrNoUnusedDevice is returned by RefuseNew if callers may come by each device that the machine has.
-var ErrNoUnusedDevice = errors.New("the address is reached by each network device")
+var ErrNoUnusedDevice = errors.New("every network device may reach the address")
 
 // RefuseNewConnections makes the system refuse new connections to a listening socket; those that are complete or in their handshake
 // are not touched, and can be accepted. The socket is bound to a network device by which its address is not reached, so
@@ -20,16 +20,16 @@
 		return errors.WithStack(err)
 	}
 	address := listener.Addr().(*net.TCPAddr)
-	device, found := unreached(address.IP, devices)
+	device, found := unusedDevice(address.IP, devices)
 	if !found {
 		return errors.WithStack(ErrNoUnusedDevice)
 	}
-	return bindTo(listener, device)
+	return bindToDevice(listener, device)
 }
 
 // unreached returns a device by which nobody comes to the address. If there is none but the loopback, callers of
 // another address who are on the same machine still come by it.
-func unreached(address net.IP, devices []net.Interface) (net.Interface, bool) {
+func unusedDevice(address net.IP, devices []net.Interface) (net.Interface, bool) {
 	for _, device := range devices {
 		isLoopback := device.Flags&net.FlagLoopback != 0
 		if !isLoopback && (address.IsLoopback() || device.Flags&net.FlagUp == 0) {
@@ -45,7 +45,7 @@
 	return net.Interface{}, false
 }
 
-func bindTo(socket syscall.Conn, device net.Interface) error {
+func bindToDevice(socket syscall.Conn, device net.Interface) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return errors.WithStack(err)
