--- a/sock/doc.go
+++ b/sock/doc.go
@@ -1,5 +1,5 @@
-// Package sock asks sockets what the net package does not tell, whether something has come that is still unread, and
-// makes listening sockets refuse new connections.
+// Package sock queries and sets what the net package does not offer for sockets: whether bytes have arrived that are
+// still unread, whether sent bytes are unacknowledged, and that a listening socket refuses new connections.
 //
-// Lock order: Intake.mutex is taken last.
+// Lock order: Reader.mutex is taken last.
 package sock
--- a/sock/intake.go
+++ b/sock/intake.go
@@ -11,20 +11,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reader reads a connection and counts each byte in the step that takes it from the socket, so that one can tell at any
-// moment whether something has come that nobody has looked at yet.
+// Reader reads a connection and counts bytes in the same step that takes them from the socket, so that at any moment
+// one can check whether bytes have arrived that are not handled yet.
 type Reader struct {
 	conn net.Conn
-	// raw is nil if the connection is not a socket; its bytes are counted just after they were read.
+	// raw is nil if the connection is not a socket; then bytes are counted just after they were read.
 	raw    syscall.RawConn
 	source syscall.Conn
 
-	mutex    sync.Mutex
+	mutex sync.Mutex
+	// received counts the bytes read; stopped is set when nothing more may be read.
 	received int64
 	stopped  bool
 }
 
-// NewReader returns the intake of a connection, which nobody else may read.
+// NewReader returns the reader of a connection, which nothing else may read.
 func NewReader(conn net.Conn) *Reader {
 	reader := &Reader{conn: conn}
 	source, ok := conn.(syscall.Conn)
@@ -40,7 +41,7 @@
 	return reader
 }
 
-// Read implements io.Reader; its errors are those of the connection, and net.ErrClosed once it is shut.
+// Read implements io.Reader; its errors are those of the connection, and net.ErrClosed once reading has stopped.
 func (reader *Reader) Read(buffer []byte) (int, error) {
 	if reader.raw == nil {
 		count, err := reader.conn.Read(buffer)
@@ -67,7 +68,8 @@
 	}
 }
 
-// ReadAvailable reads what lies in the socket, whatever the connection's deadline; it returns 0 if nothing does.
+// ReadAvailable reads the bytes that are in the socket now, whatever the connection's deadline; it returns 0 if there
+// are none.
 func (reader *Reader) ReadAvailable(buffer []byte) int {
 	if reader.raw == nil {
 		return 0
@@ -79,6 +81,7 @@
 	return count
 }
 
+// readCounted reads the socket once and counts the bytes in the same critical section.
 func (reader *Reader) readCounted(descriptor int, buffer []byte) (int, error) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
@@ -94,7 +97,7 @@
 	return count, err
 }
 
-// readError gives an error the form that net gives errors of reads, which net/http tells apart.
+// readError wraps an error in the type that net uses for errors of reads, on which net/http relies.
 func (reader *Reader) readError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) {
@@ -114,20 +117,21 @@
 	return reader.received
 }
 
-// HasMoreThan reports whether more bytes have come than the counted ones, read or not.
+// HasMoreThan reports whether more bytes have arrived than the counted ones, read or not.
 func (reader *Reader) HasMoreThan(counted int64) bool {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.hasMoreLocked(counted)
 }
 
-// HasUnacknowledged reports whether bytes that were written to the connection have not arrived yet.
+// HasUnacknowledged reports whether the peer has not yet acknowledged all bytes that were written to the connection.
 func (reader *Reader) HasUnacknowledged() bool {
 	return reader.source != nil && HasUnacknowledged(reader.source)
 }
 
-// StopUnlessMoreThan reads nothing more from now on, unless more bytes have come than the counted ones; it reports whether
-// it did. What comes later stays in the socket, so that its sender learns by the reset that nobody has read it.
+// StopUnlessMoreThan stops reading, unless more bytes have arrived than the counted ones; it reports whether it did.
+// Bytes that arrive later stay in the socket, so that the reset at its close shows their sender that they were not
+// read.
 func (reader *Reader) StopUnlessMoreThan(counted int64) bool {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
@@ -138,7 +142,7 @@
 	return true
 }
 
-// StopUnlessReceived reads nothing from now on, unless something was read already; it reports whether it did.
+// StopUnlessReceived stops reading, unless some bytes have been read; it reports whether it did.
 func (reader *Reader) StopUnlessReceived() bool {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
@@ -149,7 +153,7 @@
 	return true
 }
 
-// holdsMore is Unread while Intake.mutex is held.
+// hasMoreLocked is HasMoreThan with Reader.mutex held.
 func (reader *Reader) hasMoreLocked(counted int64) bool {
 	return reader.received > counted || reader.source != nil && IsReadable(reader.source)
 }
--- a/sock/readable.go
+++ b/sock/readable.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// IsReadable reports whether the socket has something to read, or to accept, at this moment: bytes, a connection, its
-// end or an error. It does not wait, and reports false for a socket that is closed.
+// IsReadable reports whether a read or an accept on the socket would return at once: with bytes, a connection, the end
+// or an error. It does not wait, and reports false for a closed socket.
 func IsReadable(socket syscall.Conn) bool {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -21,7 +21,8 @@
 	return err == nil && ready > 0
 }
 
-// HasUnacknowledged reports whether bytes that were written to the socket have not arrived yet: its peer has not confirmed them.
+// HasUnacknowledged reports whether the peer has not yet acknowledged all bytes that were written to the socket; false
+// for a closed socket.
 func HasUnacknowledged(socket syscall.Conn) bool {
 	raw, err := socket.SyscallConn()
 	if err != nil {
--- a/sock/refuse.go
+++ b/sock/refuse.go
@@ -8,12 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNoUnusedDevice is returned by RefuseNew if callers may come by each device that the machine has.
+// ErrNoUnusedDevice is returned by RefuseNewConnections if callers may reach the address through every network device.
 var ErrNoUnusedDevice = errors.New("every network device may reach the address")
 
-// RefuseNewConnections makes the system refuse new connections to a listening socket; those that are complete or in their handshake
-// are not touched, and can be accepted. The socket is bound to a network device by which its address is not reached, so
-// that the system finds no listener for new callers. Errors are the system's, and ErrReached.
+// RefuseNewConnections makes the system refuse new connections to a listening socket; connections that are complete or
+// in their handshake are not affected and can still be accepted. It binds the socket to a network device through which
+// callers do not reach the address, so that the system finds no listener for new ones. Its errors are the system's, and
+// ErrNoUnusedDevice.
 func RefuseNewConnections(listener *net.TCPListener) error {
 	devices, err := net.Interfaces()
 	if err != nil {
@@ -27,8 +28,9 @@
 	return bindToDevice(listener, device)
 }
 
-// unreached returns a device by which nobody comes to the address. If there is none but the loopback, callers of
-// another address who are on the same machine still come by it.
+// unusedDevice returns a device through which no caller reaches the address: one that is down, or any other than the
+// loopback for a loopback address. The last choice for another address is the loopback, through which callers on the
+// same machine still reach it.
 func unusedDevice(address net.IP, devices []net.Interface) (net.Interface, bool) {
 	for _, device := range devices {
 		isLoopback := device.Flags&net.FlagLoopback != 0
