--- a/sock/export_test.go
+++ b/sock/export_test.go
@@ -1,4 +1,4 @@
 package sock
 
-// Unreached chooses the device to which a listener is bound.
-var Unreached = unreached
+// UnusedDevice returns the device to which a listener is bound.
+var UnusedDevice = unusedDevice
--- a/sock/intake_test.go
+++ b/sock/intake_test.go
@@ -17,8 +17,8 @@
 	RunSpecs(t, "sock")
 }
 
-// pair returns both ends of a connection over loopback.
-func pair() (net.Conn, net.Conn) {
+// connPair returns both ends of a connection over loopback.
+func connPair() (net.Conn, net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	defer listener.Close()
@@ -31,77 +31,77 @@
 	return near, far
 }
 
-var _ = Describe("an intake", func() {
+var _ = Describe("a reader", func() {
 	buffer := make([]byte, 8)
 
-	It("knows of bytes that lie in the socket, and of those read and not counted", func() {
-		near, far := pair()
-		intake := sock.NewReader(far)
-		Expect(intake.HasMoreThan(0)).To(BeFalse())
+	It("sees bytes that are unread in the socket, and those read and not counted", func() {
+		near, far := connPair()
+		reader := sock.NewReader(far)
+		Expect(reader.HasMoreThan(0)).To(BeFalse())
 		_, err := near.Write([]byte("abc"))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() bool { return intake.HasMoreThan(0) }, "10s").Should(BeTrue())
-		Expect(intake.StopUnlessMoreThan(0)).To(BeFalse())
-		count, err := intake.Read(buffer)
+		Eventually(func() bool { return reader.HasMoreThan(0) }, "10s").Should(BeTrue())
+		Expect(reader.StopUnlessMoreThan(0)).To(BeFalse())
+		count, err := reader.Read(buffer)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(count).To(Equal(3))
-		Expect(intake.HasMoreThan(2)).To(BeTrue())
-		Expect(intake.HasMoreThan(3)).To(BeFalse())
-		Expect(intake.ReceivedBytes()).To(BeEquivalentTo(3))
+		Expect(reader.HasMoreThan(2)).To(BeTrue())
+		Expect(reader.HasMoreThan(3)).To(BeFalse())
+		Expect(reader.ReceivedBytes()).To(BeEquivalentTo(3))
 	})
 
-	It("can be shut over bytes that lie in the socket, and not once something was read", func() {
-		near, far := pair()
-		intake := sock.NewReader(far)
+	It("can be stopped before unread bytes, and not once something was read", func() {
+		near, far := connPair()
+		reader := sock.NewReader(far)
 		_, err := near.Write([]byte("abc"))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() bool { return intake.HasMoreThan(0) }, "10s").Should(BeTrue())
-		Expect(intake.StopUnlessReceived()).To(BeTrue())
-		_, err = intake.Read(buffer)
+		Eventually(func() bool { return reader.HasMoreThan(0) }, "10s").Should(BeTrue())
+		Expect(reader.StopUnlessReceived()).To(BeTrue())
+		_, err = reader.Read(buffer)
 		Expect(err).To(MatchError(net.ErrClosed))
 
-		near, far = pair()
-		intake = sock.NewReader(far)
+		near, far = connPair()
+		reader = sock.NewReader(far)
 		_, err = near.Write([]byte("abc"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(intake.Read(buffer)).To(BeNumerically(">", 0))
-		Expect(intake.StopUnlessReceived()).To(BeFalse())
+		Expect(reader.Read(buffer)).To(BeNumerically(">", 0))
+		Expect(reader.StopUnlessReceived()).To(BeFalse())
 	})
 
-	It("reads nothing once it is shut", func() {
-		near, far := pair()
-		intake := sock.NewReader(far)
-		Expect(intake.StopUnlessMoreThan(0)).To(BeTrue())
+	It("reads nothing once it has stopped", func() {
+		near, far := connPair()
+		reader := sock.NewReader(far)
+		Expect(reader.StopUnlessMoreThan(0)).To(BeTrue())
 		_, err := near.Write([]byte("abc"))
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() bool { return sock.IsReadable(far.(*net.TCPConn)) }, "10s").Should(BeTrue())
-		_, err = intake.Read(buffer)
+		_, err = reader.Read(buffer)
 		Expect(err).To(MatchError(net.ErrClosed))
-		Expect(intake.ReceivedBytes()).To(BeZero())
+		Expect(reader.ReceivedBytes()).To(BeZero())
 	})
 
-	It("gives the end and a timeout as the connection does", func() {
-		near, far := pair()
-		intake := sock.NewReader(far)
+	It("returns the end and a timeout as the connection does", func() {
+		near, far := connPair()
+		reader := sock.NewReader(far)
 		Expect(far.SetReadDeadline(time.Now())).To(Succeed())
-		_, err := intake.Read(buffer)
+		_, err := reader.Read(buffer)
 		var timeout net.Error
 		Expect(err).To(BeAssignableToTypeOf(&net.OpError{}))
 		timeout = err.(net.Error)
 		Expect(timeout.Timeout()).To(BeTrue())
 		Expect(far.SetReadDeadline(time.Time{})).To(Succeed())
 		Expect(near.Close()).To(Succeed())
-		_, err = intake.Read(buffer)
+		_, err = reader.Read(buffer)
 		Expect(err).To(Equal(io.EOF))
 	})
 
-	It("counts the bytes of a connection that is no socket", func() {
+	It("counts the bytes of a connection that is not a socket", func() {
 		near, far := net.Pipe()
-		intake := sock.NewReader(far)
+		reader := sock.NewReader(far)
 		go func() { _, _ = near.Write([]byte("abc")) }()
-		_, err := intake.Read(buffer)
+		_, err := reader.Read(buffer)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(intake.HasMoreThan(0)).To(BeTrue())
-		Expect(intake.HasMoreThan(3)).To(BeFalse())
+		Expect(reader.HasMoreThan(0)).To(BeTrue())
+		Expect(reader.HasMoreThan(3)).To(BeFalse())
 	})
 })
--- a/sock/refuse_test.go
+++ b/sock/refuse_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("a listener that refuses new connections", func() {
-	DescribeTable("keeps those that are complete", func(address string) {
+	DescribeTable("keeps complete ones", func(address string) {
 		listener, err := net.Listen("tcp", address)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -38,15 +38,15 @@
 	loopback := net.Interface{Index: 1, Name: "loopback", Flags: net.FlagLoopback | net.FlagUp}
 	up := net.Interface{Index: 2, Name: "up", Flags: net.FlagUp}
 	down := net.Interface{Index: 3, Name: "down"}
-	DescribeTable("is bound to a device by which nobody comes", func(address string, devices []net.Interface, name string) {
-		device, found := sock.Unreached(net.ParseIP(address), devices)
+	DescribeTable("is bound to a device through which no caller comes", func(address string, devices []net.Interface, name string) {
+		device, found := sock.UnusedDevice(net.ParseIP(address), devices)
 		Expect(found).To(Equal(name != ""))
 		Expect(device.Name).To(Equal(name))
 	},
-		Entry("to any but the loopback, for an address of the loopback", "127.0.0.7", []net.Interface{loopback, up}, "up"),
+		Entry("to a device other than the loopback, for a loopback address", "127.0.0.7", []net.Interface{loopback, up}, "up"),
 		Entry("to one that is down, for another address", "10.1.0.15", []net.Interface{loopback, up, down}, "down"),
 		Entry("to the loopback, if all are up", "10.1.0.15", []net.Interface{up, loopback}, "loopback"),
 		Entry("to the loopback, for all addresses", "::", []net.Interface{up, loopback}, "loopback"),
-		Entry("to none, if callers come by the only one", "127.0.0.1", []net.Interface{loopback}, ""),
+		Entry("to none, if callers come through the only one", "127.0.0.1", []net.Interface{loopback}, ""),
 	)
 })
