--- a/share/share_test.go
+++ b/share/share_test.go
@@ -63,14 +63,14 @@
 	change()
 }
 
-func newMember(name, life, zone string) *member {
+func newMember(name, incarnation, zone string) *member {
 	GinkgoHelper()
-	return newMemberWith(zap.NewNop(), name, life, zone)
+	return newMemberWith(zap.NewNop(), name, incarnation, zone)
 }
 
-func newMemberWith(logger *zap.Logger, name, life, zone string) *member {
+func newMemberWith(logger *zap.Logger, name, incarnation, zone string) *member {
 	GinkgoHelper()
-	member := &member{peer: cherrykeel.Peer{Name: name, Incarnation: life, InternalAddress: fakes.FreeAddress(), Zone: zone}, running: map[string]int{}}
+	member := &member{peer: cherrykeel.Peer{Name: name, Incarnation: incarnation, InternalAddress: fakes.FreeAddress(), Zone: zone}, running: map[string]int{}}
 	member.mesh = share.New(member.peer, cherrykeel.SystemClock(), logger, member, func() { member.changes.Add(1) }, func() { member.changes.Add(1) },
 		func(demand share.Demand) { member.set(func() { member.demands = append(member.demands, demand) }) },
 		func(announcement share.Announcement) {
