--- a/share/message.go
+++ b/share/message.go
@@ -26,6 +26,7 @@
 
 // Report is a host's state that changes slowly; it is sent after each change and at an interval.
 type Report struct {
+	// Host and Incarnation name the sender.
 	Host        string
 	Incarnation string `json:"Life"`
 	// Sequence grows with each message; an older one that arrives late is dropped.
@@ -54,10 +55,10 @@
 	Departed []string `json:",omitempty"`
 }
 
-// Counts are requests at upstreams and waiting requests. They are the messages that are sent most often, so upstreams
-// and services are named by their short names.
+// Counts are requests at upstreams and waiting requests. Loads and sums, the messages that are sent most often, consist
+// of them, so upstreams and services appear under their short names.
 type Counts struct {
-	// Running counts requests at each upstream.
+	// Running counts requests by upstream.
 	Running map[string]int `json:",omitempty"`
 	// Waiting counts waiting requests by owner, Queued those by service.
 	Waiting map[string]int `json:",omitempty"`
@@ -126,6 +127,7 @@
 
 // Announcement passes on records that a host has read from the store or written to it.
 type Announcement struct {
+	// Host is the sender. Topic names the kind of the records.
 	Host    string
 	Topic   string
 	Records []cherrykeel.KeyedRecord
