--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -176,8 +176,8 @@
 		result.outcome = outcomeUnknown
 		result.detail = "success without the upstream's signature"
 	case impliesNotRun(result.status):
-		// The status says that nothing ran, but the upstream did not say so: passed on, the caller
-		// would send again what may have run.
+		// The status means that the request did not run, but the upstream did not confirm that. If the answer were
+		// passed on, the caller would send a request again that may have run.
 		result.outcome = outcomeUnknown
 		result.detail = "refusal that does not state that the request did not run"
 	default:
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -23,6 +23,7 @@
 
 // Settings has what a Relay needs from its host.
 type Settings struct {
+	// Zone is the host's availability zone, Bounds returns the platform's bounds as they are now.
 	Zone    string
 	Bounds  func() cherrykeel.Bounds
 	Clock   cherrykeel.Clock
@@ -32,7 +33,7 @@
 	Scope   tally.Scope
 	// Owner returns the upstream that owns a key of a service.
 	Owner func(service string, key int) flow.Owner
-	// OnKeyRequest is called with the key of each request to a keyed service.
+	// OnKeyRequest is called with the key of each request to a keyed service that has one.
 	OnKeyRequest func(service string, key int)
 	// HostCount returns how many hosts share the retry budget.
 	HostCount func() int
