--- a/relay/meter.go
+++ b/relay/meter.go
@@ -8,10 +8,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// latencyBuckets reach from a router's own refusal to the longest patience of callers.
+// latencyBuckets reach from the durations of the router's own refusals to the longest timeouts of callers.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
-// meter counts and times requests.
+// meter counts and times requests by service and result.
 type meter struct {
 	scope  tally.Scope
 	mutex  sync.Mutex
@@ -22,7 +22,8 @@
 	return &meter{scope: scope, scopes: map[[2]string]tally.Scope{}}
 }
 
-func (meter *meter) tagged(service, result string) tally.Scope {
+// taggedScope returns the cached metrics scope of a service and a result.
+func (meter *meter) taggedScope(service, result string) tally.Scope {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	key := [2]string{service, result}
@@ -34,15 +35,15 @@
 	return scope
 }
 
-func (meter *meter) served(service string, status int, took time.Duration) {
-	meter.note(meter.tagged(service, strconv.Itoa(status)), took)
+func (meter *meter) recordServed(service string, status int, duration time.Duration) {
+	meter.record(meter.taggedScope(service, strconv.Itoa(status)), duration)
 }
 
-func (meter *meter) failed(service, code string, took time.Duration) {
-	meter.note(meter.tagged(service, code), took)
+func (meter *meter) recordFailed(service, code string, duration time.Duration) {
+	meter.record(meter.taggedScope(service, code), duration)
 }
 
-func (meter *meter) note(scope tally.Scope, took time.Duration) {
+func (meter *meter) record(scope tally.Scope, duration time.Duration) {
 	scope.Counter("requests").Inc(1)
-	scope.Histogram("latency", latencyBuckets).RecordDuration(took)
+	scope.Histogram("latency", latencyBuckets).RecordDuration(duration)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -17,11 +17,13 @@
 	"cherrykeel/poison"
 )
 
-// loadLineEvery is the pace of log lines on loads that cannot be read: all upstreams of a version tell them alike.
-const loadLineEvery = time.Minute
+// loadLogInterval is the interval of log lines on malformed load reports; all upstreams of one version send the same
+// ones.
+const loadLogInterval = time.Minute
 
-// Settings is what a Relay needs of its host.
+// Settings has what a Relay needs from its host.
 type Settings struct {
+	// Zone is the host's availability zone, Bounds returns the platform's bounds as they are now.
 	Zone    string
 	Bounds  func() cherrykeel.Bounds
 	Clock   cherrykeel.Clock
@@ -29,21 +31,21 @@
 	Pool    *conns.Pool
 	Logger  *zap.Logger
 	Scope   tally.Scope
-	// Owner says who has a key of a service.
+	// Owner returns the upstream that owns a key of a service.
 	Owner func(service string, key int) flow.Owner
-	// OnKeyRequest is told each key that is asked for.
+	// OnKeyRequest is called with the key of each request to a keyed service that has one.
 	OnKeyRequest func(service string, key int)
 	// HostCount returns how many hosts share the retry budget.
 	HostCount func() int
-	// OnMisdirected is called when an upstream says that another one has the key.
+	// OnMisdirected is called when an upstream answers that it does not own the request's key.
 	OnMisdirected func()
-	// OnUpstreamReplaced is told that an upstream's process has ended, since another one answered at its address.
+	// OnUpstreamReplaced is called with the id of an upstream at whose address another one answers.
 	OnUpstreamReplaced func(id string)
-	// DenyList are the requests that end the upstreams that run them.
+	// DenyList has the requests that were running when upstreams crashed; nil means an empty list.
 	DenyList *deny.List
 }
 
-// Relay serves callers' requests; it is an http.Handler that gets whole requests.
+// Relay serves callers' requests; it is an http.Handler whose requests have whole bodies.
 type Relay struct {
 	Settings
 	dialect cherrykeel.Dialect
@@ -55,20 +57,21 @@
 	matcher     *matcher
 	dispatchers map[string]*dispatcher
 	upstreams   []cherrykeel.Upstream
-	// endsAt is when the host's process ends, or 0.
-	endsAt atomic.Int64
+	// processEnd is when the host's process exits, as a cherrykeel.Instant, or 0.
+	processEnd atomic.Int64
+	// queued has a value once a request has begun to wait.
 	queued chan struct{}
-	// loadLines bounds the log lines on loads that cannot be read.
-	loadLines *rate.Sometimes
+	// loadLogLimit bounds the log lines on malformed load reports.
+	loadLogLimit *rate.Sometimes
 }
 
-// SetProcessEnd tells when the host's process will have ended: from now on requests are refused that may
-// outlast it and be cut off.
+// SetProcessEnd sets when the host's process will have exited: from now on requests are refused that may outlast it and
+// be cut off.
 func (relay *Relay) SetProcessEnd(end cherrykeel.Instant) {
-	relay.endsAt.Store(int64(end))
+	relay.processEnd.Store(int64(end))
 }
 
-// New returns a relay that knows no routes and refuses all requests.
+// New returns a relay without routes, which refuses all requests.
 func New(settings Settings) *Relay {
 	if settings.DenyList == nil {
 		settings.DenyList = deny.New(deny.Settings{Clock: settings.Clock, Logger: settings.Logger})
@@ -82,24 +85,25 @@
 		dispatchers: map[string]*dispatcher{},
 		queued:      make(chan struct{}, 1),
 
-		loadLines: &rate.Sometimes{First: 1, Interval: loadLineEvery},
+		loadLogLimit: &rate.Sometimes{First: 1, Interval: loadLogInterval},
 	}
 }
 
-// QueuedSignal gives a value after a request has begun to wait: from then on Dispatch is to be called every now
-// and then until it reports that none does.
+// QueuedSignal returns a channel that gets a value when a request has begun to wait. From then on Dispatch must be
+// called periodically until it returns false.
 func (relay *Relay) QueuedSignal() <-chan struct{} {
 	return relay.queued
 }
 
-func (relay *Relay) noteQueued() {
+// signalQueued sends the value of QueuedSignal, unless one is pending.
+func (relay *Relay) signalQueued() {
 	select {
 	case relay.queued <- struct{}{}:
 	default:
 	}
 }
 
-// SetRoutes puts routes in force.
+// SetRoutes applies a new version of the routes.
 func (relay *Relay) SetRoutes(routes cherrykeel.RouteSet) {
 	matcher := newMatcher(routes)
 	relay.mutex.Lock()
@@ -109,91 +113,92 @@
 		if known && old.keyed == service.Keyed {
 			continue
 		}
-		relay.dispatchers[name] = newDispatcher(name, service.Keyed, relay.Zone, relay.Owner, relay.Bounds, relay.noteQueued)
+		relay.dispatchers[name] = newDispatcher(name, service.Keyed, relay.Zone, relay.Owner, relay.Bounds, relay.signalQueued)
 	}
 	relay.matcher = matcher
-	relay.share()
+	relay.assignUpstreams()
 }
 
 // SetUpstreams replaces the upstreams that may get requests.
 func (relay *Relay) SetUpstreams(upstreams []cherrykeel.Upstream) {
-	for _, life := range relay.replaceUpstreams(upstreams) {
-		relay.DenyList.Ended(life)
+	for _, incarnation := range relay.replaceUpstreams(upstreams) {
+		relay.DenyList.Ended(incarnation)
 	}
 }
 
-// replaceUpstreams returns the lives that are over.
+// replaceUpstreams applies the upstreams and returns the incarnations that have ended.
 func (relay *Relay) replaceUpstreams(upstreams []cherrykeel.Upstream) []poison.Life {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	over := relay.forgetEnded(upstreams)
+	ended := relay.closeEnded(upstreams)
 	relay.upstreams = upstreams
-	relay.share()
-	return over
+	relay.assignUpstreams()
+	return ended
 }
 
-// forgetEnded closes the connections to upstreams that have started again, and returns the lives that are over;
-// Relay.mutex is held.
-func (relay *Relay) forgetEnded(next []cherrykeel.Upstream) []poison.Life {
-	born := map[string]int64{}
+// closeEnded closes the connections to upstreams that have been restarted, and returns the incarnations that have
+// ended; Relay.mutex is held.
+func (relay *Relay) closeEnded(next []cherrykeel.Upstream) []poison.Life {
+	startedAt := map[string]int64{}
 	for _, upstream := range next {
-		born[upstream.ID] = upstream.StartedAt
+		startedAt[upstream.ID] = upstream.StartedAt
 	}
-	var over []poison.Life
+	var ended []poison.Life
 	for _, upstream := range relay.upstreams {
-		nextBorn, listed := born[upstream.ID]
-		if !listed || nextBorn > upstream.StartedAt {
-			over = append(over, poison.LifeOf(upstream))
+		nextStart, listed := startedAt[upstream.ID]
+		if !listed || nextStart > upstream.StartedAt {
+			ended = append(ended, poison.LifeOf(upstream))
 		}
-		if nextBorn > upstream.StartedAt {
+		if nextStart > upstream.StartedAt {
 			relay.pool.Forget(upstream.Address)
 		}
 	}
-	return over
+	return ended
 }
 
-// share gives each dispatcher its upstreams; Relay.mutex is held.
-func (relay *Relay) share() {
+// assignUpstreams gives each dispatcher the upstreams of its service that are not leaving; Relay.mutex is held.
+func (relay *Relay) assignUpstreams() {
 	now := relay.clock.Now()
 	for name, dispatcher := range relay.dispatchers {
-		var fit []cherrykeel.Upstream
+		var assigned []cherrykeel.Upstream
 		for _, upstream := range relay.upstreams {
 			if upstream.Service == name && !upstream.Leaving {
-				fit = append(fit, upstream)
+				assigned = append(assigned, upstream)
 			}
 		}
-		dispatcher.setUpstreams(fit, now)
+		dispatcher.setUpstreams(assigned, now)
 	}
 }
 
-// RequestCounts is what hosts say of their requests.
+// RequestCounts are requests at upstreams and waiting, of this host or of all others.
 type RequestCounts struct {
+	// Running counts requests by upstream, Waiting those that wait by owner, and Queued those that wait by service.
 	Running map[string]int
 	Waiting map[string]int
 	Queued  map[string]int
-	// Busy says that some request waits or some upstream has no free slot.
+	// Busy means that a request waits or that some upstream has no free slot.
 	Busy bool
 }
 
-// NewRequestCounts returns counts of nothing.
+// NewRequestCounts returns empty counts.
 func NewRequestCounts() RequestCounts {
 	return RequestCounts{Running: map[string]int{}, Waiting: map[string]int{}, Queued: map[string]int{}}
 }
 
-// SetOtherCounts takes the sums over the other hosts.
+// SetOtherCounts applies the sums over the other hosts.
 func (relay *Relay) SetOtherCounts(others RequestCounts) {
 	now := relay.clock.Now()
-	for _, dispatcher := range relay.all() {
+	for _, dispatcher := range relay.allDispatchers() {
 		dispatcher.mutex.Lock()
 		dispatcher.service.SetRemoteCounts(others.Running, others.Waiting, others.Queued[dispatcher.name], now)
 		dispatcher.mutex.Unlock()
 	}
 }
 
-// OwnCounts returns this host's requests at upstreams and waiting.
+// OwnCounts returns the counts of this host's requests.
 func (relay *Relay) OwnCounts() RequestCounts {
 	own := NewRequestCounts()
-	for _, dispatcher := range relay.all() {
+	for _, dispatcher := range relay.allDispatchers() {
 		dispatcher.mutex.Lock()
 		for id, count := range dispatcher.service.Running() {
 			own.Running[id] = count
@@ -211,26 +216,27 @@
 	return own
 }
 
-// Services returns the names of the services that routes lead to.
+// Services returns the names of the services of the routes.
 func (relay *Relay) Services() []string {
 	var names []string
-	for _, dispatcher := range relay.all() {
+	for _, dispatcher := range relay.allDispatchers() {
 		names = append(names, dispatcher.name)
 	}
 	return names
 }
 
-// Dispatch lets waiting requests go on whose upstream or owner has changed, and reports whether some wait still.
+// Dispatch lets waiting requests continue whose upstream or owner has changed, and reports whether some still wait.
 func (relay *Relay) Dispatch() bool {
 	now := relay.clock.Now()
 	queued := false
-	for _, dispatcher := range relay.all() {
+	for _, dispatcher := range relay.allDispatchers() {
 		queued = dispatcher.dispatch(now) || queued
 	}
 	return queued
 }
 
-// ProcessingTimes returns the mean time that a request of a service takes at each upstream that has answered.
+// ProcessingTimes returns the mean processing time of a service's requests by upstream, of the upstreams that have
+// answered; nil if the service is unknown.
 func (relay *Relay) ProcessingTimes(service string) map[string]time.Duration {
 	dispatcher := relay.dispatcher(service)
 	if dispatcher == nil {
@@ -241,14 +247,14 @@
 	return dispatcher.service.ProcessingTimes()
 }
 
-func (relay *Relay) all() []*dispatcher {
+func (relay *Relay) allDispatchers() []*dispatcher {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	all := make([]*dispatcher, 0, len(relay.dispatchers))
+	dispatchers := make([]*dispatcher, 0, len(relay.dispatchers))
 	for _, dispatcher := range relay.dispatchers {
-		all = append(all, dispatcher)
+		dispatchers = append(dispatchers, dispatcher)
 	}
-	return all
+	return dispatchers
 }
 
 func (relay *Relay) dispatcher(service string) *dispatcher {
@@ -257,12 +263,12 @@
 	return relay.dispatchers[service]
 }
 
-func (relay *Relay) match(request *http.Request) (*dealt, int64, bool) {
+func (relay *Relay) matchRoute(request *http.Request) (*weightedRoute, int64, bool) {
 	relay.mutex.Lock()
 	matcher := relay.matcher
 	relay.mutex.Unlock()
 	if matcher == nil {
 		return nil, 0, false
 	}
-	return matcher.find(request.Host, request.URL.Path), matcher.version, true
+	return matcher.findRoute(request.Host, request.URL.Path), matcher.version, true
 }
