--- a/watch/entries.go
+++ b/watch/entries.go
@@ -8,20 +8,20 @@
 )
 
 // put takes a record; latest says that it was found among the newest records of all keys.
-func (upstreams *Upstreams) put(record cherrykeel.KeyedRecord, latest bool) bool {
+func (upstreams *Upstreams) applyEntry(record cherrykeel.KeyedRecord, fromSnapshot bool) bool {
 	old, known := upstreams.entries[record.Key]
 	if known && record.Offset <= old.offset {
 		return false
 	}
 	upstream, err := upstreams.decode(record.Key, record.Value)
 	if err != nil {
-		upstreams.noteInvalid(record, err)
+		upstreams.logInvalid(record, err)
 		return false
 	}
 	if upstream.RemainingWarmup > 0 {
 		upstream.ColdUntil = upstreams.clock.Now().Add(upstream.RemainingWarmup)
 	}
-	since := record.Offset
+	firstOffset := record.Offset
 	if known {
 		switch {
 		case upstream.StartedAt < old.upstream.StartedAt:
@@ -30,16 +30,16 @@
 		case upstream.StartedAt == old.upstream.StartedAt && old.ended:
 			return false
 		case upstream.StartedAt == old.upstream.StartedAt:
-			since, latest = old.since, old.latest
+			firstOffset, fromSnapshot = old.firstOffset, old.fromSnapshot
 		}
 	}
-	upstreams.listed = false
-	upstreams.entries[record.Key] = &entry{upstream: upstream, offset: record.Offset, since: since, latest: latest}
-	if known && !old.gone && sameToHosts(old.upstream, upstream) {
+	upstreams.listValid = false
+	upstreams.entries[record.Key] = &entry{upstream: upstream, offset: record.Offset, firstOffset: firstOffset, fromSnapshot: fromSnapshot}
+	if known && !old.gone && isUnchangedForHosts(old.upstream, upstream) {
 		return false
 	}
 	upstreams.offset = max(upstreams.offset, record.Offset)
-	upstreams.untold = append(upstreams.untold, record)
+	upstreams.unannounced = append(upstreams.unannounced, record)
 	events.Log(upstreams.logger, events.UpstreamSeen,
 		zap.String("Upstream", upstream.ID), zap.String("Service", upstream.Service), zap.String("Address", upstream.Address),
 		zap.Int64("Born", upstream.StartedAt), zap.Bool("Leaving", upstream.Leaving), zap.Duration("Cold", upstream.RemainingWarmup), zap.Int64("Offset", record.Offset))
@@ -47,52 +47,52 @@
 }
 
 // sameToHosts reports whether an entry says nothing new that the other hosts have to know.
-func sameToHosts(old, next cherrykeel.Upstream) bool {
-	cold := next.ColdUntil > old.ColdUntil.Add(coldAgain)
+func isUnchangedForHosts(old, next cherrykeel.Upstream) bool {
+	cold := next.ColdUntil > old.ColdUntil.Add(coldRestartThreshold)
 	return !cold && old.Leaving == next.Leaving && old.Address == next.Address && old.StartedAt == next.StartedAt
 }
 
 // noteInvalid logs an entry that names no upstream, once for each record. What is known of its key stays: another
 // writer's word says nothing of an upstream that lives.
-func (upstreams *Upstreams) noteInvalid(record cherrykeel.KeyedRecord, err error) {
-	logged, known := upstreams.invalid[record.Key]
+func (upstreams *Upstreams) logInvalid(record cherrykeel.KeyedRecord, err error) {
+	logged, known := upstreams.invalidOffsets[record.Key]
 	if known && logged >= record.Offset {
 		return
 	}
-	if len(upstreams.invalid) >= maxInvalid {
-		upstreams.invalid = map[string]int64{}
+	if len(upstreams.invalidOffsets) >= maxInvalidKeys {
+		upstreams.invalidOffsets = map[string]int64{}
 	}
-	upstreams.invalid[record.Key] = record.Offset
-	upstreams.refused++
+	upstreams.invalidOffsets[record.Key] = record.Offset
+	upstreams.invalidCount++
 	events.Log(upstreams.logger, events.RecordInvalid, zap.String("Key", record.Key), zap.Int64("Offset", record.Offset), zap.Error(err))
 }
 
 // drop handles an entry that is missing: while the store is in trouble, entries lapse of upstreams that live.
-func (upstreams *Upstreams) drop(id string, offset int64) bool {
+func (upstreams *Upstreams) markMissing(id string, offset int64) bool {
 	old, known := upstreams.entries[id]
 	if !known || old.gone || offset > 0 && offset <= old.offset {
 		return false
 	}
 	old.offset = max(old.offset, offset)
 	old.missing = true
-	return upstreams.settle(old)
+	return upstreams.removeIfMissing(old)
 }
 
-func (upstreams *Upstreams) dropUnlisted(listed map[string]bool) bool {
+func (upstreams *Upstreams) markUnlisted(listed map[string]bool) bool {
 	changed := false
 	for id := range upstreams.entries {
 		if !listed[id] {
-			changed = upstreams.drop(id, 0) || changed
+			changed = upstreams.markMissing(id, 0) || changed
 		}
 	}
 	return changed
 }
 
-func (upstreams *Upstreams) settle(entry *entry) bool {
-	well := upstreams.wellFor()
-	if !entry.missing || entry.gone || well < returnTime {
+func (upstreams *Upstreams) removeIfMissing(entry *entry) bool {
+	available := upstreams.availableFor()
+	if !entry.missing || entry.gone || available < reregistrationTime {
 		return false
 	}
-	upstreams.gone(entry, well)
+	upstreams.markGone(entry, available)
 	return true
 }
--- a/watch/follow.go
+++ b/watch/follow.go
@@ -15,10 +15,10 @@
 	// firstPause and lastPause bound the waits between tries while the store is away. Each call costs
 	// also when it is refused; a try each 500 ms finds the store's return well within the 2 s in which
 	// a change has to be in force.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
 	// nudgePace bounds how often a host reads because another one seems to know more.
-	nudgePace = 100 * time.Millisecond
+	minTriggerInterval = 100 * time.Millisecond
 )
 
 // errInterrupted means that a read was given up to be made anew, which says nothing of the store.
@@ -56,19 +56,19 @@
 	apply  func(update Update)
 	// schedule tells how closely to read, which changes with the hosts there are.
 	schedule func() Schedule
-	nudge    chan struct{}
+	trigger  chan struct{}
 
-	mutex sync.Mutex
-	next  int64
-	known bool
+	mutex   sync.Mutex
+	next    int64
+	hasRead bool
 	// applied says that what was read first has been handed on whole.
-	applied bool
-	lost    bool
+	snapshotApplied bool
+	unavailable     bool
 	// interrupt ends the read that waits now.
-	interrupt context.CancelFunc
-	nudgedAt  cherrykeel.Instant
+	interrupt   context.CancelFunc
+	triggeredAt cherrykeel.Instant
 	// wellSince is when the topic was last found to be read again.
-	wellSince cherrykeel.Instant
+	availableSince cherrykeel.Instant
 	// unreadable counts records that could not be read, unreadableAt is the newest one's offset.
 	unreadable   int64
 	unreadableAt int64
@@ -78,38 +78,38 @@
 
 // NewFollower returns a follower of the log that hands on what it reads, in order.
 func NewFollower(name string, log cherrykeel.KeyedLog, clock cherrykeel.Clock, logger *zap.Logger, apply func(Update), schedule func() Schedule) *Follower {
-	return &Follower{unreadableAt: -1, name: name, log: log, clock: clock, logger: logger, apply: apply, nudge: make(chan struct{}, 1), schedule: schedule}
+	return &Follower{unreadableAt: -1, name: name, log: log, clock: clock, logger: logger, apply: apply, trigger: make(chan struct{}, 1), schedule: schedule}
 }
 
 // Run follows until the context ends.
 func (follower *Follower) Run(ctx context.Context) {
-	pause := firstPause
+	pause := initialBackoff
 	for ctx.Err() == nil {
-		err := follower.step(ctx)
+		err := follower.readOnce(ctx)
 		if err == nil {
-			pause = firstPause
-			follower.rest(ctx)
+			pause = initialBackoff
+			follower.waitForNextRead(ctx)
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		follower.failed(err)
-		follower.recover(ctx, pause)
-		pause = min(2*pause, lastPause)
+		follower.recordFailure(err)
+		follower.backOff(ctx, pause)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
 // recover waits until the next try. Who has more patience than others is nudged when one of them reports a change.
-func (follower *Follower) recover(ctx context.Context, pause time.Duration) {
-	patience := time.Duration(max(1, follower.schedule().BackoffFactor))
-	wait(ctx, pause)
-	follower.sleep(ctx, (patience-1)*pause)
+func (follower *Follower) backOff(ctx context.Context, pause time.Duration) {
+	factor := time.Duration(max(1, follower.schedule().BackoffFactor))
+	sleepContext(ctx, pause)
+	follower.sleepUntilTriggered(ctx, (factor-1)*pause)
 }
 
 // rest waits until the next read. Whoever is to read more closely from now on does so at once, since the
 // host before may have died.
-func (follower *Follower) rest(ctx context.Context) {
+func (follower *Follower) waitForNextRead(ctx context.Context) {
 	begun := follower.clock.Now()
 	for ctx.Err() == nil {
 		schedule := follower.schedule()
@@ -117,14 +117,14 @@
 		if left <= 0 {
 			return
 		}
-		if follower.sleep(ctx, min(left, max(schedule.RecheckInterval, nudgePace))) {
-			wait(ctx, nudgePace-follower.clock.Now().Sub(begun))
+		if follower.sleepUntilTriggered(ctx, min(left, max(schedule.RecheckInterval, minTriggerInterval))) {
+			sleepContext(ctx, minTriggerInterval-follower.clock.Now().Sub(begun))
 			return
 		}
 	}
 }
 
-func wait(ctx context.Context, pause time.Duration) {
+func sleepContext(ctx context.Context, pause time.Duration) {
 	if pause <= 0 {
 		return
 	}
@@ -141,9 +141,9 @@
 func (follower *Follower) TriggerRead() {
 	follower.mutex.Lock()
 	now := follower.clock.Now()
-	tooSoon := now.Sub(follower.nudgedAt) < nudgePace
+	tooSoon := now.Sub(follower.triggeredAt) < minTriggerInterval
 	if !tooSoon {
-		follower.nudgedAt = now
+		follower.triggeredAt = now
 	}
 	interrupt := follower.interrupt
 	follower.mutex.Unlock()
@@ -151,7 +151,7 @@
 		interrupt()
 	}
 	select {
-	case follower.nudge <- struct{}{}:
+	case follower.trigger <- struct{}{}:
 	default:
 	}
 }
@@ -160,7 +160,7 @@
 func (follower *Follower) ApplyReceived(records []cherrykeel.KeyedRecord) {
 	follower.mutex.Lock()
 	for _, record := range records {
-		if follower.known && record.Offset == follower.next {
+		if follower.hasRead && record.Offset == follower.next {
 			follower.next++
 		}
 	}
@@ -170,7 +170,7 @@
 }
 
 // sleep reports whether it was ended by a nudge.
-func (follower *Follower) sleep(ctx context.Context, pause time.Duration) bool {
+func (follower *Follower) sleepUntilTriggered(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return false
 	}
@@ -179,16 +179,16 @@
 	select {
 	case <-timer.C:
 		return false
-	case <-follower.nudge:
+	case <-follower.trigger:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (follower *Follower) step(ctx context.Context) error {
+func (follower *Follower) readOnce(ctx context.Context) error {
 	follower.mutex.Lock()
-	next, known := follower.next, follower.known
+	next, known := follower.next, follower.hasRead
 	follower.mutex.Unlock()
 	if !known {
 		return follower.readNewest(ctx)
@@ -209,8 +209,8 @@
 		// The store has waited that long before it answered that there is nothing.
 		begun = min(begun.Add(wait), follower.clock.Now())
 	}
-	follower.succeeded(batch.Next, begun)
-	follower.noteUnreadable(batch.Unreadable)
+	follower.recordSuccess(batch.Next, begun)
+	follower.recordUnreadable(batch.Unreadable)
 	if len(batch.Records) > 0 {
 		follower.apply(Update{Records: batch.Records, Next: batch.Next})
 	}
@@ -243,14 +243,14 @@
 	if err != nil {
 		return err
 	}
-	if !follower.succeeded(batch.Next, begun) {
+	if !follower.recordSuccess(batch.Next, begun) {
 		// An older state than the one known: nothing in it is news, and what it lacks may be there.
 		return nil
 	}
-	follower.noteUnreadable(batch.Unreadable)
+	follower.recordUnreadable(batch.Unreadable)
 	follower.apply(Update{Records: batch.Records, Snapshot: true, Next: batch.Next})
 	follower.mutex.Lock()
-	follower.applied = true
+	follower.snapshotApplied = true
 	follower.mutex.Unlock()
 	return nil
 }
--- a/watch/fresh.go
+++ b/watch/fresh.go
@@ -12,7 +12,7 @@
 	// the rest is for a read that hangs on a dead connection and for the one after it.
 	spreadShare = 0.3
 	// halfSpread is the rank at which half of the spread has passed.
-	halfSpread = 3
+	halfSpreadRank = 3
 )
 
 // IsReadOverdue reports whether a host has to read for itself, since what it knows of a topic is too old for a
@@ -22,7 +22,7 @@
 // It does not matter how many readers were lost, nor why: a reader that hangs, is cut off or dies tells no
 // young reads any more, and each host that is left notices by itself within the bound.
 func IsReadOverdue(bound time.Duration, rank int, age time.Duration) bool {
-	place := float64(rank) / float64(rank+halfSpread)
-	limit := float64(bound) * (overdueShare + spreadShare*place)
+	position := float64(rank) / float64(rank+halfSpreadRank)
+	limit := float64(bound) * (overdueShare + spreadShare*position)
 	return float64(age) >= limit
 }
--- a/watch/fresh_test.go
+++ b/watch/fresh_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	drainBound  = 2 * time.Second
-	reportEvery = 250 * time.Millisecond
-	lookEvery   = 100 * time.Millisecond
-	closePace   = 400 * time.Millisecond
-	readTime    = 5 * time.Millisecond
-	seldomPace  = 30 * time.Second
+	drainBound       = 2 * time.Second
+	reportInterval   = 250 * time.Millisecond
+	checkInterval    = 100 * time.Millisecond
+	readerInterval   = 400 * time.Millisecond
+	readTime         = 5 * time.Millisecond
+	fallbackInterval = 30 * time.Second
 	// noticeAfter is how long a host takes a store for well whose answers have stopped coming.
-	noticeAfter = 300 * time.Millisecond
+	storeTimeout = 300 * time.Millisecond
 )
 
 // reader is a host that reads one topic and reports how old its own reads are.
@@ -26,39 +26,39 @@
 	readAt     time.Duration
 	hangs      bool
 	hangsSince time.Duration
-	nextLook   time.Duration
+	nextCheck  time.Duration
 	nextReport time.Duration
 	// heard has by host when its last report would have been young: the time at which its last read began.
-	heard []time.Duration
-	reads int
+	reportedReads []time.Duration
+	reads         int
 }
 
 // pace returns how often a host of a rank reads that knows the topic as it was an age ago.
-type pace func(rank int, age time.Duration) time.Duration
+type intervalPolicy func(rank int, age time.Duration) time.Duration
 
 // byAge is the policy of the package.
 func byAge(rank int, age time.Duration) time.Duration {
 	if rank == 0 {
-		return closePace
+		return readerInterval
 	}
 	if watch.IsReadOverdue(drainBound, rank, age) {
 		return 0
 	}
-	return seldomPace
+	return fallbackInterval
 }
 
 // byRankOnly is the naive policy: two readers, whatever they achieve.
 func byRankOnly(rank int, _ time.Duration) time.Duration {
-	return []time.Duration{closePace, time.Second, seldomPace}[min(rank, 2)]
+	return []time.Duration{readerInterval, time.Second, fallbackInterval}[min(rank, 2)]
 }
 
 // youngest plays hosts of which the first ones lose the store at a time, and returns the greatest age that
 // the knowledge of any host had that kept it, and the reads of all.
-func youngest(seed uint64, hosts, lost int, noticed time.Duration, policy pace) (oldest time.Duration, reads int) {
+func simulate(seed uint64, hosts, lost int, detection time.Duration, policy intervalPolicy) (oldest time.Duration, reads int) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	all := make([]*reader, hosts)
 	for i := range all {
-		all[i] = &reader{heard: make([]time.Duration, hosts), nextLook: time.Duration(random.Int64N(int64(lookEvery))), nextReport: time.Duration(random.Int64N(int64(reportEvery)))}
+		all[i] = &reader{reportedReads: make([]time.Duration, hosts), nextCheck: time.Duration(random.Int64N(int64(checkInterval))), nextReport: time.Duration(random.Int64N(int64(reportInterval)))}
 	}
 	cut := 3*time.Second + time.Duration(random.Int64N(int64(time.Second)))
 	for now := time.Duration(0); now < 10*time.Second; now += 5 * time.Millisecond {
@@ -69,14 +69,14 @@
 				host.hangsSince = now
 			}
 			age := now - host.readAt
-			for _, heard := range host.heard {
-				age = min(age, now-heard)
+			for _, readAt := range host.reportedReads {
+				age = min(age, now-readAt)
 			}
 			if !host.hangs {
 				oldest = max(oldest, age)
 			}
-			if now >= host.nextLook {
-				host.nextLook = now + lookEvery
+			if now >= host.nextCheck {
+				host.nextCheck = now + checkInterval
 				if !host.hangs && now-host.readAt >= policy(rank, age) {
 					host.readAt = now
 					host.reads++
@@ -84,12 +84,12 @@
 				}
 			}
 			if now >= host.nextReport {
-				host.nextReport = now + reportEvery
+				host.nextReport = now + reportInterval
 				for _, other := range all {
-					other.heard[i] = host.readAt
+					other.reportedReads[i] = host.readAt
 				}
 			}
-			if !host.hangs || now-host.hangsSince < noticed {
+			if !host.hangs || now-host.hangsSince < detection {
 				rank++
 			}
 		}
@@ -104,14 +104,14 @@
 	It("keeps the bound however many readers are lost", func() {
 		for seed := range uint64(50) {
 			for lost := range 9 {
-				oldest, _ := youngest(seed, 11, lost, 2*time.Second, byAge)
-				Expect(oldest+noticeAfter).To(BeNumerically("<", drainBound), "seed %d, %d lost", seed, lost)
+				oldest, _ := simulate(seed, 11, lost, 2*time.Second, byAge)
+				Expect(oldest+storeTimeout).To(BeNumerically("<", drainBound), "seed %d, %d lost", seed, lost)
 			}
 		}
 	})
 
 	It("did not with two fixed readers that go silent one after the other", func() {
-		oldest, _ := youngest(1, 11, 2, 2*time.Second, byRankOnly)
+		oldest, _ := simulate(1, 11, 2, 2*time.Second, byRankOnly)
 		Expect(oldest).To(BeNumerically(">", drainBound))
 	})
 
@@ -119,7 +119,7 @@
 	It("costs few reads while nothing is lost", func() {
 		total := 0
 		for seed := range uint64(50) {
-			_, reads := youngest(seed, 11, 0, 0, byAge)
+			_, reads := simulate(seed, 11, 0, 0, byAge)
 			total += reads
 		}
 		Expect(total / 50).To(BeNumerically("<", 30))
--- a/watch/known.go
+++ b/watch/known.go
@@ -10,16 +10,16 @@
 )
 
 // noteUnreadable counts and logs records that are none, each once; they are read again with every whole state.
-func (follower *Follower) noteUnreadable(offsets []int64) {
+func (follower *Follower) recordUnreadable(offsets []int64) {
 	for _, offset := range offsets {
 		follower.mutex.Lock()
-		news := offset > follower.unreadableAt
-		if news {
+		isNew := offset > follower.unreadableAt
+		if isNew {
 			follower.unreadableAt = offset
 			follower.unreadable++
 		}
 		follower.mutex.Unlock()
-		if news {
+		if isNew {
 			events.Log(follower.logger, events.RecordInvalid, zap.String("Topic", follower.name), zap.Int64("Offset", offset))
 		}
 	}
@@ -34,34 +34,34 @@
 
 // succeeded notes a read that shows all changes up to a time, and reports whether it is not older than the
 // ones before.
-func (follower *Follower) succeeded(next int64, current cherrykeel.Instant) bool {
+func (follower *Follower) recordSuccess(next int64, current cherrykeel.Instant) bool {
 	follower.mutex.Lock()
 	now := follower.clock.Now()
-	back := follower.lost || !follower.known
-	first := !follower.known
-	if back {
-		follower.wellSince = now
+	recovered := follower.unavailable || !follower.hasRead
+	first := !follower.hasRead
+	if recovered {
+		follower.availableSince = now
 	}
-	follower.lost = false
-	forward := !follower.known || next >= follower.next
-	follower.known = true
+	follower.unavailable = false
+	forward := !follower.hasRead || next >= follower.next
+	follower.hasRead = true
 	if forward {
 		follower.next = next
 		follower.currentAt = max(follower.currentAt, current)
 	}
 	follower.mutex.Unlock()
-	if back {
+	if recovered {
 		events.Log(follower.logger, events.TopicBack, zap.String("Topic", follower.name), zap.Int64("Offset", next), zap.Bool("First", first))
 	}
 	return forward
 }
 
-func (follower *Follower) failed(err error) {
+func (follower *Follower) recordFailure(err error) {
 	follower.mutex.Lock()
-	before := follower.lost
-	follower.lost = true
+	wasUnavailable := follower.unavailable
+	follower.unavailable = true
 	follower.mutex.Unlock()
-	if !before {
+	if !wasUnavailable {
 		events.Log(follower.logger, events.TopicLost, zap.String("Topic", follower.name), zap.Error(err))
 	}
 }
@@ -70,7 +70,7 @@
 func (follower *Follower) Age() (time.Duration, bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	if !follower.known {
+	if !follower.hasRead {
 		return 0, false
 	}
 	return follower.clock.Now().Sub(follower.currentAt), true
@@ -80,7 +80,7 @@
 func (follower *Follower) HasRead() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	return follower.known
+	return follower.hasRead
 }
 
 // HasAppliedSnapshot reports whether all that the topic had at the start is in force. Of many records that takes a while after they
@@ -88,24 +88,24 @@
 func (follower *Follower) HasAppliedSnapshot() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	return follower.applied
+	return follower.snapshotApplied
 }
 
 // AvailableFor returns how long the topic has been read without a failure; 0 while it is not.
 func (follower *Follower) AvailableFor() time.Duration {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	if follower.lost || !follower.known {
+	if follower.unavailable || !follower.hasRead {
 		return 0
 	}
-	return follower.clock.Now().Sub(follower.wellSince)
+	return follower.clock.Now().Sub(follower.availableSince)
 }
 
 // IsUnavailable reports whether the last read failed.
 func (follower *Follower) IsUnavailable() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	return follower.lost
+	return follower.unavailable
 }
 
 // NextOffset returns the offset that the next record will get, as far as is known.
--- a/watch/newest.go
+++ b/watch/newest.go
@@ -7,35 +7,35 @@
 )
 
 // newest keeps where the newest change of a view stands, and tells the changes that this host has read itself.
-type newest struct {
+type changeTracker struct {
 	// mutex guards the offset, and the state of the view that has it.
-	mutex  sync.Mutex
-	offset int64
-	tell   func(record cherrykeel.KeyedRecord)
+	mutex    sync.Mutex
+	offset   int64
+	announce func(record cherrykeel.KeyedRecord)
 }
 
-func newNewest(tell func(record cherrykeel.KeyedRecord)) newest {
-	return newest{offset: -1, tell: tell}
+func newChangeTracker(announce func(record cherrykeel.KeyedRecord)) changeTracker {
+	return changeTracker{offset: -1, announce: announce}
 }
 
 // Offset returns where the newest change stands, or -1.
-func (newest *newest) Offset() int64 {
-	newest.mutex.Lock()
-	defer newest.mutex.Unlock()
-	return newest.offset
+func (changeTracker *changeTracker) Offset() int64 {
+	changeTracker.mutex.Lock()
+	defer changeTracker.mutex.Unlock()
+	return changeTracker.offset
 }
 
 // pass is called with newest.mutex held.
-func (newest *newest) pass(offset int64) {
-	newest.offset = max(newest.offset, offset)
+func (changeTracker *changeTracker) advance(offset int64) {
+	changeTracker.offset = max(changeTracker.offset, offset)
 }
 
 // tellRead tells records, unless they were told to this host.
-func (newest *newest) tellRead(update Update, records ...cherrykeel.KeyedRecord) {
+func (changeTracker *changeTracker) announceRead(update Update, records ...cherrykeel.KeyedRecord) {
 	if update.FromPeer {
 		return
 	}
 	for _, record := range records {
-		newest.tell(record)
+		changeTracker.announce(record)
 	}
 }
--- a/watch/peers.go
+++ b/watch/peers.go
@@ -13,27 +13,27 @@
 	"cherrykeel/events"
 )
 
-var errNoPeer = errors.New("the record does not name its host and life")
+var errInvalidPeer = errors.New("the record does not name its host and life")
 
 // Peers keeps the hosts that have announced themselves.
 type Peers struct {
-	clock  cherrykeel.Clock
-	logger *zap.Logger
-	change func()
-	tell   func(record cherrykeel.KeyedRecord)
+	clock    cherrykeel.Clock
+	logger   *zap.Logger
+	onChange func()
+	announce func(record cherrykeel.KeyedRecord)
 
 	mutex   sync.Mutex
 	peers   map[string]cherrykeel.Peer
 	offsets map[string]int64
-	since   map[string]cherrykeel.Instant
+	readAt  map[string]cherrykeel.Instant
 }
 
 // NewPeers returns a view of the hosts' announcements; change is called when there are others, and tell with
 // each record that this host read itself.
-func NewPeers(clock cherrykeel.Clock, logger *zap.Logger, change func(), tell func(cherrykeel.KeyedRecord)) *Peers {
+func NewPeers(clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(cherrykeel.KeyedRecord)) *Peers {
 	return &Peers{
-		clock: clock, logger: logger, change: change, tell: tell,
-		peers: map[string]cherrykeel.Peer{}, offsets: map[string]int64{}, since: map[string]cherrykeel.Instant{},
+		clock: clock, logger: logger, onChange: onChange, announce: announce,
+		peers: map[string]cherrykeel.Peer{}, offsets: map[string]int64{}, readAt: map[string]cherrykeel.Instant{},
 	}
 }
 
@@ -45,22 +45,22 @@
 // Apply takes what the topic brought.
 func (peers *Peers) Apply(update Update) {
 	peers.mutex.Lock()
-	var news []cherrykeel.KeyedRecord
+	var changed []cherrykeel.KeyedRecord
 	for _, record := range update.Records {
-		if peers.take(record) {
-			news = append(news, record)
+		if peers.applyRecord(record) {
+			changed = append(changed, record)
 		}
 	}
 	peers.mutex.Unlock()
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return
 	}
-	peers.change()
+	peers.onChange()
 	if update.FromPeer || update.Snapshot {
 		return
 	}
-	for _, record := range news {
-		peers.tell(record)
+	for _, record := range changed {
+		peers.announce(record)
 	}
 }
 
@@ -75,7 +75,7 @@
 	return newest
 }
 
-func (peers *Peers) take(record cherrykeel.KeyedRecord) bool {
+func (peers *Peers) applyRecord(record cherrykeel.KeyedRecord) bool {
 	old, known := peers.offsets[record.Key]
 	if known && record.Offset <= old {
 		return false
@@ -91,7 +91,7 @@
 		return false
 	}
 	peers.peers[record.Key] = peer
-	peers.since[record.Key] = peers.clock.Now()
+	peers.readAt[record.Key] = peers.clock.Now()
 	events.Log(peers.logger, events.PeerSeen,
 		zap.String("Host", peer.Name), zap.String("Life", peer.Incarnation), zap.String("Address", peer.InternalAddress), zap.Int64("Offset", record.Offset))
 	return true
@@ -110,7 +110,7 @@
 		return peer, err
 	}
 	if peer.Name != record.Key || peer.Incarnation == "" {
-		return peer, errNoPeer
+		return peer, errInvalidPeer
 	}
 	return peer, nil
 }
@@ -138,5 +138,5 @@
 func (peers *Peers) RecordAge(name string) time.Duration {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	return peers.clock.Now().Sub(peers.since[name])
+	return peers.clock.Now().Sub(peers.readAt[name])
 }
--- a/watch/replaced_test.go
+++ b/watch/replaced_test.go
@@ -16,9 +16,9 @@
 	// registered. A host that starts then finds the earlier one's record behind the later one's. Taken for replaced,
 	// the one that lives counts as ended there for good: its keys are given on while it holds them.
 	It("are told apart by their births too, if they say them, and not by which was read of last alone", func() {
-		born := map[string]int64{"earlier": 1000, "later": 9000}
+		startedAt := map[string]int64{"earlier": 1000, "later": 9000}
 		decode := func(id string, value []byte) (cherrykeel.Upstream, error) {
-			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: born[id]}, nil
+			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: startedAt[id]}, nil
 		}
 		view := watch.NewUpstreams(decode, cherrykeel.SystemClock(), zap.NewNop(), func() {}, func([]cherrykeel.KeyedRecord, int64) {})
 		view.SetTopicAvailability(func() time.Duration { return time.Hour })
@@ -33,9 +33,9 @@
 	// came first, and counts as replaced for good on each host: the keeper grants it nothing, takes what it
 	// holds for free, and the table goes on naming it.
 	It("is not replaced by it, though its clock is behind", func() {
-		born := map[string]int64{"earlier": 10000, "later": 8000}
+		startedAt := map[string]int64{"earlier": 10000, "later": 8000}
 		decode := func(id string, value []byte) (cherrykeel.Upstream, error) {
-			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: born[id]}, nil
+			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: startedAt[id]}, nil
 		}
 		view := watch.NewUpstreams(decode, cherrykeel.SystemClock(), zap.NewNop(), func() {}, func([]cherrykeel.KeyedRecord, int64) {})
 		view.SetTopicAvailability(func() time.Duration { return time.Hour })
--- a/watch/routes.go
+++ b/watch/routes.go
@@ -9,20 +9,20 @@
 
 // Routes keeps the newest routes; it never goes back to a lower version.
 type Routes struct {
-	key    string
-	decode func(value []byte) (cherrykeel.RouteSet, error)
-	logger *zap.Logger
-	change func(routes cherrykeel.RouteSet)
+	key      string
+	decode   func(value []byte) (cherrykeel.RouteSet, error)
+	logger   *zap.Logger
+	onChange func(routes cherrykeel.RouteSet)
 
-	newest
+	changeTracker
 	routes cherrykeel.RouteSet
 	known  bool
 }
 
 // NewRoutes returns a view of the routes under a key; change is called with each newer version, and tell
 // with its record if this host read it itself.
-func NewRoutes(key string, decode func([]byte) (cherrykeel.RouteSet, error), logger *zap.Logger, change func(cherrykeel.RouteSet), tell func(cherrykeel.KeyedRecord)) *Routes {
-	return &Routes{key: key, decode: decode, logger: logger, change: change, newest: newNewest(tell)}
+func NewRoutes(key string, decode func([]byte) (cherrykeel.RouteSet, error), logger *zap.Logger, onChange func(cherrykeel.RouteSet), announce func(cherrykeel.KeyedRecord)) *Routes {
+	return &Routes{key: key, decode: decode, logger: logger, onChange: onChange, changeTracker: newChangeTracker(announce)}
 }
 
 // Apply takes what the topic brought.
@@ -36,25 +36,25 @@
 			events.Log(routes.logger, events.RecordInvalid, zap.String("Key", record.Key), zap.Int64("Offset", record.Offset), zap.Error(err))
 			continue
 		}
-		if routes.take(decoded, record.Offset) {
-			routes.tellRead(update, record)
+		if routes.applyRoutes(decoded, record.Offset) {
+			routes.announceRead(update, record)
 		}
 	}
 }
 
-func (routes *Routes) take(decoded cherrykeel.RouteSet, offset int64) bool {
+func (routes *Routes) applyRoutes(decoded cherrykeel.RouteSet, offset int64) bool {
 	routes.mutex.Lock()
 	newer := !routes.known || decoded.Version > routes.routes.Version
 	if newer {
 		routes.routes = decoded
 		routes.known = true
 	}
-	routes.pass(offset)
+	routes.advance(offset)
 	routes.mutex.Unlock()
 	if !newer {
 		return false
 	}
-	routes.change(decoded)
+	routes.onChange(decoded)
 	events.Log(routes.logger, events.RoutesInForce,
 		zap.Int64("Version", decoded.Version), zap.Int64("Offset", offset), zap.Int("Routes", len(decoded.Routes)))
 	return true
--- a/watch/table_test.go
+++ b/watch/table_test.go
@@ -60,10 +60,10 @@
 	// host has not seen must not be laid over the one it knows: keys would have an owner that they never had.
 	It("takes a told change only if it follows the version known", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		var told []spans.Table
+		var announced []spans.Table
 		var befores []int64
 		writer := watch.NewSpans(clock, zap.NewNop(), func() {}, func(change spans.Table, before int64) {
-			told = append(told, change)
+			announced = append(announced, change)
 			befores = append(befores, before)
 		})
 		for offset, owners := range [][2]string{{"a", "b"}, {"c", "b"}, {"c", "d"}} {
@@ -74,14 +74,14 @@
 			Expect(err).NotTo(HaveOccurred())
 			writer.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{{Key: watch.SpansKey, Value: value, Offset: int64(offset)}}, Next: int64(offset) + 1})
 		}
-		Expect(told).To(HaveLen(3))
+		Expect(announced).To(HaveLen(3))
 		reader := watch.NewSpans(clock, zap.NewNop(), func() {}, func(spans.Table, int64) {})
-		Expect(reader.ApplyChange(told[0], befores[0])).To(BeTrue())
-		Expect(reader.ApplyChange(told[2], befores[2])).To(BeFalse(), "the second was lost")
+		Expect(reader.ApplyChange(announced[0], befores[0])).To(BeTrue())
+		Expect(reader.ApplyChange(announced[2], befores[2])).To(BeFalse(), "the second was lost")
 		Expect(reader.Owner("s", 7).ID).To(Equal("a"))
-		Expect(reader.ApplyChange(told[1], befores[1])).To(BeTrue())
-		Expect(reader.ApplyChange(told[2], befores[2])).To(BeTrue())
-		Expect(reader.ApplyChange(told[1], befores[1])).To(BeTrue(), "one that comes again changes nothing")
+		Expect(reader.ApplyChange(announced[1], befores[1])).To(BeTrue())
+		Expect(reader.ApplyChange(announced[2], befores[2])).To(BeTrue())
+		Expect(reader.ApplyChange(announced[1], befores[1])).To(BeTrue(), "one that comes again changes nothing")
 		want, _, _ := writer.Current()
 		got, _, _ := reader.Current()
 		Expect(got).To(Equal(want))
--- a/watch/upstreams.go
+++ b/watch/upstreams.go
@@ -13,37 +13,37 @@
 
 // returnTime is how long upstreams have, after the store is back, to renew entries that lapsed
 // meanwhile; the platform promises that a live one is back within about two seconds.
-const returnTime = 2200 * time.Millisecond
+const reregistrationTime = 2200 * time.Millisecond
 
 // coldAgain is by how much the end of an upstream's cold time has to move for it to have turned cold again. It moves by
 // the age of its entry too, which is read twice a second.
-const coldAgain = time.Second
+const coldRestartThreshold = time.Second
 
 // maxInvalid bounds the keys of unreadable records that are remembered, so as to log each record once.
-const maxInvalid = 1024
+const maxInvalidKeys = 1024
 
 // Upstreams keeps the upstreams that the store lists.
 type Upstreams struct {
-	decode func(id string, value []byte) (cherrykeel.Upstream, error)
-	clock  cherrykeel.Clock
-	logger *zap.Logger
-	change func()
-	tell   func(records []cherrykeel.KeyedRecord, before int64)
+	decode   func(id string, value []byte) (cherrykeel.Upstream, error)
+	clock    cherrykeel.Clock
+	logger   *zap.Logger
+	onChange func()
+	announce func(records []cherrykeel.KeyedRecord, before int64)
 
 	mutex   sync.Mutex
 	entries map[string]*entry
 	// list has the upstreams that are not gone, if listed.
-	list    []cherrykeel.Upstream
-	listed  bool
-	wellFor func() time.Duration
+	list         []cherrykeel.Upstream
+	listValid    bool
+	availableFor func() time.Duration
 	// invalid has the offsets of the records that were logged as unreadable, by key.
-	invalid map[string]int64
+	invalidOffsets map[string]int64
 	// refused counts the records that name no upstream.
-	refused int64
+	invalidCount int64
 	// offset is where the newest change stands, and untold what the other hosts are to be told.
-	offset     int64
-	untold     []cherrykeel.KeyedRecord
-	toldBefore int64
+	offset         int64
+	unannounced    []cherrykeel.KeyedRecord
+	previousOffset int64
 }
 
 type entry struct {
@@ -51,11 +51,11 @@
 	// offset is of its newest record, since of the first that was read of this life: it tells which of two
 	// upstreams at one address is the later one, since the earlier one's entry may lapse long after the next one
 	// has registered.
-	offset int64
-	since  int64
+	offset      int64
+	firstOffset int64
 	// latest says that since is the newest record of this life and its first one may lie before it: it was found among
 	// the newest records of all keys.
-	latest bool
+	fromSnapshot bool
 	// missing says that the entry is gone from the store while that may be the store's own trouble.
 	missing bool
 	gone    bool
@@ -67,18 +67,18 @@
 // that the upstream had time to come back. Change is called when it changed, and
 // tell with the records of changes that this host found itself and the offset of the change before them; a
 // gone upstream's record has no value.
-func NewUpstreams(decode func(string, []byte) (cherrykeel.Upstream, error), clock cherrykeel.Clock, logger *zap.Logger, change func(), tell func(records []cherrykeel.KeyedRecord, before int64)) *Upstreams {
+func NewUpstreams(decode func(string, []byte) (cherrykeel.Upstream, error), clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(records []cherrykeel.KeyedRecord, before int64)) *Upstreams {
 	return &Upstreams{
-		decode: decode, clock: clock, logger: logger, change: change, tell: tell, offset: -1, toldBefore: -1,
-		entries: map[string]*entry{}, invalid: map[string]int64{}, wellFor: func() time.Duration { return 0 },
+		decode: decode, clock: clock, logger: logger, onChange: onChange, announce: announce, offset: -1, previousOffset: -1,
+		entries: map[string]*entry{}, invalidOffsets: map[string]int64{}, availableFor: func() time.Duration { return 0 },
 	}
 }
 
 // SetTopicAvailability tells where the topic's health is read.
-func (upstreams *Upstreams) SetTopicAvailability(wellFor func() time.Duration) {
+func (upstreams *Upstreams) SetTopicAvailability(availableFor func() time.Duration) {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
-	upstreams.wellFor = wellFor
+	upstreams.availableFor = availableFor
 }
 
 // Apply takes what the topic brought.
@@ -89,36 +89,36 @@
 	for _, record := range update.Records {
 		listed[record.Key] = true
 		if update.FromPeer && len(record.Value) == 0 {
-			changed = upstreams.end(record.Key, record.Offset) || changed
+			changed = upstreams.applyRemoval(record.Key, record.Offset) || changed
 			continue
 		}
 		if len(record.Value) == 0 {
-			changed = upstreams.drop(record.Key, record.Offset) || changed
+			changed = upstreams.markMissing(record.Key, record.Offset) || changed
 			continue
 		}
-		changed = upstreams.put(record, update.Snapshot) || changed
+		changed = upstreams.applyEntry(record, update.Snapshot) || changed
 	}
 	if update.Snapshot {
-		changed = upstreams.dropUnlisted(listed) || changed
+		changed = upstreams.markUnlisted(listed) || changed
 	}
 	if update.FromPeer {
-		upstreams.untold = nil
+		upstreams.unannounced = nil
 	}
-	upstreams.changed(changed)
+	upstreams.unlockAndNotify(changed)
 }
 
 // changed unlocks and tells of a change.
-func (upstreams *Upstreams) changed(changed bool) {
-	untold := upstreams.untold
-	before := upstreams.toldBefore
-	upstreams.untold = nil
-	upstreams.toldBefore = upstreams.offset
+func (upstreams *Upstreams) unlockAndNotify(changed bool) {
+	unannounced := upstreams.unannounced
+	before := upstreams.previousOffset
+	upstreams.unannounced = nil
+	upstreams.previousOffset = upstreams.offset
 	upstreams.mutex.Unlock()
 	if changed {
-		upstreams.change()
+		upstreams.onChange()
 	}
-	if len(untold) > 0 {
-		upstreams.tell(untold, before)
+	if len(unannounced) > 0 {
+		upstreams.announce(unannounced, before)
 	}
 }
 
@@ -130,24 +130,24 @@
 }
 
 // end takes another host's word that an upstream is gone, unless this host has read of it since.
-func (upstreams *Upstreams) end(id string, offset int64) bool {
+func (upstreams *Upstreams) applyRemoval(id string, offset int64) bool {
 	old, known := upstreams.entries[id]
 	if !known || old.gone || old.offset > offset {
 		return false
 	}
 	old.offset = offset
-	upstreams.gone(old, 0)
+	upstreams.markGone(old, 0)
 	return true
 }
 
-func (upstreams *Upstreams) gone(entry *entry, well time.Duration) {
+func (upstreams *Upstreams) markGone(entry *entry, available time.Duration) {
 	entry.gone = true
-	upstreams.listed = false
+	upstreams.listValid = false
 	upstreams.offset = max(upstreams.offset, entry.offset)
-	upstreams.untold = append(upstreams.untold, cherrykeel.KeyedRecord{Key: entry.upstream.ID, Offset: entry.offset})
+	upstreams.unannounced = append(upstreams.unannounced, cherrykeel.KeyedRecord{Key: entry.upstream.ID, Offset: entry.offset})
 	events.Log(upstreams.logger, events.UpstreamGone,
 		zap.String("Upstream", entry.upstream.ID), zap.String("Service", entry.upstream.Service),
-		zap.Duration("StoreWell", well), zap.Int64("Offset", entry.offset))
+		zap.Duration("StoreWell", available), zap.Int64("Offset", entry.offset))
 }
 
 // RemoveMissing lets missing entries go whose upstreams had time to come back.
@@ -155,9 +155,9 @@
 	upstreams.mutex.Lock()
 	changed := false
 	for _, entry := range upstreams.entries {
-		changed = upstreams.settle(entry) || changed
+		changed = upstreams.removeIfMissing(entry) || changed
 	}
-	upstreams.changed(changed)
+	upstreams.unlockAndNotify(changed)
 }
 
 // Current returns the upstreams that are not gone, in order of their IDs; the list is not to be changed. The keeper
@@ -165,7 +165,7 @@
 func (upstreams *Upstreams) Current() []cherrykeel.Upstream {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
-	if !upstreams.listed {
+	if !upstreams.listValid {
 		upstreams.list = nil
 		for _, entry := range upstreams.entries {
 			if !entry.gone {
@@ -173,7 +173,7 @@
 			}
 		}
 		sort.Slice(upstreams.list, func(i, j int) bool { return upstreams.list[i].ID < upstreams.list[j].ID })
-		upstreams.listed = true
+		upstreams.listValid = true
 	}
 	return upstreams.list
 }
@@ -186,25 +186,25 @@
 	if changed {
 		old.ended = true
 		if !old.gone {
-			upstreams.gone(old, 0)
+			upstreams.markGone(old, 0)
 		}
 	}
-	upstreams.changed(changed)
+	upstreams.unlockAndNotify(changed)
 }
 
 // IsLeaving reports whether a life of an upstream has said that it leaves, also after its end.
-func (upstreams *Upstreams) IsLeaving(id string, born int64) bool {
+func (upstreams *Upstreams) IsLeaving(id string, startedAt int64) bool {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	known, exists := upstreams.entries[id]
-	return exists && known.upstream.StartedAt == born && known.upstream.Leaving
+	return exists && known.upstream.StartedAt == startedAt && known.upstream.Leaving
 }
 
 // InvalidCount returns how many entries named no upstream.
 func (upstreams *Upstreams) InvalidCount() int64 {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
-	return upstreams.refused
+	return upstreams.invalidCount
 }
 
 // IsReplaced reports whether another upstream has registered at the address after the given one, or has answered there: its
@@ -217,7 +217,7 @@
 		return true
 	}
 	for other, entry := range upstreams.entries {
-		if known && other != id && entry.upstream.Address == address && entry.follows(this) {
+		if known && other != id && entry.upstream.Address == address && entry.isSuccessorOf(this) {
 			return true
 		}
 	}
@@ -227,10 +227,10 @@
 // follows reports whether this entry's upstream surely came after the other's at their address. A host that reads the
 // newest records of all keys does not know where this one's first stands, and the last heartbeat of an upstream may be
 // carried out after the next one has registered; births have to agree then. They do not decide alone, since clocks differ.
-func (entry *entry) follows(other *entry) bool {
-	if entry.since <= other.since {
+func (entry *entry) isSuccessorOf(other *entry) bool {
+	if entry.firstOffset <= other.firstOffset {
 		return false
 	}
-	told := entry.upstream.StartedAt > 0 && other.upstream.StartedAt > 0
-	return !entry.latest || !told || entry.upstream.StartedAt > other.upstream.StartedAt
+	bothKnown := entry.upstream.StartedAt > 0 && other.upstream.StartedAt > 0
+	return !entry.fromSnapshot || !bothKnown || entry.upstream.StartedAt > other.upstream.StartedAt
 }
--- a/watch/upstreams_test.go
+++ b/watch/upstreams_test.go
@@ -15,25 +15,25 @@
 
 var _ = Describe("the upstreams", func() {
 	var (
-		view *watch.Upstreams
-		well time.Duration
-		told []cherrykeel.KeyedRecord
+		view      *watch.Upstreams
+		available time.Duration
+		announced []cherrykeel.KeyedRecord
 		// before is the offset of the change before the ones last told.
 		before int64
 	)
 
 	BeforeEach(func() {
-		well = time.Hour
-		told = nil
+		available = time.Hour
+		announced = nil
 		decode := func(id string, value []byte) (cherrykeel.Upstream, error) {
 			return cherrykeel.Upstream{ID: id, Address: string(value), Leaving: string(value) == "leaving"}, nil
 		}
 		view = watch.NewUpstreams(decode, cherrykeel.SystemClock(), zap.NewNop(), func() {},
 			func(records []cherrykeel.KeyedRecord, after int64) {
-				told = append(told, records...)
+				announced = append(announced, records...)
 				before = after
 			})
-		view.SetTopicAvailability(func() time.Duration { return well })
+		view.SetTopicAvailability(func() time.Duration { return available })
 		view.Apply(watch.Update{Snapshot: true, Records: []cherrykeel.KeyedRecord{record("a", "10.0.0.1:1", 1), record("b", "10.0.0.2:1", 2)}})
 	})
 
@@ -48,27 +48,27 @@
 	It("go when their entry is dropped while the store is well", func() {
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "", 3)}})
 		Expect(names()).To(Equal([]string{"b"}))
-		Expect(told[len(told)-1]).To(Equal(cherrykeel.KeyedRecord{Key: "a", Offset: 3}))
+		Expect(announced[len(announced)-1]).To(Equal(cherrykeel.KeyedRecord{Key: "a", Offset: 3}))
 	})
 
 	// The store was away for long. Entries lapsed of servers that live, and each is written again within two
 	// seconds of the store's return. Taken for gone, all servers would lose their requests at once.
 	It("stay for a while when their entry lapsed in the store's trouble", func() {
-		well = 100 * time.Millisecond
+		available = 100 * time.Millisecond
 		view.Apply(watch.Update{Snapshot: true, Next: 9, Records: []cherrykeel.KeyedRecord{record("b", "10.0.0.2:1", 8)}})
 		Expect(names()).To(Equal([]string{"a", "b"}))
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "10.0.0.1:1", 9)}})
-		well = 3 * time.Second
+		available = 3 * time.Second
 		view.RemoveMissing()
 		Expect(names()).To(Equal([]string{"a", "b"}))
 	})
 
 	It("go when the store has been back for long enough and they are not", func() {
-		well = 100 * time.Millisecond
+		available = 100 * time.Millisecond
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "", 3)}})
 		view.RemoveMissing()
 		Expect(names()).To(Equal([]string{"a", "b"}))
-		well = 3 * time.Second
+		available = 3 * time.Second
 		view.RemoveMissing()
 		Expect(names()).To(Equal([]string{"b"}))
 	})
@@ -99,14 +99,14 @@
 		apply := func(value string, offset int64) {
 			view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", value, offset)}})
 		}
-		apply(`{"Born":100}`, 1)
+		apply(`{"StartedAt":100}`, 1)
 		view.MarkEnded("a")
-		apply(`{"Born":100}`, 2)
+		apply(`{"StartedAt":100}`, 2)
 		Expect(names()).To(BeEmpty())
-		apply(`{"Born":200}`, 3)
+		apply(`{"StartedAt":200}`, 3)
 		Expect(names()).To(Equal([]string{"a"}))
 		Expect(view.IsReplaced("a", "")).To(BeFalse())
-		apply(`{"Born":100,"Leaving":true}`, 4)
+		apply(`{"StartedAt":100,"Leaving":true}`, 4)
 		Expect(view.Current()).To(Equal([]cherrykeel.Upstream{{ID: "a", StartedAt: 200}}))
 	})
 
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -192,11 +192,11 @@
 
 	It("goes on by itself when the store is back, and says since when it is well", func() {
 		var mutex sync.Mutex
-		away := true
+		unavailable := true
 		log.newest = func() (cherrykeel.KeyedBatch, error) {
 			mutex.Lock()
 			defer mutex.Unlock()
-			if away {
+			if unavailable {
 				return cherrykeel.KeyedBatch{}, errors.WithStack(cherrykeel.ErrStoreUnavailable)
 			}
 			return cherrykeel.KeyedBatch{Next: 0}, nil
@@ -206,7 +206,7 @@
 		Expect(follower.HasRead()).To(BeFalse())
 		Expect(follower.AvailableFor()).To(BeZero())
 		mutex.Lock()
-		away = false
+		unavailable = false
 		mutex.Unlock()
 		Eventually(updates, generous).Should(Receive())
 		Expect(follower.HasRead()).To(BeTrue())
@@ -230,19 +230,19 @@
 	// handle requests by settings that the operator has replaced.
 	It("never go back", func() {
 		var versions []int64
-		told := 0
+		announced := 0
 		decode := func(value []byte) (cherrykeel.RouteSet, error) {
 			var set cherrykeel.RouteSet
 			return set, json.Unmarshal(value, &set)
 		}
 		routes := watch.NewRoutes("config", decode, zap.NewNop(),
 			func(set cherrykeel.RouteSet) { versions = append(versions, set.Version) },
-			func(cherrykeel.KeyedRecord) { told++ })
+			func(cherrykeel.KeyedRecord) { announced++ })
 		routes.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("config", `{"Version":5}`, 1), record("other", "x", 2)}})
 		routes.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("config", `{"Version":4}`, 3), record("config", "{", 4)}})
 		routes.Apply(watch.Update{FromPeer: true, Records: []cherrykeel.KeyedRecord{record("config", `{"Version":9}`, 5)}})
 		Expect(versions).To(Equal([]int64{5, 9}))
-		Expect(told).To(Equal(1), "only what this host read itself is passed on")
+		Expect(announced).To(Equal(1), "only what this host read itself is passed on")
 		Expect(routes.Offset()).To(Equal(int64(5)))
 	})
 })
--- a/watch/zones.go
+++ b/watch/zones.go
@@ -12,14 +12,14 @@
 // Zones keeps which availability zones the operator has evacuated: the key of a zone's record is a prefix and the
 // zone's name, and the zone is taken back when the record is dropped.
 type Zones struct {
-	prefix string
-	clock  cherrykeel.Clock
-	logger *zap.Logger
-	change func()
+	prefix   string
+	clock    cherrykeel.Clock
+	logger   *zap.Logger
+	onChange func()
 
-	newest
-	zones map[string]ZoneState
-	known bool
+	changeTracker
+	zones   map[string]ZoneState
+	hasRead bool
 }
 
 // ZoneState is what the operator last ordered for an availability zone.
@@ -28,21 +28,21 @@
 	// Offset is where the order stands in the operator's topic.
 	Offset int64
 	// Since is when this host learned of the order; AtStart says that it may have been given long before.
-	Since   cherrykeel.Instant
+	Since        cherrykeel.Instant
 	FoundAtStart bool
 }
 
 // NewZones returns a view that knows nothing; change is called when a zone was evacuated or taken back, and when the
 // topic has been read for the first time, and tell with each order that this host has read itself.
-func NewZones(prefix string, clock cherrykeel.Clock, logger *zap.Logger, change func(), tell func(cherrykeel.KeyedRecord)) *Zones {
-	return &Zones{prefix: prefix, clock: clock, logger: logger, change: change, newest: newNewest(tell), zones: map[string]ZoneState{}}
+func NewZones(prefix string, clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(cherrykeel.KeyedRecord)) *Zones {
+	return &Zones{prefix: prefix, clock: clock, logger: logger, onChange: onChange, changeTracker: newChangeTracker(announce), zones: map[string]ZoneState{}}
 }
 
 // HasRead reports whether this host has read the topic itself: until then a zone may be evacuated without its knowledge.
 func (zones *Zones) HasRead() bool {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
-	return zones.known
+	return zones.hasRead
 }
 
 // State returns the last order for a zone; false if none is known.
@@ -70,19 +70,19 @@
 func (zones *Zones) Apply(update Update) {
 	zones.mutex.Lock()
 	orders := zones.orders(update)
-	var news []cherrykeel.KeyedRecord
+	var changed []cherrykeel.KeyedRecord
 	for _, order := range orders {
-		if zones.take(order, update) {
-			news = append(news, order)
+		if zones.applyOrder(order, update) {
+			changed = append(changed, order)
 		}
 	}
-	first := !zones.known && !update.FromPeer
-	zones.known = zones.known || !update.FromPeer
+	first := !zones.hasRead && !update.FromPeer
+	zones.hasRead = zones.hasRead || !update.FromPeer
 	zones.mutex.Unlock()
-	if first || len(news) > 0 {
-		zones.change()
+	if first || len(changed) > 0 {
+		zones.onChange()
 	}
-	zones.tellRead(update, news...)
+	zones.announceRead(update, changed...)
 }
 
 // orders returns the records about zones. The newest records of all keys lack those that were dropped, also when what
@@ -110,21 +110,21 @@
 
 // take puts an order in force unless a later one for the zone is known, and reports whether it changes anything. A
 // take-back is remembered also by a host that missed the evacuation, which may still be told to it.
-func (zones *Zones) take(order cherrykeel.KeyedRecord, update Update) bool {
+func (zones *Zones) applyOrder(order cherrykeel.KeyedRecord, update Update) bool {
 	zone := strings.TrimPrefix(order.Key, zones.prefix)
 	before, known := zones.zones[zone]
 	evacuated := len(order.Value) > 0
 	if known && order.Offset <= before.Offset {
 		return false
 	}
-	zones.pass(order.Offset)
+	zones.advance(order.Offset)
 	if known && before.Evacuated == evacuated {
 		before.Offset = order.Offset
 		zones.zones[zone] = before
 		return false
 	}
 	zones.zones[zone] = ZoneState{
-		Evacuated: evacuated, Offset: order.Offset, Since: zones.clock.Now(), FoundAtStart: !zones.known && !update.FromPeer,
+		Evacuated: evacuated, Offset: order.Offset, Since: zones.clock.Now(), FoundAtStart: !zones.hasRead && !update.FromPeer,
 	}
 	event := events.ZoneTakenBack
 	if evacuated {
--- a/watch/zones_test.go
+++ b/watch/zones_test.go
@@ -12,16 +12,16 @@
 
 var _ = Describe("the evacuated availability zones", func() {
 	var (
-		view  *watch.Zones
-		clock *fakes.Clock
-		told  []cherrykeel.KeyedRecord
-		calls int
+		view      *watch.Zones
+		clock     *fakes.Clock
+		announced []cherrykeel.KeyedRecord
+		calls     int
 	)
 
 	BeforeEach(func() {
-		told, calls = nil, 0
+		announced, calls = nil, 0
 		clock = fakes.NewClock(100)
-		view = watch.NewZones("evacuate/", clock, zap.NewNop(), func() { calls++ }, func(record cherrykeel.KeyedRecord) { told = append(told, record) })
+		view = watch.NewZones("evacuate/", clock, zap.NewNop(), func() { calls++ }, func(record cherrykeel.KeyedRecord) { announced = append(announced, record) })
 	})
 
 	evacuated := func(zone string) bool {
@@ -29,7 +29,7 @@
 		return evacuated
 	}
 	read := func(records ...cherrykeel.KeyedRecord) { view.Apply(watch.Update{Records: records}) }
-	hear := func(records ...cherrykeel.KeyedRecord) {
+	receive := func(records ...cherrykeel.KeyedRecord) {
 		view.Apply(watch.Update{Records: records, FromPeer: true})
 	}
 	whole := func(next int64, records ...cherrykeel.KeyedRecord) {
@@ -37,7 +37,7 @@
 	}
 
 	It("are known once this host has read the topic itself", func() {
-		hear(record("evacuate/a", "{}", 3))
+		receive(record("evacuate/a", "{}", 3))
 		Expect(evacuated("a")).To(BeTrue())
 		Expect(view.HasRead()).To(BeFalse())
 		whole(4, record("config", "x", 1), record("evacuate/a", "{}", 3))
@@ -52,15 +52,15 @@
 		Expect(evacuated("a")).To(BeFalse())
 		Expect(evacuated("b")).To(BeTrue())
 		Expect(view.Offset()).To(Equal(int64(6)))
-		Expect(told).To(HaveLen(3))
+		Expect(announced).To(HaveLen(3))
 	})
 
 	// Guards against a datagram that comes late and evacuates a zone that was taken back, also at a host that has missed
 	// the evacuation.
 	It("stay taken back when an older order comes late", func() {
 		whole(1)
-		hear(record("evacuate/a", "", 6))
-		hear(record("evacuate/a", "{}", 5))
+		receive(record("evacuate/a", "", 6))
+		receive(record("evacuate/a", "{}", 5))
 		Expect(evacuated("a")).To(BeFalse())
 		state, _ := view.State("a")
 		Expect(state.Offset).To(Equal(int64(6)))
@@ -75,7 +75,7 @@
 		Expect(evacuated("a")).To(BeFalse())
 		state, _ := view.State("a")
 		Expect(state).To(Equal(watch.ZoneState{Offset: 8, Since: 200}))
-		Expect(told[len(told)-1]).To(Equal(cherrykeel.KeyedRecord{Key: "evacuate/a", Offset: 8}))
+		Expect(announced[len(announced)-1]).To(Equal(cherrykeel.KeyedRecord{Key: "evacuate/a", Offset: 8}))
 	})
 
 	It("keep the time of the first order while it is repeated", func() {
