--- a/watch/entries.go
+++ b/watch/entries.go
@@ -7,7 +7,8 @@
 	"cherrykeel/events"
 )
 
-// put takes a record; latest says that it was found among the newest records of all keys.
+// applyEntry applies the record of an upstream and reports whether onChange has to be called. With fromSnapshot set, the
+// record was found in a snapshot of the topic.
 func (upstreams *Upstreams) applyEntry(record cherrykeel.KeyedRecord, fromSnapshot bool) bool {
 	old, known := upstreams.entries[record.Key]
 	if known && record.Offset <= old.offset {
@@ -25,7 +26,7 @@
 	if known {
 		switch {
 		case upstream.StartedAt < old.upstream.StartedAt:
-			// A late word of an earlier life; what it says of leaving is not said of this one.
+			// A late record of an earlier incarnation; its Leaving does not apply to the present one.
 			return false
 		case upstream.StartedAt == old.upstream.StartedAt && old.ended:
 			return false
@@ -46,14 +47,14 @@
 	return true
 }
 
-// sameToHosts reports whether an entry says nothing new that the other hosts have to know.
+// isUnchangedForHosts reports whether an entry changes nothing that has to be announced to the other hosts.
 func isUnchangedForHosts(old, next cherrykeel.Upstream) bool {
 	cold := next.ColdUntil > old.ColdUntil.Add(coldRestartThreshold)
 	return !cold && old.Leaving == next.Leaving && old.Address == next.Address && old.StartedAt == next.StartedAt
 }
 
-// noteInvalid logs an entry that names no upstream, once for each record. What is known of its key stays: another
-// writer's word says nothing of an upstream that lives.
+// logInvalid counts and logs a record that describes no upstream, once for each record. The upstream that is known
+// under its key stays: a record of another writer does not show that the upstream has ended.
 func (upstreams *Upstreams) logInvalid(record cherrykeel.KeyedRecord, err error) {
 	logged, known := upstreams.invalidOffsets[record.Key]
 	if known && logged >= record.Offset {
@@ -67,7 +68,8 @@
 	events.Log(upstreams.logger, events.RecordInvalid, zap.String("Key", record.Key), zap.Int64("Offset", record.Offset), zap.Error(err))
 }
 
-// drop handles an entry that is missing: while the store is in trouble, entries lapse of upstreams that live.
+// markMissing handles a missing entry. While the store is unavailable, entries of running upstreams expire, so an
+// upstream is removed only once the store has been available for long enough.
 func (upstreams *Upstreams) markMissing(id string, offset int64) bool {
 	old, known := upstreams.entries[id]
 	if !known || old.gone || offset > 0 && offset <= old.offset {
--- a/watch/follow.go
+++ b/watch/follow.go
@@ -12,76 +12,80 @@
 )
 
 const (
-	// firstPause and lastPause bound the waits between tries while the store is away. Each call costs
-	// also when it is refused; a try each 500 ms finds the store's return well within the 2 s in which
-	// a change has to be in force.
+	// initialBackoff and maxBackoff bound the waits between attempts while the store is unavailable. A refused call has
+	// its cost too; an attempt each 500 ms notices the store's return well within the 2 s in which a change has to be
+	// in force.
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
-	// nudgePace bounds how often a host reads because another one seems to know more.
+	// minTriggerInterval limits how often a host reads because another host seems to have newer records.
 	minTriggerInterval = 100 * time.Millisecond
 )
 
-// errInterrupted means that a read was given up to be made anew, which says nothing of the store.
+// errInterrupted means that a waiting read was canceled in order to repeat it; it does not count as a failure of the
+// store.
 var errInterrupted = errors.New("the read was interrupted")
 
-// Schedule says how closely a topic is read.
+// Schedule sets how often a topic is read.
 type Schedule struct {
-	// Wait lets a read wait for a record, so that a change is known as soon as it is there.
+	// Wait is how long a read may wait for a record (long polling), so that a change is received as soon as it is
+	// stored.
 	Wait time.Duration
-	// Interval is the time from one read to the next.
+	// Interval is the time between two reads.
 	Interval time.Duration
-	// RecheckInterval is how soon another schedule has to be noticed, nudgePace at the least.
+	// RecheckInterval is how often a follower that waits for its next read asks for the schedule again; at least
+	// minTriggerInterval.
 	RecheckInterval time.Duration
-	// BackoffFactor is by how much the waits between tries are longer while the store is away; at least 1.
+	// BackoffFactor multiplies the waits between attempts while the store is unavailable; less than 1 counts as 1.
 	BackoffFactor int
 }
 
-// Update is what a topic brought.
+// Update is the result of a read of a topic, or records that were received from another host.
 type Update struct {
+	// Records holds the records that were read or received.
 	Records []cherrykeel.KeyedRecord
-	// Snapshot says that the records are the newest of all keys there are.
+	// Snapshot means that Records holds the newest record of each key that exists.
 	Snapshot bool
 	// Next is the offset that the next record will get.
 	Next int64
-	// FromPeer says that another host has read the records, and some of them may have been left out.
+	// FromPeer means that another host has read the records and sent them; records may be missing between them.
 	FromPeer bool
 }
 
-// Follower reads a topic from its newest records on.
+// Follower reads a snapshot of a topic and then each record that follows it.
 type Follower struct {
 	name   string
 	log    cherrykeel.KeyedLog
 	clock  cherrykeel.Clock
 	logger *zap.Logger
 	apply  func(update Update)
-	// schedule tells how closely to read, which changes with the hosts there are.
+	// schedule returns how often to read, which changes with the hosts that are available.
 	schedule func() Schedule
 	trigger  chan struct{}
 
 	mutex   sync.Mutex
 	next    int64
 	hasRead bool
-	// applied says that what was read first has been handed on whole.
+	// snapshotApplied is set after the first snapshot has been applied.
 	snapshotApplied bool
 	unavailable     bool
-	// interrupt ends the read that waits now.
+	// interrupt cancels the read that waits for records; nil if none does.
 	interrupt   context.CancelFunc
 	triggeredAt cherrykeel.Instant
-	// wellSince is when the topic was last found to be read again.
+	// availableSince is when the topic last became readable.
 	availableSince cherrykeel.Instant
-	// unreadable counts records that could not be read, unreadableAt is the newest one's offset.
+	// unreadable counts the records that could not be decoded, unreadableAt is the offset of the newest one.
 	unreadable   int64
 	unreadableAt int64
-	// currentAt is a time up to which all changes are known from a read of this host's own.
+	// currentAt is an instant up to which a read of this host has shown all changes.
 	currentAt cherrykeel.Instant
 }
 
-// NewFollower returns a follower of the log that hands on what it reads, in order.
+// NewFollower returns a follower of the log that passes what it reads to apply, in order; name is used in log lines.
 func NewFollower(name string, log cherrykeel.KeyedLog, clock cherrykeel.Clock, logger *zap.Logger, apply func(Update), schedule func() Schedule) *Follower {
 	return &Follower{unreadableAt: -1, name: name, log: log, clock: clock, logger: logger, apply: apply, trigger: make(chan struct{}, 1), schedule: schedule}
 }
 
-// Run follows until the context ends.
+// Run follows the topic until the context ends.
 func (follower *Follower) Run(ctx context.Context) {
 	pause := initialBackoff
 	for ctx.Err() == nil {
@@ -100,15 +104,16 @@
 	}
 }
 
-// recover waits until the next try. Who has more patience than others is nudged when one of them reports a change.
+// backOff waits until the next attempt. TriggerRead ends the part of the wait that BackoffFactor adds, so that a host
+// with a high factor reads at once when another host reports a change.
 func (follower *Follower) backOff(ctx context.Context, pause time.Duration) {
 	factor := time.Duration(max(1, follower.schedule().BackoffFactor))
 	sleepContext(ctx, pause)
 	follower.sleepUntilTriggered(ctx, (factor-1)*pause)
 }
 
-// rest waits until the next read. Whoever is to read more closely from now on does so at once, since the
-// host before may have died.
+// waitForNextRead waits until the next read is due. It rechecks the schedule meanwhile: a host that has to read more
+// often from now on reads at once, since the host that has read for it may have crashed.
 func (follower *Follower) waitForNextRead(ctx context.Context) {
 	begun := follower.clock.Now()
 	for ctx.Err() == nil {
@@ -136,8 +141,8 @@
 	}
 }
 
-// TriggerRead makes the follower read now, also when it waits for an answer; a waiting read can hang on a
-// connection that went silent.
+// TriggerRead makes the follower read now. It also cancels a read that waits for records, which may hang on a
+// connection that has gone silent, but not twice within minTriggerInterval.
 func (follower *Follower) TriggerRead() {
 	follower.mutex.Lock()
 	now := follower.clock.Now()
@@ -156,7 +161,8 @@
 	}
 }
 
-// ApplyReceived takes records that another host has read; they count as read if nothing is missing between.
+// ApplyReceived applies records that another host has read. They advance the next offset only as long as no offset is
+// missing before them.
 func (follower *Follower) ApplyReceived(records []cherrykeel.KeyedRecord) {
 	follower.mutex.Lock()
 	for _, record := range records {
@@ -169,7 +175,7 @@
 	follower.apply(Update{Records: records, Next: next, FromPeer: true})
 }
 
-// sleep reports whether it was ended by a nudge.
+// sleepUntilTriggered waits for the pause and reports whether TriggerRead ended the wait.
 func (follower *Follower) sleepUntilTriggered(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return false
@@ -206,7 +212,8 @@
 		return err
 	}
 	if len(batch.Records) == 0 {
-		// The store has waited that long before it answered that there is nothing.
+		// The store has waited that long before it answered that there are no records, so that the answer shows all
+		// changes up to then.
 		begun = min(begun.Add(wait), follower.clock.Now())
 	}
 	follower.recordSuccess(batch.Next, begun)
@@ -244,7 +251,7 @@
 		return err
 	}
 	if !follower.recordSuccess(batch.Next, begun) {
-		// An older state than the one known: nothing in it is news, and what it lacks may be there.
+		// An older state than the one already read: it holds no new record, and a key that it lacks may exist.
 		return nil
 	}
 	follower.recordUnreadable(batch.Unreadable)
--- a/watch/known.go
+++ b/watch/known.go
@@ -9,7 +9,7 @@
 	"cherrykeel/events"
 )
 
-// noteUnreadable counts and logs records that are none, each once; they are read again with every whole state.
+// recordUnreadable counts and logs records that could not be decoded, each once: every snapshot contains them again.
 func (follower *Follower) recordUnreadable(offsets []int64) {
 	for _, offset := range offsets {
 		follower.mutex.Lock()
@@ -25,15 +25,15 @@
 	}
 }
 
-// UnreadableCount returns how many records of the topic could not be read.
+// UnreadableCount returns how many records of the topic could not be decoded.
 func (follower *Follower) UnreadableCount() int64 {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.unreadable
 }
 
-// succeeded notes a read that shows all changes up to a time, and reports whether it is not older than the
-// ones before.
+// recordSuccess records a read that shows all changes up to the instant current, and reports whether its state is not
+// older than the ones read before.
 func (follower *Follower) recordSuccess(next int64, current cherrykeel.Instant) bool {
 	follower.mutex.Lock()
 	now := follower.clock.Now()
@@ -66,7 +66,7 @@
 	}
 }
 
-// Age returns how old the newest state is that this host has read itself; false if it has read none.
+// Age returns the age of the newest state that this host has read itself; false if it has read none.
 func (follower *Follower) Age() (time.Duration, bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -83,15 +83,15 @@
 	return follower.hasRead
 }
 
-// HasAppliedSnapshot reports whether all that the topic had at the start is in force. Of many records that takes a while after they
-// were read, and who counted as ready in it refused all callers.
+// HasAppliedSnapshot reports whether the first snapshot has been applied. With many records that takes a while after
+// they have been read, and a host that counted as ready in that time refused all callers.
 func (follower *Follower) HasAppliedSnapshot() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.snapshotApplied
 }
 
-// AvailableFor returns how long the topic has been read without a failure; 0 while it is not.
+// AvailableFor returns how long the topic has been read without a failure; 0 if the last read failed.
 func (follower *Follower) AvailableFor() time.Duration {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -108,7 +108,7 @@
 	return follower.unavailable
 }
 
-// NextOffset returns the offset that the next record will get, as far as is known.
+// NextOffset returns the offset that the next record will get, as far as this host knows.
 func (follower *Follower) NextOffset() int64 {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
--- a/watch/newest.go
+++ b/watch/newest.go
@@ -6,9 +6,9 @@
 	"cherrykeel"
 )
 
-// newest keeps where the newest change of a view stands, and tells the changes that this host has read itself.
+// changeTracker holds the offset of a view's newest change and announces the changes that this host has read itself.
 type changeTracker struct {
-	// mutex guards the offset, and the state of the view that has it.
+	// mutex guards the offset and the state of the view that embeds the tracker.
 	mutex    sync.Mutex
 	offset   int64
 	announce func(record cherrykeel.KeyedRecord)
@@ -18,19 +18,19 @@
 	return changeTracker{offset: -1, announce: announce}
 }
 
-// Offset returns where the newest change stands, or -1.
+// Offset returns the offset of the newest change, or -1.
 func (changeTracker *changeTracker) Offset() int64 {
 	changeTracker.mutex.Lock()
 	defer changeTracker.mutex.Unlock()
 	return changeTracker.offset
 }
 
-// pass is called with newest.mutex held.
+// advance must be called with the mutex held.
 func (changeTracker *changeTracker) advance(offset int64) {
 	changeTracker.offset = max(changeTracker.offset, offset)
 }
 
-// tellRead tells records, unless they were told to this host.
+// announceRead announces records, unless they were received from another host.
 func (changeTracker *changeTracker) announceRead(update Update, records ...cherrykeel.KeyedRecord) {
 	if update.FromPeer {
 		return
--- a/watch/peers.go
+++ b/watch/peers.go
@@ -13,9 +13,9 @@
 	"cherrykeel/events"
 )
 
-var errInvalidPeer = errors.New("the record does not name its host and life")
+var errInvalidPeer = errors.New("the host's record lacks its incarnation, or names another host")
 
-// Peers keeps the hosts that have announced themselves.
+// Peers holds the hosts that have announced themselves.
 type Peers struct {
 	clock    cherrykeel.Clock
 	logger   *zap.Logger
@@ -28,8 +28,8 @@
 	readAt  map[string]cherrykeel.Instant
 }
 
-// NewPeers returns a view of the hosts' announcements; change is called when there are others, and tell with
-// each record that this host read itself.
+// NewPeers returns a view of the hosts' records. It calls onChange after the list has changed, and announce with each
+// changed record that this host has read itself outside a snapshot.
 func NewPeers(clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(cherrykeel.KeyedRecord)) *Peers {
 	return &Peers{
 		clock: clock, logger: logger, onChange: onChange, announce: announce,
@@ -37,12 +37,12 @@
 	}
 }
 
-// EncodePeer returns the record's value.
+// EncodePeer returns the value of a host's record.
 func EncodePeer(peer cherrykeel.Peer) ([]byte, error) {
 	return json.Marshal(peer)
 }
 
-// Apply takes what the topic brought.
+// Apply applies an update of the topic.
 func (peers *Peers) Apply(update Update) {
 	peers.mutex.Lock()
 	var changed []cherrykeel.KeyedRecord
@@ -64,7 +64,7 @@
 	}
 }
 
-// Offset returns where the newest record stands, or -1.
+// Offset returns the offset of the newest record, or -1.
 func (peers *Peers) Offset() int64 {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -97,8 +97,8 @@
 	return true
 }
 
-// decodePeer reads a host's record; one that another writer put there must not count as a host, since a keeper asks
-// for the word of more than half of them.
+// decodePeer decodes a host's record. A record of another writer must not count as a host, since a keeper needs the
+// confirmation of more than half of the hosts.
 func decodePeer(record cherrykeel.KeyedRecord) (cherrykeel.Peer, error) {
 	var peer cherrykeel.Peer
 	err := json.Unmarshal(record.Value, &peer)
@@ -115,7 +115,7 @@
 	return peer, nil
 }
 
-// Current returns the hosts.
+// Current returns the hosts, in no particular order.
 func (peers *Peers) Current() []cherrykeel.Peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -126,7 +126,7 @@
 	return all
 }
 
-// Incarnation returns a host's life; false if it has not announced itself.
+// Incarnation returns the incarnation that a host has announced; false if it has not announced itself.
 func (peers *Peers) Incarnation(name string) (string, bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -134,7 +134,7 @@
 	return peer.Incarnation, known
 }
 
-// RecordAge returns how long ago a host's record was read.
+// RecordAge returns the time since a host's record was read.
 func (peers *Peers) RecordAge(name string) time.Duration {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/watch/routes.go
+++ b/watch/routes.go
@@ -7,7 +7,7 @@
 	"cherrykeel/events"
 )
 
-// Routes keeps the newest routes; it never goes back to a lower version.
+// Routes holds the newest routes; it never goes back to a lower version.
 type Routes struct {
 	key      string
 	decode   func(value []byte) (cherrykeel.RouteSet, error)
@@ -19,13 +19,13 @@
 	known  bool
 }
 
-// NewRoutes returns a view of the routes under a key; change is called with each newer version, and tell
-// with its record if this host read it itself.
+// NewRoutes returns a view of the routes that are stored under key. It calls onChange with each newer version, and
+// announce with the record of one that this host has read itself.
 func NewRoutes(key string, decode func([]byte) (cherrykeel.RouteSet, error), logger *zap.Logger, onChange func(cherrykeel.RouteSet), announce func(cherrykeel.KeyedRecord)) *Routes {
 	return &Routes{key: key, decode: decode, logger: logger, onChange: onChange, changeTracker: newChangeTracker(announce)}
 }
 
-// Apply takes what the topic brought.
+// Apply applies an update of the topic.
 func (routes *Routes) Apply(update Update) {
 	for _, record := range update.Records {
 		if record.Key != routes.key || len(record.Value) == 0 {
--- a/watch/table.go
+++ b/watch/table.go
@@ -12,17 +12,17 @@
 	"cherrykeel/spans"
 )
 
-// SpansKey is the one key of the topic with the table of spans.
+// SpansKey is the only key of the topic that holds the table of spans.
 const SpansKey = "table"
 
-// grantTime is about what the keeper needs from writing a new owner to granting it the keys. A request
-// that is sent sooner is refused and sent again, at the cost of the retry budget.
+// grantDelay is about what the keeper needs from writing a new owner to granting it the keys. A request that is sent
+// earlier is refused and sent again, which uses up the retry budget.
 const grantDelay = 12 * time.Millisecond
 
-// longestHold is assumed until the platform's bound is known.
+// defaultMaxLeaseDuration is assumed until the platform's bound is known.
 const defaultMaxLeaseDuration = 10 * time.Second
 
-// Spans keeps the newest table of key spans.
+// Spans holds the newest table of key spans.
 type Spans struct {
 	clock    cherrykeel.Clock
 	logger   *zap.Logger
@@ -33,12 +33,12 @@
 	table   spans.Table
 	next    int64
 	hasRead bool
-	// garbled says that the newest record of the table cannot be read, since when.
+	// corrupt means that the newest record of the table cannot be decoded, corruptSince is when this host found that.
 	corrupt      bool
 	corruptSince cherrykeel.Instant
-	// longest is the longest hold that a keeper may grant.
+	// maxLeaseDuration returns the longest lease duration that a keeper may grant.
 	maxLeaseDuration func() time.Duration
-	// fresh has the spans that got another owner a moment ago.
+	// reassigned holds the spans that have got another owner recently.
 	reassigned []reassignedSpan
 }
 
@@ -48,18 +48,18 @@
 	until   cherrykeel.Instant
 }
 
-// NewSpans returns a view of the table; change is called after each newer one, and tell with what
-// it changed, and the version before, if this host wrote or read it itself.
+// NewSpans returns a view of the table. It calls onChange after each newer table, and announce with its changes and the
+// version before if this host has written or read the table itself.
 func NewSpans(clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(change spans.Table, before int64)) *Spans {
 	return &Spans{maxLeaseDuration: func() time.Duration { return defaultMaxLeaseDuration }, clock: clock, logger: logger, onChange: onChange, announce: announce, table: spans.Table{Version: -1, Term: -1}}
 }
 
-// ApplyOwnWrite takes a table that this host has written.
+// ApplyOwnWrite applies a table that this host has written.
 func (view *Spans) ApplyOwnWrite(value []byte, offset int64) {
 	view.Apply(Update{Records: []cherrykeel.KeyedRecord{{Key: SpansKey, Value: value, Offset: offset}}, Next: offset + 1})
 }
 
-// Apply takes what the topic brought.
+// Apply applies an update of the topic.
 func (view *Spans) Apply(update Update) {
 	view.mutex.Lock()
 	before := view.table
@@ -68,7 +68,7 @@
 		view.next = max(view.next, record.Offset+1)
 	}
 	if !update.FromPeer {
-		// What others tell is newer than nothing, but only a read of one's own shows that nothing is newer.
+		// Only a read of this host's own shows that no newer table exists; records from other hosts do not.
 		view.next = max(view.next, update.Next)
 		view.hasRead = true
 	}
@@ -83,8 +83,8 @@
 	}
 }
 
-// ApplyChange takes a change that another host told, if it follows the version known; it reports whether the
-// table is at the change's version now.
+// ApplyChange applies a change that another host has sent, if it is based on the version that this view has. It reports
+// whether the table has the change's version, or a newer one, afterwards.
 func (view *Spans) ApplyChange(change spans.Table, before int64) bool {
 	view.mutex.Lock()
 	if change.Version <= view.table.Version {
@@ -117,7 +117,7 @@
 	view.table = table
 }
 
-// noteGarbled takes note of a record in the table's place that is none.
+// recordCorrupt records and logs that the table's record cannot be decoded.
 func (view *Spans) recordCorrupt(record cherrykeel.KeyedRecord, err error) {
 	if !view.corrupt {
 		view.corrupt = true
@@ -126,31 +126,32 @@
 	}
 }
 
-// Version returns where the newest table stands, or -1.
+// Version returns the offset of the newest table, or -1.
 func (view *Spans) Version() int64 {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	return view.table.Version
 }
 
-// IsCorrupt reports whether the newest record in the table's place cannot be read. Its keeper knows the table and
-// writes it again.
+// IsCorrupt reports whether the newest record of the table cannot be decoded. The keeper has the table and writes it
+// again.
 func (view *Spans) IsCorrupt() bool {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	return view.corrupt
 }
 
-// SetMaxLeaseDuration tells where the longest hold is read.
+// SetMaxLeaseDuration sets the function that returns the longest lease duration.
 func (view *Spans) SetMaxLeaseDuration(maxLeaseDuration func() time.Duration) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	view.maxLeaseDuration = maxLeaseDuration
 }
 
-// blind reports whether there may be owners that this host cannot know of: the table's record is another writer's,
-// and this host has read no table before. Claimed now, all keys would go to new owners beside the old ones; once the
-// longest hold has passed that nobody could renew under a table that nobody can read, none is left.
+// hasUnknownOwners reports whether there may be owners that this host cannot know of: another writer has overwritten
+// the table's record, and this host has read no table before. If it claimed now, it would grant all keys to new owners
+// beside the old ones. No lease can be renewed under a table that cannot be decoded, so that none is left after twice
+// the longest lease duration.
 func (view *Spans) hasUnknownOwners() bool {
 	if !view.corrupt || view.table.Version >= 0 {
 		return false
@@ -158,7 +159,7 @@
 	return view.clock.Now().Sub(view.corruptSince) < 2*view.maxLeaseDuration()
 }
 
-// refresh notes which spans of the next table have another owner than before.
+// recordReassigned records which spans of the next table have another owner than now.
 func (view *Spans) recordReassigned(next spans.Table) {
 	now := view.clock.Now()
 	kept := view.reassigned[:0]
@@ -179,7 +180,7 @@
 	}
 }
 
-// Owner returns who has a key, as the scheduler asks for it.
+// Owner returns the owner of a key, for the scheduler. A new owner counts as moving for grantDelay.
 func (view *Spans) Owner(service string, key int) flow.Owner {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
@@ -200,7 +201,8 @@
 	return owner
 }
 
-// Current returns the table and the offset at which the next one would stand; false until the topic was read.
+// Current returns the table and the offset that the next one will get; false until the topic has been read, and while
+// there may be unknown owners.
 func (view *Spans) Current() (spans.Table, int64, bool) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
--- a/watch/upstreams.go
+++ b/watch/upstreams.go
@@ -11,18 +11,18 @@
 	"cherrykeel/events"
 )
 
-// returnTime is how long upstreams have, after the store is back, to renew entries that lapsed
-// meanwhile; the platform promises that a live one is back within about two seconds.
+// reregistrationTime is how long upstreams have, after the store has become available again, to renew entries that have
+// expired; the platform promises that a running one is registered again within about two seconds.
 const reregistrationTime = 2200 * time.Millisecond
 
-// coldAgain is by how much the end of an upstream's cold time has to move for it to have turned cold again. It moves by
-// the age of its entry too, which is read twice a second.
+// coldRestartThreshold is by how much the end of an upstream's cold phase has to move to count as a new cold phase. It
+// also moves by the age of the entry, which is read twice a second.
 const coldRestartThreshold = time.Second
 
-// maxInvalid bounds the keys of unreadable records that are remembered, so as to log each record once.
+// maxInvalidKeys bounds the keys of invalid records that are remembered in order to log each record once.
 const maxInvalidKeys = 1024
 
-// Upstreams keeps the upstreams that the store lists.
+// Upstreams holds the upstreams that the store lists.
 type Upstreams struct {
 	decode   func(id string, value []byte) (cherrykeel.Upstream, error)
 	clock    cherrykeel.Clock
@@ -32,15 +32,16 @@
 
 	mutex   sync.Mutex
 	entries map[string]*entry
-	// list has the upstreams that are not gone, if listed.
+	// list holds the upstreams that are not gone; it is up to date if listValid is set.
 	list         []cherrykeel.Upstream
 	listValid    bool
 	availableFor func() time.Duration
-	// invalid has the offsets of the records that were logged as unreadable, by key.
+	// invalidOffsets has the offsets of the invalid records that were logged, by key.
 	invalidOffsets map[string]int64
-	// refused counts the records that name no upstream.
+	// invalidCount counts the records that describe no upstream.
 	invalidCount int64
-	// offset is where the newest change stands, and untold what the other hosts are to be told.
+	// offset is the offset of the newest change, unannounced holds the changes to announce to the other hosts, and
+	// previousOffset is the offset of the change before those.
 	offset         int64
 	unannounced    []cherrykeel.KeyedRecord
 	previousOffset int64
@@ -48,25 +49,25 @@
 
 type entry struct {
 	upstream cherrykeel.Upstream
-	// offset is of its newest record, since of the first that was read of this life: it tells which of two
-	// upstreams at one address is the later one, since the earlier one's entry may lapse long after the next one
-	// has registered.
+	// offset is the offset of the newest record, firstOffset that of the first record that was read of this
+	// incarnation. The first one shows which of two upstreams at one address is the later one, since the entry of the
+	// earlier one may expire long after the later one has registered.
 	offset      int64
 	firstOffset int64
-	// latest says that since is the newest record of this life and its first one may lie before it: it was found among
-	// the newest records of all keys.
+	// fromSnapshot means that firstOffset was read from a snapshot, which holds only the newest record of this
+	// incarnation: its first record may lie before it.
 	fromSnapshot bool
-	// missing says that the entry is gone from the store while that may be the store's own trouble.
+	// missing means that the store lacks the entry, possibly only because the store was unavailable.
 	missing bool
 	gone    bool
-	// ended says that its process is known to have ended.
+	// ended means that the process is known to have ended.
 	ended bool
 }
 
-// NewUpstreams returns a view that believes a missing entry when the store has been well for long enough
-// that the upstream had time to come back. Change is called when it changed, and
-// tell with the records of changes that this host found itself and the offset of the change before them; a
-// gone upstream's record has no value.
+// NewUpstreams returns a view that removes an upstream with a missing entry once the store has been available for so
+// long that the upstream could have registered again. It calls onChange after the list has changed, and announce with
+// the records of changes that this host has found itself and the offset of the change before them; the record of a gone
+// upstream has no value.
 func NewUpstreams(decode func(string, []byte) (cherrykeel.Upstream, error), clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(records []cherrykeel.KeyedRecord, before int64)) *Upstreams {
 	return &Upstreams{
 		decode: decode, clock: clock, logger: logger, onChange: onChange, announce: announce, offset: -1, previousOffset: -1,
@@ -74,14 +75,14 @@
 	}
 }
 
-// SetTopicAvailability tells where the topic's health is read.
+// SetTopicAvailability sets the function that returns how long the topic has been available.
 func (upstreams *Upstreams) SetTopicAvailability(availableFor func() time.Duration) {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	upstreams.availableFor = availableFor
 }
 
-// Apply takes what the topic brought.
+// Apply applies an update of the topic.
 func (upstreams *Upstreams) Apply(update Update) {
 	upstreams.mutex.Lock()
 	changed := false
@@ -107,7 +108,7 @@
 	upstreams.unlockAndNotify(changed)
 }
 
-// changed unlocks and tells of a change.
+// unlockAndNotify unlocks the mutex, calls onChange if there was a change, and announces what is unannounced.
 func (upstreams *Upstreams) unlockAndNotify(changed bool) {
 	unannounced := upstreams.unannounced
 	before := upstreams.previousOffset
@@ -122,14 +123,14 @@
 	}
 }
 
-// Offset returns where the newest change stands, or -1.
+// Offset returns the offset of the newest change, or -1.
 func (upstreams *Upstreams) Offset() int64 {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	return upstreams.offset
 }
 
-// end takes another host's word that an upstream is gone, unless this host has read of it since.
+// applyRemoval applies another host's report that an upstream is gone, unless this host has read a newer record.
 func (upstreams *Upstreams) applyRemoval(id string, offset int64) bool {
 	old, known := upstreams.entries[id]
 	if !known || old.gone || old.offset > offset {
@@ -150,7 +151,7 @@
 		zap.Duration("StoreWell", available), zap.Int64("Offset", entry.offset))
 }
 
-// RemoveMissing lets missing entries go whose upstreams had time to come back.
+// RemoveMissing removes the upstreams with missing entries that had time to register again.
 func (upstreams *Upstreams) RemoveMissing() {
 	upstreams.mutex.Lock()
 	changed := false
@@ -160,8 +161,8 @@
 	upstreams.unlockAndNotify(changed)
 }
 
-// Current returns the upstreams that are not gone, in order of their IDs; the list is not to be changed. The keeper
-// asks for it 40 times a second, so it is kept until an entry changes.
+// Current returns the upstreams that are not gone, ordered by ID; callers must not modify the list. It is cached until
+// an entry changes, since the keeper asks for it 40 times a second.
 func (upstreams *Upstreams) Current() []cherrykeel.Upstream {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
@@ -178,7 +179,7 @@
 	return upstreams.list
 }
 
-// MarkEnded takes it that an upstream's process has ended: another one has answered at its address.
+// MarkEnded records that an upstream's process has ended because another one has answered at its address.
 func (upstreams *Upstreams) MarkEnded(id string) {
 	upstreams.mutex.Lock()
 	old, known := upstreams.entries[id]
@@ -192,7 +193,7 @@
 	upstreams.unlockAndNotify(changed)
 }
 
-// IsLeaving reports whether a life of an upstream has said that it leaves, also after its end.
+// IsLeaving reports whether an incarnation of an upstream has announced that it is leaving, also after its end.
 func (upstreams *Upstreams) IsLeaving(id string, startedAt int64) bool {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
@@ -200,15 +201,15 @@
 	return exists && known.upstream.StartedAt == startedAt && known.upstream.Leaving
 }
 
-// InvalidCount returns how many entries named no upstream.
+// InvalidCount returns how many records described no upstream.
 func (upstreams *Upstreams) InvalidCount() int64 {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	return upstreams.invalidCount
 }
 
-// IsReplaced reports whether another upstream has registered at the address after the given one, or has answered there: its
-// process has therefore ended.
+// IsReplaced reports whether another upstream has registered at the address after the given one, or has answered there.
+// In both cases the process of the given one has ended.
 func (upstreams *Upstreams) IsReplaced(id, address string) bool {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
@@ -224,9 +225,10 @@
 	return false
 }
 
-// follows reports whether this entry's upstream surely came after the other's at their address. A host that reads the
-// newest records of all keys does not know where this one's first stands, and the last heartbeat of an upstream may be
-// carried out after the next one has registered; births have to agree then. They do not decide alone, since clocks differ.
+// isSuccessorOf reports whether this entry's upstream certainly came after the other's at their address. A host that
+// has read a snapshot does not know the offset of this one's first record, and the store may carry out the last
+// heartbeat of an upstream after the next one has registered; in that case the start times have to agree. Start times
+// do not decide alone, since clocks differ.
 func (entry *entry) isSuccessorOf(other *entry) bool {
 	if entry.firstOffset <= other.firstOffset {
 		return false
--- a/watch/zones.go
+++ b/watch/zones.go
@@ -9,8 +9,8 @@
 	"cherrykeel/events"
 )
 
-// Zones keeps which availability zones the operator has evacuated: the key of a zone's record is a prefix and the
-// zone's name, and the zone is taken back when the record is dropped.
+// Zones holds which availability zones the operator has evacuated. The key of a zone's record is a prefix and the
+// zone's name; the evacuation ends when the record is deleted.
 type Zones struct {
 	prefix   string
 	clock    cherrykeel.Clock
@@ -22,23 +22,25 @@
 	hasRead bool
 }
 
-// ZoneState is what the operator last ordered for an availability zone.
+// ZoneState is the operator's last order for an availability zone.
 type ZoneState struct {
+	// Evacuated reports whether the zone is evacuated; otherwise the evacuation has ended.
 	Evacuated bool
-	// Offset is where the order stands in the operator's topic.
+	// Offset is the offset of the order in the operator's topic.
 	Offset int64
-	// Since is when this host learned of the order; AtStart says that it may have been given long before.
+	// Since is when this host learned of the order; FoundAtStart means that it may have been given long before.
 	Since        cherrykeel.Instant
 	FoundAtStart bool
 }
 
-// NewZones returns a view that knows nothing; change is called when a zone was evacuated or taken back, and when the
-// topic has been read for the first time, and tell with each order that this host has read itself.
+// NewZones returns an empty view. It calls onChange when an evacuation begins or ends, and when the topic has been read
+// for the first time, and announce with each order that this host has read itself.
 func NewZones(prefix string, clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(cherrykeel.KeyedRecord)) *Zones {
 	return &Zones{prefix: prefix, clock: clock, logger: logger, onChange: onChange, changeTracker: newChangeTracker(announce), zones: map[string]ZoneState{}}
 }
 
-// HasRead reports whether this host has read the topic itself: until then a zone may be evacuated without its knowledge.
+// HasRead reports whether this host has read the topic itself; until then a zone may be evacuated without its
+// knowledge.
 func (zones *Zones) HasRead() bool {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
@@ -66,7 +68,7 @@
 	return evacuated
 }
 
-// Apply takes what the topic brought.
+// Apply applies an update of the topic.
 func (zones *Zones) Apply(update Update) {
 	zones.mutex.Lock()
 	orders := zones.orders(update)
@@ -85,8 +87,8 @@
 	zones.announceRead(update, changed...)
 }
 
-// orders returns the records about zones. The newest records of all keys lack those that were dropped, also when what
-// dropped them is no longer kept; such a zone was taken back by the end of what was read.
+// orders returns the records about zones. A snapshot lacks deleted records, and the record that deleted one may no
+// longer be kept; for a zone that the snapshot lacks, the evacuation has ended by the end of the snapshot.
 func (zones *Zones) orders(update Update) []cherrykeel.KeyedRecord {
 	var orders []cherrykeel.KeyedRecord
 	listed := map[string]bool{}
@@ -108,8 +110,8 @@
 	return orders
 }
 
-// take puts an order in force unless a later one for the zone is known, and reports whether it changes anything. A
-// take-back is remembered also by a host that missed the evacuation, which may still be told to it.
+// applyOrder applies an order unless a later one for the zone is known, and reports whether it changes anything. The
+// end of an evacuation is kept also by a host that missed its beginning, which another host may still send.
 func (zones *Zones) applyOrder(order cherrykeel.KeyedRecord, update Update) bool {
 	zone := strings.TrimPrefix(order.Key, zones.prefix)
 	before, known := zones.zones[zone]
