--- a/watch/fresh_test.go
+++ b/watch/fresh_test.go
@@ -17,23 +17,24 @@
 	readerInterval   = 400 * time.Millisecond
 	readTime         = 5 * time.Millisecond
 	fallbackInterval = 30 * time.Second
-	// noticeAfter is how long a host takes a store for well whose answers have stopped coming.
+	// storeTimeout is how long a host considers the store available after its answers have stopped.
 	storeTimeout = 300 * time.Millisecond
 )
 
-// reader is a host that reads one topic and reports how old its own reads are.
+// reader is a simulated host that reads one topic and reports when its last read began.
 type reader struct {
 	readAt     time.Duration
 	hangs      bool
 	hangsSince time.Duration
 	nextCheck  time.Duration
 	nextReport time.Duration
-	// heard has by host when its last report would have been young: the time at which its last read began.
+	// reportedReads has the start of each host's last read, by host, as of that host's last report.
 	reportedReads []time.Duration
 	reads         int
 }
 
-// pace returns how often a host of a rank reads that knows the topic as it was an age ago.
+// intervalPolicy returns the time between reads of a host with the given rank whose state of the topic has the given
+// age.
 type intervalPolicy func(rank int, age time.Duration) time.Duration
 
 // byAge is the policy of the package.
@@ -47,13 +48,14 @@
 	return fallbackInterval
 }
 
-// byRankOnly is the naive policy: two readers, whatever they achieve.
+// byRankOnly is the naive policy: two fixed readers, whether or not their reads succeed.
 func byRankOnly(rank int, _ time.Duration) time.Duration {
 	return []time.Duration{readerInterval, time.Second, fallbackInterval}[min(rank, 2)]
 }
 
-// youngest plays hosts of which the first ones lose the store at a time, and returns the greatest age that
-// the knowledge of any host had that kept it, and the reads of all.
+// simulate runs a number of hosts, of which the first ones lose the store at a random time. It returns the greatest age
+// of the topic's state at any host that still has the store, and the reads of all hosts. The other hosts go on counting
+// a lost one among the readers for the duration detection.
 func simulate(seed uint64, hosts, lost int, detection time.Duration, policy intervalPolicy) (oldest time.Duration, reads int) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	all := make([]*reader, hosts)
@@ -97,11 +99,11 @@
 	return oldest, reads
 }
 
-var _ = Describe("how old the knowledge of a topic may become", func() {
-	// An upstream says that it leaves; for 2 s after the store has taken that it may get work. The hosts that
-	// read for all have lost the store in that moment, two or more of them at once, and do not know it yet:
-	// their connections are silent. Whoever relies on them sends work to the upstream after its time.
-	It("keeps the bound however many readers are lost", func() {
+var _ = Describe("the age of a topic's state", func() {
+	// An upstream announces that it is leaving; it may get requests for 2 s after the store has recorded that. The
+	// hosts that read for all, two or more, lose the store at that moment and do not notice, since their connections
+	// are silent. Hosts that relied on them would send requests to the upstream after that time.
+	It("stays within the bound however many readers are lost", func() {
 		for seed := range uint64(50) {
 			for lost := range 9 {
 				oldest, _ := simulate(seed, 11, lost, 2*time.Second, byAge)
@@ -110,13 +112,13 @@
 		}
 	})
 
-	It("did not with two fixed readers that go silent one after the other", func() {
+	It("exceeds the bound with two fixed readers that both lose the store", func() {
 		oldest, _ := simulate(1, 11, 2, 2*time.Second, byRankOnly)
 		Expect(oldest).To(BeNumerically(">", drainBound))
 	})
 
-	// While all is well one host reads for all: 2.5 reads a second, and hardly one more by another host.
-	It("costs few reads while nothing is lost", func() {
+	// While all hosts are available, one host reads for all: 2.5 reads a second, and hardly one more by another host.
+	It("needs few reads while no reader is lost", func() {
 		total := 0
 		for seed := range uint64(50) {
 			_, reads := simulate(seed, 11, 0, 0, byAge)
@@ -125,7 +127,7 @@
 		Expect(total / 50).To(BeNumerically("<", 30))
 	})
 
-	It("lets the first ranks read first", func() {
+	It("lets hosts of lower rank read first", func() {
 		for rank := range 90 {
 			Expect(watch.IsReadOverdue(drainBound, rank, drainBound*3/4)).To(BeTrue())
 		}
--- a/watch/replaced_test.go
+++ b/watch/replaced_test.go
@@ -12,10 +12,10 @@
 )
 
 var _ = Describe("two upstreams at one address", func() {
-	// An upstream ends, and its last heartbeat is carried out seconds later, when the next one at its address has
-	// registered. A host that starts then finds the earlier one's record behind the later one's. Taken for replaced,
-	// the one that lives counts as ended there for good: its keys are given on while it holds them.
-	It("are told apart by their births too, if they say them, and not by which was read of last alone", func() {
+	// An upstream ends, and the store carries out its last heartbeat seconds later, after the next upstream has
+	// registered at its address. A host that starts then finds the earlier one's record behind the later one's. Guards
+	// against the later one counting as replaced for good: its keys would be transferred while it still holds them.
+	It("are ordered by their start times too, if known, and not by their offsets alone", func() {
 		startedAt := map[string]int64{"earlier": 1000, "later": 9000}
 		decode := func(id string, value []byte) (cherrykeel.Upstream, error) {
 			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: startedAt[id]}, nil
@@ -27,12 +27,12 @@
 	})
 })
 
-var _ = Describe("an upstream at the address of one that is gone", func() {
-	// Births are told by each machine's own time of day, and these differ. An upstream ends a second after its birth, its
-	// entry is gone, and 2 s later one registers at its address whose machine is 5 s behind. By its birth it
-	// came first, and counts as replaced for good on each host: the keeper grants it nothing, takes what it
-	// holds for free, and the table goes on naming it.
-	It("is not replaced by it, though its clock is behind", func() {
+var _ = Describe("an upstream at the address of a gone one", func() {
+	// Start times come from each machine's own clock, and the clocks differ. An upstream ends a second after its start,
+	// its entry is gone, and 2 s later another one registers at its address whose clock is 5 s behind. Guards against
+	// start times alone deciding: the later one would count as replaced for good at each host, and the keeper would
+	// grant it nothing and consider its keys free, while the table still names it.
+	It("does not count as replaced by it although its clock is behind", func() {
 		startedAt := map[string]int64{"earlier": 10000, "later": 8000}
 		decode := func(id string, value []byte) (cherrykeel.Upstream, error) {
 			return cherrykeel.Upstream{ID: id, Address: string(value), StartedAt: startedAt[id]}, nil
--- a/watch/table_test.go
+++ b/watch/table_test.go
@@ -14,8 +14,8 @@
 )
 
 var _ = Describe("the table of spans", func() {
-	// The keeper writes a new owner and grants it the keys a few milliseconds later. A request that is sent
-	// in between is refused and costs the retry budget, so it waits that long.
+	// The keeper writes a new owner and grants it the keys a few milliseconds later. A request that is sent in between
+	// would be refused and use up the retry budget, so it is held back for that time.
 	It("holds requests back until a new owner has its grant", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		view := watch.NewSpans(clock, zap.NewNop(), func() {}, func(spans.Table, int64) {})
@@ -29,7 +29,7 @@
 		clock.Advance(time.Second)
 		Expect(view.Owner("s", 7).InTransfer).To(BeFalse())
 		write("a", 2)
-		Expect(view.Owner("s", 7).InTransfer).To(BeFalse(), "the same owner goes on")
+		Expect(view.Owner("s", 7).InTransfer).To(BeFalse(), "the owner is the same")
 		write("b", 3)
 		Expect(view.Owner("s", 7).InTransfer).To(BeTrue())
 		clock.Advance(50 * time.Millisecond)
@@ -39,9 +39,9 @@
 		Expect(view.Owner("s", 7).ID).To(Equal("b"))
 	})
 
-	// Another writer's record stands in the table's place. A host that starts then finds no table; were it to claim
-	// at once it would deal all keys to new owners beside the old ones. It waits until none of those is left.
-	It("is not taken for empty while another writer's record stands there", func() {
+	// Another writer has overwritten the table's record. A host that starts then finds no table; if it claimed at once,
+	// it would grant all keys to new owners beside the old ones. It waits until no lease of those can be left.
+	It("does not count as empty while another writer's record is in its place", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		view := watch.NewSpans(clock, zap.NewNop(), func() {}, func(spans.Table, int64) {})
 		for offset, value := range []string{`{}`, `[]`, `{"Term":-3}`, `{"Term":0,"Services":{"s":[{"First":9,"Last":3,"Owner":"a"}]}}`, "\xff"} {
@@ -56,9 +56,9 @@
 		Expect(next).To(Equal(int64(5)))
 	})
 
-	// Hosts are told what a move changed, and datagrams are lost. A change that follows a version that the
-	// host has not seen must not be laid over the one it knows: keys would have an owner that they never had.
-	It("takes a told change only if it follows the version known", func() {
+	// Hosts receive the changes of the table as datagrams, some of which are lost. A change that is based on a version
+	// which the host lacks must not be applied to an older one: keys would get an owner that they never had.
+	It("applies a received change only if it is based on the known version", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		var announced []spans.Table
 		var befores []int64
@@ -77,11 +77,11 @@
 		Expect(announced).To(HaveLen(3))
 		reader := watch.NewSpans(clock, zap.NewNop(), func() {}, func(spans.Table, int64) {})
 		Expect(reader.ApplyChange(announced[0], befores[0])).To(BeTrue())
-		Expect(reader.ApplyChange(announced[2], befores[2])).To(BeFalse(), "the second was lost")
+		Expect(reader.ApplyChange(announced[2], befores[2])).To(BeFalse(), "the second change was lost")
 		Expect(reader.Owner("s", 7).ID).To(Equal("a"))
 		Expect(reader.ApplyChange(announced[1], befores[1])).To(BeTrue())
 		Expect(reader.ApplyChange(announced[2], befores[2])).To(BeTrue())
-		Expect(reader.ApplyChange(announced[1], befores[1])).To(BeTrue(), "one that comes again changes nothing")
+		Expect(reader.ApplyChange(announced[1], befores[1])).To(BeTrue(), "a repeated change has no effect")
 		want, _, _ := writer.Current()
 		got, _, _ := reader.Current()
 		Expect(got).To(Equal(want))
--- a/watch/upstreams_test.go
+++ b/watch/upstreams_test.go
@@ -13,12 +13,12 @@
 	"cherrykeel/watch"
 )
 
-var _ = Describe("the upstreams", func() {
+var _ = Describe("the view of the upstreams", func() {
 	var (
 		view      *watch.Upstreams
 		available time.Duration
 		announced []cherrykeel.KeyedRecord
-		// before is the offset of the change before the ones last told.
+		// before is the offset of the change before the ones that were announced last.
 		before int64
 	)
 
@@ -45,15 +45,15 @@
 		return names
 	}
 
-	It("go when their entry is dropped while the store is well", func() {
+	It("removes one whose entry is deleted while the store is available", func() {
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "", 3)}})
 		Expect(names()).To(Equal([]string{"b"}))
 		Expect(announced[len(announced)-1]).To(Equal(cherrykeel.KeyedRecord{Key: "a", Offset: 3}))
 	})
 
-	// The store was away for long. Entries lapsed of servers that live, and each is written again within two
-	// seconds of the store's return. Taken for gone, all servers would lose their requests at once.
-	It("stay for a while when their entry lapsed in the store's trouble", func() {
+	// The store was unavailable for long. Entries of running upstreams have expired, and each is written again within
+	// two seconds of the store's return. If they counted as gone, all upstreams would lose their requests at once.
+	It("keeps one for a while whose entry expired while the store was unavailable", func() {
 		available = 100 * time.Millisecond
 		view.Apply(watch.Update{Snapshot: true, Next: 9, Records: []cherrykeel.KeyedRecord{record("b", "10.0.0.2:1", 8)}})
 		Expect(names()).To(Equal([]string{"a", "b"}))
@@ -63,7 +63,7 @@
 		Expect(names()).To(Equal([]string{"a", "b"}))
 	})
 
-	It("go when the store has been back for long enough and they are not", func() {
+	It("removes one that is still missing when the store has been available for long enough", func() {
 		available = 100 * time.Millisecond
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "", 3)}})
 		view.RemoveMissing()
@@ -73,22 +73,20 @@
 		Expect(names()).To(Equal([]string{"b"}))
 	})
 
-	// A message that tells of a change is lost, the next one arrives. It names the change before its own, so
-	// the host that gets it knows that it has missed one and reads the store; else an upstream that leaves
-	// would get work until the next slow read, 15 s later.
-	// A server crashes behind a cut and starts again at its address. Its new life registers, and later the
-	// entry of the old one lapses. Were that lapse taken for a newer registration, the new life would count
-	// as ended while it works, and its keys would go to another server beside it.
-	It("are not ended by the lapse of an earlier life at their address", func() {
+	// An upstream crashes while it is cut off and starts again at its address. The new process registers, and later the
+	// entry of the old one expires. If that counted as a newer registration, the new process would count as ended while
+	// it works, and its keys would be granted to another upstream as well.
+	It("does not consider one replaced when the entry of an earlier one at its address expires", func() {
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("c", "10.0.0.1:1", 5)}})
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "", 9)}})
 		Expect(view.IsReplaced("a", "10.0.0.1:1")).To(BeTrue())
 		Expect(view.IsReplaced("c", "10.0.0.1:1")).To(BeFalse())
 	})
 
-	// A server crashes and starts again under its ID, knowing nothing. A late word of its earlier life, that it
-	// leaves, would take the new one out of use; and one that was called ended was never believed again.
-	It("come back with a new life, which an earlier one's record does not change", func() {
+	// An upstream crashes and starts again under its ID. Guards against a late record of its earlier incarnation, which
+	// is leaving, that takes the new one out of use, and against an upstream that stays marked as ended after its
+	// restart.
+	It("accepts a new incarnation, which a record of an earlier one does not change", func() {
 		decode := func(id string, value []byte) (cherrykeel.Upstream, error) {
 			var upstream cherrykeel.Upstream
 			err := json.Unmarshal(value, &upstream)
@@ -110,7 +108,7 @@
 		Expect(view.Current()).To(Equal([]cherrykeel.Upstream{{ID: "a", StartedAt: 200}}))
 	})
 
-	It("hold when another writer's entry stands in the place of one", func() {
+	It("keeps one whose entry another writer has overwritten", func() {
 		view = watch.NewUpstreams(func(id string, value []byte) (cherrykeel.Upstream, error) {
 			if string(value) == "?" {
 				return cherrykeel.Upstream{}, errors.New("no upstream")
@@ -124,10 +122,13 @@
 		Expect(names()).To(Equal([]string{"a", "b"}))
 		Expect(view.InvalidCount()).To(Equal(int64(2)))
 		view.Apply(watch.Update{Snapshot: true, Records: whole})
-		Expect(view.InvalidCount()).To(Equal(int64(2)), "each is counted once")
+		Expect(view.InvalidCount()).To(Equal(int64(2)), "each invalid record is counted once")
 	})
 
-	It("tell of a change together with the one before", func() {
+	// Announcements are datagrams, and one may be lost. The next one has the offset of the change before its own, so that a
+	// host which lacks that change reads the store; otherwise a leaving upstream would get requests until the next of the
+	// infrequent reads, 15 s later.
+	It("announces a change together with the offset of the one before", func() {
 		Expect(before).To(Equal(int64(-1)))
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "10.0.0.1:1", 3), record("b", "leaving", 4)}})
 		Expect(before).To(Equal(int64(2)))
@@ -136,21 +137,21 @@
 		Expect(view.Offset()).To(Equal(int64(8)))
 	})
 
-	It("are not brought back by an older record", func() {
+	It("does not bring one back for an older record", func() {
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "", 5)}})
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "10.0.0.1:1", 4)}})
 		Expect(names()).To(Equal([]string{"b"}))
 	})
 
-	It("go on another host's word, unless this host has read of them since", func() {
+	It("removes one that another host reports as gone, unless it has read a newer record", func() {
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("b", "10.0.0.2:1", 7)}})
 		view.Apply(watch.Update{FromPeer: true, Records: []cherrykeel.KeyedRecord{record("a", "", 1), record("b", "", 2)}})
 		Expect(names()).To(Equal([]string{"b"}))
 	})
 
-	// Another server answers at the address. The one before has ended whatever its entry says, holds no key
-	// any more, and does not come back with a late heartbeat.
-	It("end when another one answers at their address", func() {
+	// Another upstream answers at the address. The one before has ended whatever its entry says: it holds no keys any
+	// more, and a late heartbeat must not bring it back.
+	It("considers one replaced when another one answers at its address", func() {
 		view.MarkEnded("a")
 		view.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("a", "10.0.0.1:1", 9)}})
 		Expect(names()).To(Equal([]string{"b"}))
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -24,7 +24,7 @@
 
 const generous = "20s"
 
-// scriptedLog answers as the test sets it.
+// scriptedLog is a topic whose answers the test sets.
 type scriptedLog struct {
 	mutex  sync.Mutex
 	newest func() (cherrykeel.KeyedBatch, error)
@@ -81,10 +81,10 @@
 		}}
 	})
 
-	// A read waits for the next change on a connection that has gone silent. The change is in the store, but
-	// this host serves by the old settings until its time-out. When another host reports that it knows more,
-	// the waiting read is given up and made anew.
-	It("gives up a read that hangs when another host knows more", func() {
+	// A read waits for the next change on a connection that has gone silent. The change is in the store, but this host
+	// would use the old settings until the read times out. When another host reports a newer record, the waiting read
+	// is canceled and repeated.
+	It("cancels a read that hangs when another host has a newer record", func() {
 		hanging := make(chan struct{}, 1)
 		log.read = func(ctx context.Context, _ int64) (cherrykeel.KeyedBatch, error) {
 			hanging <- struct{}{}
@@ -108,12 +108,12 @@
 		var update watch.Update
 		Eventually(updates, generous).Should(Receive(&update))
 		Expect(update.Records[0].Offset).To(Equal(int64(5)))
-		Expect(follower.AvailableFor()).NotTo(BeZero(), "an interrupted read says nothing of the store")
+		Expect(follower.AvailableFor()).NotTo(BeZero(), "an interrupted read is not a failure of the store")
 	})
 
-	// A host of a sixth of a core needs a tenth of a second to put 659 upstreams in force. Guards against one that is ready
-	// in that time, and refuses callers since it knows no upstream.
-	It("has applied a topic only when what was read first is in force", func() {
+	// A host with a sixth of a core needs a tenth of a second to apply 659 upstreams. Guards against a host that is
+	// ready in that time and refuses callers because it knows no upstream.
+	It("has applied the snapshot only when apply has returned", func() {
 		begun := make(chan struct{})
 		release := make(chan struct{})
 		follower := watch.NewFollower("topic", log, cherrykeel.SystemClock(), zap.NewNop(), func(watch.Update) {
@@ -130,8 +130,8 @@
 		Eventually(follower.HasAppliedSnapshot, generous).Should(BeTrue())
 	})
 
-	// A host is nudged when another one reports a change, however seldom it looks for a closer schedule by itself.
-	It("reads at once when it is nudged while it rests, and looks no more often than its schedule asks for", func() {
+	// Another host reports a change; the read is due at once, however seldom this host rechecks its schedule.
+	It("reads at once when it is triggered between two reads, and rechecks its schedule no more often than that asks for", func() {
 		var looks atomic.Int64
 		reads := make(chan struct{}, 100)
 		log.read = func(_ context.Context, from int64) (cherrykeel.KeyedBatch, error) {
@@ -151,8 +151,9 @@
 		Eventually(reads, generous).Should(Receive())
 	})
 
-	// Guards against hundreds of hosts that all try an absent store twice a second, and against one that sleeps on.
-	It("tries more seldom if it has patience while the store is away, and at once when it is nudged", func() {
+	// Guards against hundreds of hosts that all call an unavailable store twice a second, and against one that goes on
+	// waiting when another host reports a change.
+	It("waits longer with a backoff factor while the store is unavailable, and reads at once when it is triggered", func() {
 		var tries atomic.Int64
 		log.newest = func() (cherrykeel.KeyedBatch, error) {
 			tries.Add(1)
@@ -165,8 +166,8 @@
 		Eventually(tries.Load, generous).Should(Equal(int64(2)))
 	})
 
-	// The store answers with a state older than one that was read: what it lacks is not gone.
-	It("does not take an older state for news", func() {
+	// The store answers with a state older than one that was read; what this state lacks has not been deleted.
+	It("does not apply an older state", func() {
 		var mutex sync.Mutex
 		next := int64(9)
 		log.newest = func() (cherrykeel.KeyedBatch, error) {
@@ -190,7 +191,7 @@
 		Expect(follower.NextOffset()).To(Equal(int64(9)))
 	})
 
-	It("goes on by itself when the store is back, and says since when it is well", func() {
+	It("reads on by itself when the store is available again, and counts as unavailable until then", func() {
 		var mutex sync.Mutex
 		unavailable := true
 		log.newest = func() (cherrykeel.KeyedBatch, error) {
@@ -212,7 +213,7 @@
 		Expect(follower.HasRead()).To(BeTrue())
 	})
 
-	It("counts told records as read only if none is missing before them", func() {
+	It("counts received records as read only if none is missing before them", func() {
 		follower, updates := follow(log, watch.Schedule{Interval: time.Hour})
 		Eventually(updates, generous).Should(Receive())
 		follower.ApplyReceived([]cherrykeel.KeyedRecord{record("k", "2", 5), record("k", "3", 6)})
@@ -226,9 +227,9 @@
 })
 
 var _ = Describe("the routes", func() {
-	// A reader that lags, or another host, offers an older version. A host that went back to it would
-	// handle requests by settings that the operator has replaced.
-	It("never go back", func() {
+	// A reader that is behind, or another host, offers an older version. A host that went back to it would handle
+	// requests by settings that the operator has replaced.
+	It("never go back to an older version", func() {
 		var versions []int64
 		announced := 0
 		decode := func(value []byte) (cherrykeel.RouteSet, error) {
@@ -242,7 +243,7 @@
 		routes.Apply(watch.Update{Records: []cherrykeel.KeyedRecord{record("config", `{"Version":4}`, 3), record("config", "{", 4)}})
 		routes.Apply(watch.Update{FromPeer: true, Records: []cherrykeel.KeyedRecord{record("config", `{"Version":9}`, 5)}})
 		Expect(versions).To(Equal([]int64{5, 9}))
-		Expect(announced).To(Equal(1), "only what this host read itself is passed on")
+		Expect(announced).To(Equal(1), "only records that this host has read itself are announced")
 		Expect(routes.Offset()).To(Equal(int64(5)))
 	})
 })
--- a/watch/zones_test.go
+++ b/watch/zones_test.go
@@ -36,7 +36,7 @@
 		view.Apply(watch.Update{Records: records, Snapshot: true, Next: next})
 	}
 
-	It("are known once this host has read the topic itself", func() {
+	It("count as read only once this host has read the topic itself", func() {
 		receive(record("evacuate/a", "{}", 3))
 		Expect(evacuated("a")).To(BeTrue())
 		Expect(view.HasRead()).To(BeFalse())
@@ -45,7 +45,7 @@
 		Expect(calls).To(Equal(2))
 	})
 
-	It("are each on their own, also two at once", func() {
+	It("are evacuated independently of each other, also two at once", func() {
 		whole(1)
 		read(record("evacuate/a", "{}", 3), record("config", "x", 4), record("evacuate/b", "{}", 5))
 		read(record("evacuate/a", "", 6))
@@ -55,9 +55,9 @@
 		Expect(announced).To(HaveLen(3))
 	})
 
-	// Guards against a datagram that comes late and evacuates a zone that was taken back, also at a host that has missed
-	// the evacuation.
-	It("stay taken back when an older order comes late", func() {
+	// Guards against a datagram that arrives late and evacuates a zone again whose evacuation has ended, also at a host
+	// that has missed the evacuation.
+	It("stay in service when an older order arrives late", func() {
 		whole(1)
 		receive(record("evacuate/a", "", 6))
 		receive(record("evacuate/a", "{}", 5))
@@ -66,8 +66,9 @@
 		Expect(state.Offset).To(Equal(int64(6)))
 	})
 
-	// Guards against a zone that stays evacuated for ever, since the record that took it back is no longer kept.
-	It("are taken back if the newest records of all keys lack them", func() {
+	// Guards against a zone that stays evacuated for ever because the record that ended its evacuation is no longer
+	// kept.
+	It("are back in service if a snapshot lacks them", func() {
 		whole(1)
 		read(record("evacuate/a", "{}", 3))
 		clock.Advance(100)
@@ -78,7 +79,7 @@
 		Expect(announced[len(announced)-1]).To(Equal(cherrykeel.KeyedRecord{Key: "evacuate/a", Offset: 8}))
 	})
 
-	It("keep the time of the first order while it is repeated", func() {
+	It("keep the time of the first order when it is repeated", func() {
 		whole(1)
 		read(record("evacuate/a", "{}", 3))
 		clock.Advance(100)
@@ -87,7 +88,7 @@
 		Expect(state).To(Equal(watch.ZoneState{Evacuated: true, Offset: 4, Since: 100}))
 	})
 
-	It("found at the start may have been evacuated for long", func() {
+	It("are marked if the order was found at the start", func() {
 		whole(4, record("evacuate/a", "{}", 3))
 		state, _ := view.State("a")
 		Expect(state.FoundAtStart).To(BeTrue())
