--- a/hangup/doc.go
+++ b/hangup/doc.go
@@ -1,2 +1,2 @@
-// Package hangup takes SIGHUP for a process that reads its settings again by it.
+// Package hangup receives SIGHUP for a process that rereads its settings on that signal.
 package hangup
--- a/hangup/hangup.go
+++ b/hangup/hangup.go
@@ -8,18 +8,18 @@
 
 var signals = make(chan os.Signal, 1)
 
-// The signal is taken while packages are initialised, this one among the first: a signal that came before the program
-// took it ended the process, and on a busy machine that was half a second.
+// The signal is received from the initialization of packages on, of which this one is among the first. A signal that
+// came before the program received it ended the process, and on a busy machine that was possible for half a second.
 func init() {
 	signal.Notify(signals, syscall.SIGHUP)
 }
 
-// Signals gives a value after the signal has come.
+// Signals returns the channel that gets a value after a SIGHUP.
 func Signals() <-chan os.Signal {
 	return signals
 }
 
-// RestoreDefault lets the signal end the process, as is usual when a terminal is closed.
+// RestoreDefault restores the default action of SIGHUP, which ends the process, as is usual when a terminal is closed.
 func RestoreDefault() {
 	signal.Reset(syscall.SIGHUP)
 }
--- a/hangup/hangup_test.go
+++ b/hangup/hangup_test.go
@@ -17,8 +17,8 @@
 }
 
 var _ = Describe("a process that imports the package", func() {
-	// Guards against a host that is told of new settings while it starts, and ends by the signal.
-	It("takes the signal without a call", func() {
+	// Guards against a host that gets the signal for new settings while it starts, and is ended by it.
+	It("receives the signal without a call", func() {
 		Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
 		Eventually(hangup.Signals(), "10s").Should(Receive(Equal(syscall.SIGHUP)))
 	})
