--- a/entry/announce.go
+++ b/entry/announce.go
@@ -13,53 +13,53 @@
 )
 
 const (
-	announcePause = 300 * time.Millisecond
+	announceInterval = 300 * time.Millisecond
 	// longestAnnouncePause bounds the pauses while the store does not take the announcement: refused calls
 	// have their price too, and the others miss this host for no longer than that after its return.
-	longestAnnouncePause = 1200 * time.Millisecond
+	maxAnnounceInterval = 1200 * time.Millisecond
 	// peersPace bounds how often a changed list of hosts is put in force. When all hosts start at once each hears of all
 	// others one by one, and 195 lists put in force took 107 ms of a core, two thirds of a second of a small host's, in
 	// which it was not ready. Loads and reports are sent each 80 ms at the soonest, so that none waits for it.
-	peersPace = 50 * time.Millisecond
+	peersInterval = 50 * time.Millisecond
 )
 
 // announce tells the other hosts of this one, again if its record is dropped.
-func (host *Host) announce(ctx context.Context) {
+func (host *Host) announceSelf(ctx context.Context) {
 	value, err := watch.EncodePeer(host.self)
 	if err != nil {
 		events.Log(host.logger, events.WriteFailed, zap.Error(err))
 		return
 	}
-	wait := announcePause
+	interval := announceInterval
 	written := int64(-1)
 	for ctx.Err() == nil {
-		life, _ := host.peers.Incarnation(host.self.Name)
-		if life != host.self.Incarnation && !host.stopping.Load() {
+		incarnation, _ := host.peers.Incarnation(host.self.Name)
+		if incarnation != host.self.Incarnation && !host.stopping.Load() {
 			offset, err := host.platform.Hosts.Put(ctx, host.self.Name, value)
 			if err != nil {
 				events.Log(host.logger, events.WriteFailed, zap.String("Key", host.self.Name), zap.Error(err))
-				wait = min(2*wait, longestAnnouncePause)
+				interval = min(2*interval, maxAnnounceInterval)
 			} else {
-				wait = announcePause
+				interval = announceInterval
 				written = offset
 				host.topics.hosts.ApplyReceived([]cherrykeel.KeyedRecord{{Key: host.self.Name, Value: value, Offset: offset}})
 				host.mesh.Announce(topicHosts, []cherrykeel.KeyedRecord{{Key: host.self.Name, Value: value, Offset: offset}}, share.NoPreviousChange)
 			}
 		}
-		host.readBefore(written)
-		pause(ctx, wait)
+		host.readEarlierHosts(written)
+		sleepContext(ctx, interval)
 	}
 }
 
 // readBefore reads the hosts' records if there are any before this host's own that it does not know. Hosts that start at
 // the same moment have read them before any had written its own, and nobody else may be there to tell them.
-func (host *Host) readBefore(written int64) {
-	if host.overdue(ownRecord, host.topics.hosts.NextOffset()-1, written, host.clock.Now()) {
+func (host *Host) readEarlierHosts(written int64) {
+	if host.isReadDue(ownRecord, host.topics.hosts.NextOffset()-1, written, host.clock.Now()) {
 		host.topics.hosts.TriggerRead()
 	}
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleepContext(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -69,29 +69,29 @@
 }
 
 // putPeersInForce passes on the hosts there are. Calls follow each other, so that the last one knows all changes.
-func (host *Host) putPeersInForce() {
-	host.passing.Lock()
-	defer host.passing.Unlock()
+func (host *Host) applyPeers() {
+	host.peersMutex.Lock()
+	defer host.peersMutex.Unlock()
 	peers := host.peers.Current()
-	newcomers := host.takeLives(peers)
+	newcomers := host.recordIncarnations(peers)
 	host.mesh.SetPeers(peers)
-	if host.coldUpstreams() > 0 {
-		host.putUpstreamsInForce()
+	if host.countColdUpstreams() > 0 {
+		host.applyUpstreams()
 	}
 	if newcomers {
-		host.joined.ask()
+		host.newcomersThrottle.trigger()
 	}
 }
 
 // takeLives notes the hosts' lives, and reports whether there are new ones among them.
-func (host *Host) takeLives(peers []cherrykeel.Peer) bool {
+func (host *Host) recordIncarnations(peers []cherrykeel.Peer) bool {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	before := host.lives
+	before := host.incarnations
 	newcomers := false
-	host.lives = map[string]string{}
+	host.incarnations = map[string]string{}
 	for _, peer := range peers {
-		host.lives[peer.Name] = peer.Incarnation
+		host.incarnations[peer.Name] = peer.Incarnation
 		newcomers = newcomers || before[peer.Name] != peer.Incarnation
 	}
 	return newcomers
--- a/entry/bare_test.go
+++ b/entry/bare_test.go
@@ -43,7 +43,7 @@
 func (emptyLog) PutAt(context.Context, string, []byte, int64) error { return nil }
 
 // bareHost is a host that follows nothing yet; change may give it other topics and decoders.
-func bareHost(change func(platform *Platform)) *Host {
+func unstartedHost(change func(platform *Platform)) *Host {
 	platform := Platform{
 		Dialect: noDialect{}, Operator: emptyLog{}, Upstreams: emptyLog{}, Hosts: emptyLog{}, Spans: emptyLog{},
 		RoutesKey: "routes", EvacuationPrefix: "evacuate/",
--- a/entry/calls_test.go
+++ b/entry/calls_test.go
@@ -19,49 +19,49 @@
 }
 
 // allHeard is a fleet in which nobody is silent.
-type allHeard struct{}
+type allReachable struct{}
 
-func (allHeard) IsUnreachable(string) bool      { return false }
-func (allHeard) IsStoreUnreachable(string) bool { return false }
+func (allReachable) IsUnreachable(string) bool      { return false }
+func (allReachable) IsStoreUnreachable(string) bool { return false }
 
 // fleet is 200 hosts in six availability zones that tell each other of changes by datagrams, 5% of which are lost.
 type fleet struct {
-	random *rand.Rand
-	plans  map[string]topo.Plan
-	order  []string
-	known  map[string]int64
-	behind map[string]*behind
-	reads  int
+	random  *rand.Rand
+	plans   map[string]topo.Plan
+	order   []string
+	known   map[string]int64
+	missing map[string]*missingChange
+	reads   int
 }
 
 const (
-	fleetHosts  = 200
-	lostShare   = 0.05
-	reportPace  = 500 * time.Millisecond
-	lookingPace = 250 * time.Millisecond
+	fleetHosts     = 200
+	lostShare      = 0.05
+	reportInterval = 500 * time.Millisecond
+	checkInterval  = 250 * time.Millisecond
 )
 
 func newFleet() *fleet {
-	fleet := &fleet{random: rand.New(rand.NewPCG(3, 5)), plans: map[string]topo.Plan{}, known: map[string]int64{}, behind: map[string]*behind{}}
+	fleet := &fleet{random: rand.New(rand.NewPCG(3, 5)), plans: map[string]topo.Plan{}, known: map[string]int64{}, missing: map[string]*missingChange{}}
 	var peers []cherrykeel.Peer
 	for i := range fleetHosts {
 		peers = append(peers, cherrykeel.Peer{Name: fmt.Sprintf("host-%d", i), Zone: fmt.Sprintf("zone-%d", i%6), Capacity: 0.16})
 	}
 	for _, peer := range peers {
-		fleet.plans[peer.Name] = topo.New(peer.Name, peers, allHeard{})
+		fleet.plans[peer.Name] = topo.New(peer.Name, peers, allReachable{})
 		fleet.known[peer.Name] = -1
-		fleet.behind[peer.Name] = &behind{}
+		fleet.missing[peer.Name] = &missingChange{}
 	}
 	fleet.order = fleet.plans[peers[0].Name].Order
 	return fleet
 }
 
-func (fleet *fleet) arrives() bool { return fleet.random.Float64() >= lostShare }
+func (fleet *fleet) isDelivered() bool { return fleet.random.Float64() >= lostShare }
 
 // tell passes on changes, each of which follows the one before, as share.Mesh.Tell does.
-func (fleet *fleet) tell(teller string, records []cherrykeel.KeyedRecord, before int64) {
-	take := func(name string) {
-		if !fleet.arrives() {
+func (fleet *fleet) announce(sender string, records []cherrykeel.KeyedRecord, before int64) {
+	receive := func(name string) {
+		if !fleet.isDelivered() {
 			return
 		}
 		follows := before
@@ -72,40 +72,40 @@
 			follows = record.Offset
 		}
 	}
-	fleet.known[teller] = records[len(records)-1].Offset
-	for _, name := range fleet.plans[teller].Group {
-		take(name)
+	fleet.known[sender] = records[len(records)-1].Offset
+	for _, name := range fleet.plans[sender].Group {
+		receive(name)
 	}
-	for _, relay := range fleet.plans[teller].Forwarders {
-		if !fleet.arrives() {
+	for _, forwarder := range fleet.plans[sender].Forwarders {
+		if !fleet.isDelivered() {
 			continue
 		}
-		take(relay)
-		for _, name := range fleet.plans[relay].Group {
-			take(name)
+		receive(forwarder)
+		for _, name := range fleet.plans[forwarder].Group {
+			receive(name)
 		}
 	}
 }
 
 // look lets each host see what the teller reports, and counts the reads that follow.
-func (fleet *fleet) look(teller string, now time.Duration) {
+func (fleet *fleet) checkReports(sender string, now time.Duration) {
 	for _, name := range fleet.order {
-		if fleet.behind[name].overdue(fleet.known[name], fleet.known[teller], cherrykeel.Instant(now)) {
+		if fleet.missing[name].isReadDue(fleet.known[name], fleet.known[sender], cherrykeel.Instant(now)) {
 			fleet.reads++
-			fleet.known[name] = fleet.known[teller]
+			fleet.known[name] = fleet.known[sender]
 		}
 	}
 }
 
 // play tells a change at each pace and looks on for two seconds after the last one.
-func (fleet *fleet) play(changes int, pace time.Duration, tell func(teller string, offset int64)) {
-	teller := fleet.order[0]
-	for now := time.Duration(0); now < time.Duration(changes)*pace+2*time.Second; now += 10 * time.Millisecond {
-		if now%pace == 0 && int(now/pace) < changes {
-			tell(teller, int64(now/pace))
+func (fleet *fleet) run(changes int, interval time.Duration, announce func(sender string, offset int64)) {
+	sender := fleet.order[0]
+	for now := time.Duration(0); now < time.Duration(changes)*interval+2*time.Second; now += 10 * time.Millisecond {
+		if now%interval == 0 && int(now/interval) < changes {
+			announce(sender, int64(now/interval))
 		}
-		if now%lookingPace == 0 {
-			fleet.look(teller, now)
+		if now%checkInterval == 0 {
+			fleet.checkReports(sender, now)
 		}
 	}
 }
@@ -117,9 +117,9 @@
 	It("are few for 20 tables, since changes are told again with the next", func() {
 		fleet := newFleet()
 		var recent recentChanges
-		fleet.play(20, 100*time.Millisecond, func(teller string, offset int64) {
-			records, before := recent.with(cherrykeel.KeyedRecord{Offset: offset}, offset-1)
-			fleet.tell(teller, records, before)
+		fleet.run(20, 100*time.Millisecond, func(sender string, offset int64) {
+			records, before := recent.add(cherrykeel.KeyedRecord{Offset: offset}, offset-1)
+			fleet.announce(sender, records, before)
 		})
 		Expect(fleet.reads).To(BeNumerically("<=", 20))
 		for name, known := range fleet.known {
@@ -130,8 +130,8 @@
 	// Upstreams change seldom, so nobody is told twice; who missed a change reads the store, once.
 	It("are few for 20 changes of upstreams", func() {
 		fleet := newFleet()
-		fleet.play(20, time.Second, func(teller string, offset int64) {
-			fleet.tell(teller, []cherrykeel.KeyedRecord{{Offset: offset}}, offset-1)
+		fleet.run(20, time.Second, func(sender string, offset int64) {
+			fleet.announce(sender, []cherrykeel.KeyedRecord{{Offset: offset}}, offset-1)
 		})
 		Expect(fleet.reads).To(BeNumerically("<=", 120), "in place of 200 a change")
 		for name, known := range fleet.known {
@@ -143,7 +143,7 @@
 var _ = Describe("reads of what others tell", func() {
 	// At one pace for all, 195 hosts made 26 calls a second in which nothing was found.
 	DescribeTable("are as many in a second however many hosts there are", func(hosts int) {
-		perSecond := float64(hosts) / seldom(hosts).Seconds()
+		perSecond := float64(hosts) / fallbackIntervalOf(hosts).Seconds()
 		Expect(perSecond).To(BeNumerically("<=", 0.41), "by topic")
 	},
 		Entry("few", 8), Entry("some", 18), Entry("dozens", 72), Entry("hundreds", 195), Entry("thousands", 6600),
@@ -151,7 +151,7 @@
 
 	It("stay as close as they were among few hosts", func() {
 		for hosts := range fewHosts + 1 {
-			Expect(seldom(hosts)).To(Equal(30 * time.Second))
+			Expect(fallbackIntervalOf(hosts)).To(Equal(30 * time.Second))
 		}
 	})
 })
@@ -162,19 +162,19 @@
 	}
 
 	It("waits to be told, then reads, and again if that did not help", func() {
-		var behind behind
-		Expect(behind.overdue(4, 5, at(0))).To(BeFalse())
-		Expect(behind.overdue(4, 6, at(200))).To(BeFalse())
-		Expect(behind.overdue(4, 7, at(260))).To(BeTrue(), "the first one that it lacks counts, however many follow")
-		Expect(behind.overdue(4, 7, at(300))).To(BeFalse())
-		Expect(behind.overdue(4, 7, at(520))).To(BeTrue())
+		var missing missingChange
+		Expect(missing.isReadDue(4, 5, at(0))).To(BeFalse())
+		Expect(missing.isReadDue(4, 6, at(200))).To(BeFalse())
+		Expect(missing.isReadDue(4, 7, at(260))).To(BeTrue(), "the first one that it lacks counts, however many follow")
+		Expect(missing.isReadDue(4, 7, at(300))).To(BeFalse())
+		Expect(missing.isReadDue(4, 7, at(520))).To(BeTrue())
 	})
 
 	It("does not read when it was told meanwhile", func() {
-		var behind behind
-		Expect(behind.overdue(4, 5, at(0))).To(BeFalse())
-		Expect(behind.overdue(5, 6, at(200))).To(BeFalse())
-		Expect(behind.overdue(5, 6, at(300))).To(BeFalse(), "what it lacks now it has lacked for 100 ms")
-		Expect(behind.overdue(6, 6, at(460))).To(BeFalse())
+		var missing missingChange
+		Expect(missing.isReadDue(4, 5, at(0))).To(BeFalse())
+		Expect(missing.isReadDue(5, 6, at(200))).To(BeFalse())
+		Expect(missing.isReadDue(5, 6, at(300))).To(BeFalse(), "what it lacks now it has lacked for 100 ms")
+		Expect(missing.isReadDue(6, 6, at(460))).To(BeFalse())
 	})
 })
--- a/entry/counts.go
+++ b/entry/counts.go
@@ -10,7 +10,7 @@
 
 // gatherPace is how often the other hosts' counts are summed up at the most. Counts are 80 to 320 ms old in any case;
 // the head of a group of 24 gets some 250 messages with counts a second, each of which was summed up for all upstreams.
-const gatherPace = 20 * time.Millisecond
+const countsInterval = 20 * time.Millisecond
 
 // shortNames are the names under which upstreams stand in counts, worked out when the upstreams change.
 type shortNames map[string]string
@@ -24,7 +24,7 @@
 }
 
 // full returns counts by the upstreams' whole names; what no upstream here is called by is left out.
-func (names shortNames) full(counts map[string]int) map[string]int {
+func (names shortNames) expand(counts map[string]int) map[string]int {
 	full := make(map[string]int, len(counts))
 	for short, count := range counts {
 		id, known := names[short]
@@ -36,14 +36,14 @@
 }
 
 // gather takes what the other hosts do.
-func (host *Host) gather() {
+func (host *Host) updateOtherCounts() {
 	sums := host.mesh.OtherCounts()
-	names := *host.names.Load()
-	others := relay.NewRequestCounts()
-	others.Running = names.full(sums.Running)
-	others.Waiting = names.full(sums.Waiting)
+	names := *host.shortNames.Load()
+	counts := relay.NewRequestCounts()
+	counts.Running = names.expand(sums.Running)
+	counts.Waiting = names.expand(sums.Waiting)
 	for _, service := range host.relay.Services() {
-		others.Queued[service] = sums.Queued[share.ShortName(service)]
+		counts.Queued[service] = sums.Queued[share.ShortName(service)]
 	}
-	host.relay.SetOtherCounts(others)
+	host.relay.SetOtherCounts(counts)
 }
--- a/entry/counts_test.go
+++ b/entry/counts_test.go
@@ -14,23 +14,23 @@
 	// 24 hosts of a group tell their counts within a millisecond. They are summed up once at once and once when the
 	// last ones have come, not 24 times; what came last is in the second sum.
 	It("are summed up at a bounded pace, the last ones included", func() {
-		var sums, told, seen atomic.Int64
-		counted := &paced{clock: cherrykeel.SystemClock(), pace: gatherPace, do: func() {
+		var sums, sent, seen atomic.Int64
+		counted := &throttle{clock: cherrykeel.SystemClock(), interval: countsInterval, run: func() {
 			sums.Add(1)
-			seen.Store(told.Load())
+			seen.Store(sent.Load())
 		}}
 		for range 24 {
-			told.Add(1)
-			counted.ask()
+			sent.Add(1)
+			counted.trigger()
 		}
 		Eventually(seen.Load, "20s").Should(Equal(int64(24)))
 		Expect(sums.Load()).To(BeNumerically("<=", 24))
 		before := sums.Load()
-		Consistently(sums.Load, 5*gatherPace).Should(Equal(before), "nothing more has come")
+		Consistently(sums.Load, 5*countsInterval).Should(Equal(before), "nothing more has come")
 	})
 
 	It("stand under the upstreams' whole names", func() {
 		names := newShortNames([]cherrykeel.Upstream{{ID: "i-1"}, {ID: "i-2"}})
-		Expect(names.full(map[string]int{share.ShortName("i-2"): 3, share.ShortName("i-9"): 4})).To(Equal(map[string]int{"i-2": 3}))
+		Expect(names.expand(map[string]int{share.ShortName("i-2"): 3, share.ShortName("i-9"): 4})).To(Equal(map[string]int{"i-2": 3}))
 	})
 })
--- a/entry/denied.go
+++ b/entry/denied.go
@@ -22,50 +22,50 @@
 	deniedPrefix = "denied/"
 	// keptEnds is how many ends a request stands at when it is written there. One end is told from host to host alone:
 	// each loss of an upstream leaves some dozens of requests that stand at one, and next to none at two.
-	keptEnds = 2
+	minStoredCrashes = 2
 	// newcomersPace bounds how often hosts that have just started are told: when all start at once, each of them is one.
-	newcomersPace = 250 * time.Millisecond
+	newcomersInterval = 250 * time.Millisecond
 	// deniedPatience is how long a host that knows all else waits for that topic before it is ready.
-	deniedPatience = 2 * time.Second
+	denyListTimeout = 2 * time.Second
 )
 
 // toldAgain is when the others are told once more: datagrams are lost, a few in a hundred on bad links, and all hosts
 // have to know within a second or two.
-var toldAgain = []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 900 * time.Millisecond}
+var denialRepeatDelays = []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 900 * time.Millisecond}
 
 // tellDenied tells the other hosts of a request, now and some more times.
-func (host *Host) tellDenied(record poison.Record) {
-	host.tellRecords(record)
-	for _, pause := range toldAgain {
-		time.AfterFunc(pause, func() {
-			newest, known := host.denied.Find(record.Identity)
+func (host *Host) announceDenial(record poison.Record) {
+	host.announceDenials(record)
+	for _, delay := range denialRepeatDelays {
+		time.AfterFunc(delay, func() {
+			newest, known := host.denyList.Find(record.Identity)
 			if known {
-				host.tellRecords(newest)
+				host.announceDenials(newest)
 			}
 		})
 	}
 }
 
-func (host *Host) tellRecords(records ...poison.Record) {
-	var told []cherrykeel.KeyedRecord
+func (host *Host) announceDenials(records ...poison.Record) {
+	var encoded []cherrykeel.KeyedRecord
 	for _, record := range records {
 		value, err := record.Encode()
 		if err != nil {
 			events.Log(host.logger, events.WriteFailed, zap.Error(err))
 			continue
 		}
-		told = append(told, cherrykeel.KeyedRecord{Key: deniedPrefix + record.Identity.String(), Value: value})
+		encoded = append(encoded, cherrykeel.KeyedRecord{Key: deniedPrefix + record.Identity.String(), Value: value})
 	}
-	host.mesh.Announce(topicDenied, told, share.NoPreviousChange)
+	host.mesh.Announce(topicDenied, encoded, share.NoPreviousChange)
 }
 
 // tellNewcomers tells all that is known to hosts that have just started. Among many hosts only those do that hear from
 // all.
-func (host *Host) tellNewcomers() {
-	if host.denied.Empty() || host.mesh.HubDuration() == 0 {
+func (host *Host) announceToNewcomers() {
+	if host.denyList.Empty() || host.mesh.HubDuration() == 0 {
 		return
 	}
-	host.tellRecords(host.denied.Records()...)
+	host.announceDenials(host.denyList.Records()...)
 }
 
 // applyHosts takes what the topic of the hosts brought: the hosts themselves, and the requests to refuse.
@@ -79,39 +79,39 @@
 		peers = append(peers, record)
 	}
 	update.Records = peers
-	host.applyDenied(denied, host.denied.MergeKept)
+	host.applyDenials(denied, host.denyList.MergeKept)
 	host.peers.Apply(update)
 	if update.Snapshot {
 		// A host is ready once it has read the whole list; until it is in force it would spend the retries of all hosts.
-		host.putPeersInForce()
+		host.applyPeers()
 	}
 }
 
 // applyDenied takes what other hosts have seen, as they told it or as it is kept in the store.
-func (host *Host) applyDenied(records []cherrykeel.KeyedRecord, merge func(record poison.Record)) {
+func (host *Host) applyDenials(records []cherrykeel.KeyedRecord, merge func(record poison.Record)) {
 	for _, record := range records {
 		if len(record.Value) == 0 {
 			continue
 		}
-		told, err := poison.DecodeRecord(strings.TrimPrefix(record.Key, deniedPrefix), record.Value)
+		decoded, err := poison.DecodeRecord(strings.TrimPrefix(record.Key, deniedPrefix), record.Value)
 		if err != nil {
 			events.Log(host.logger, events.RecordInvalid, zap.String("Key", record.Key), zap.Int64("Offset", record.Offset), zap.Error(err))
 			continue
 		}
-		merge(told)
+		merge(decoded)
 	}
 }
 
 // knowsDenied reports whether this host has read which requests end upstreams. It does not wait for that for ever:
 // one partition of the store may be away while the others are not, and nobody would be served.
-func (host *Host) knowsDenied() bool {
-	return host.topics.hosts.HasAppliedSnapshot() || host.clock.Now().Sub(host.started) > deniedPatience
+func (host *Host) hasDenyList() bool {
+	return host.topics.hosts.HasAppliedSnapshot() || host.clock.Now().Sub(host.started) > denyListTimeout
 }
 
 // forgetDenied drops what is too old, at one host from the store too, and shows how much is left.
-func (host *Host) forgetDenied(ctx context.Context) {
-	host.denied.Count(host.scope)
-	dropped := host.denied.Forget()
+func (host *Host) removeExpiredDenials(ctx context.Context) {
+	host.denyList.Count(host.scope)
+	dropped := host.denyList.Forget()
 	if len(dropped) == 0 || host.rank() > 0 {
 		return
 	}
@@ -124,21 +124,21 @@
 }
 
 // keepDenied writes records until the context ends, each until the store has taken it.
-func (host *Host) keepDenied(ctx context.Context) {
+func (host *Host) writePendingDenials(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, identity := range host.kept.Take(ctx) {
-			wait := announcePause
-			for ctx.Err() == nil && !host.writeDenied(ctx, identity) {
-				pause(ctx, wait)
-				wait = min(2*wait, longestAnnouncePause)
+		for _, identity := range host.pendingDenials.Take(ctx) {
+			wait := announceInterval
+			for ctx.Err() == nil && !host.writeDenial(ctx, identity) {
+				sleepContext(ctx, wait)
+				wait = min(2*wait, maxAnnounceInterval)
 			}
 		}
 	}
 }
 
 // writeDenied reports whether nothing is left to write of a request.
-func (host *Host) writeDenied(ctx context.Context, identity poison.Identity) bool {
-	record, known := host.denied.Find(identity)
+func (host *Host) writeDenial(ctx context.Context, identity poison.Identity) bool {
+	record, known := host.denyList.Find(identity)
 	if !known {
 		return true
 	}
--- a/entry/host.go
+++ b/entry/host.go
@@ -32,7 +32,7 @@
 	userTimeout = 500 * time.Millisecond
 	idleTimeout = 8 * time.Second
 	// lifeLength is enough to tell the lives of one host apart.
-	lifeLength = 8
+	incarnationLength = 8
 	// bodyShare is the part of the memory that held bodies may take.
 	bodyShare = 0.25
 )
@@ -65,46 +65,46 @@
 	scope    tally.Scope
 	metrics  http.Handler
 
-	relay     *relay.Relay
-	denied    *deny.List
-	kept      *deny.Pending
-	conns     *conns.Pool
-	server    *caller.Server
-	mesh      *share.Mesh
-	keeper    *grants.Keeper
-	routes    *watch.Routes
-	zones     *watch.Zones
-	upstreams *watch.Upstreams
-	usable    usable
-	peers     *watch.Peers
-	spans     *watch.Spans
+	relay          *relay.Relay
+	denyList       *deny.List
+	pendingDenials *deny.Pending
+	conns          *conns.Pool
+	server         *caller.Server
+	mesh           *share.Mesh
+	keeper         *grants.Keeper
+	routes         *watch.Routes
+	zones          *watch.Zones
+	upstreams      *watch.Upstreams
+	usable         upstreamList
+	peers          *watch.Peers
+	spans          *watch.Spans
 
 	topics topics
 
 	listener *drain.Listener
 	// accepted is closed when no further connection will be.
-	accepted chan struct{}
+	acceptEnded chan struct{}
 	// over is closed when the process has to end.
-	over     chan struct{}
-	ready    atomic.Bool
-	stopping atomic.Bool
-	mutex    sync.Mutex
-	lives    map[string]string
+	mustExit     chan struct{}
+	ready        atomic.Bool
+	stopping     atomic.Bool
+	mutex        sync.Mutex
+	incarnations map[string]string
 	// passing makes those who put the list of hosts in force follow each other.
-	passing  sync.Mutex
-	recent   recentChanges
-	counted  *paced
-	reported *paced
-	joined   *paced
-	listed   *paced
-	names    atomic.Pointer[shortNames]
-	lag      *lag
+	peersMutex        sync.Mutex
+	recent            recentChanges
+	countsThrottle    *throttle
+	reportsThrottle   *throttle
+	newcomersThrottle *throttle
+	peersThrottle     *throttle
+	shortNames        atomic.Pointer[shortNames]
+	schedulingDelay   *schedulingDelay
 	// started is when the process began.
 	started cherrykeel.Instant
 	// upstreamsChained is the newest change of upstreams up to which this host was told of all.
-	upstreamsChained int64
+	upstreamsThrough int64
 	// behind follows by topic what others know and this host does not.
-	behind map[string]*behind
+	missingChanges map[string]*missingChange
 }
 
 // topics are those of the platform's store that a host follows.
@@ -115,7 +115,7 @@
 	spans     *watch.Follower
 }
 
-func (topics *topics) all() []*watch.Follower {
+func (topics *topics) followers() []*watch.Follower {
 	return []*watch.Follower{topics.operator, topics.upstreams, topics.hosts, topics.spans}
 }
 
@@ -147,19 +147,19 @@
 // New returns a host that does nothing yet.
 func New(settings cherrykeel.EntrySettings, platform Platform, options ...Option) *Host {
 	host := &Host{
-		settings: settings,
-		platform: platform,
-		self:     cherrykeel.Peer{Name: settings.Name, Incarnation: uuid.NewString()[:lifeLength], InternalAddress: settings.InternalAddress, Zone: settings.Zone, Capacity: settings.Cores},
-		clock:    cherrykeel.BootTimeClock(),
-		logger:   zap.NewNop(),
-		scope:    tally.NoopScope,
-		metrics:  http.NotFoundHandler(),
-		lives:    map[string]string{},
-		behind:   map[string]*behind{},
-
-		upstreamsChained: -1,
-		accepted:         make(chan struct{}),
-		over:             make(chan struct{}),
+		settings:       settings,
+		platform:       platform,
+		self:           cherrykeel.Peer{Name: settings.Name, Incarnation: uuid.NewString()[:incarnationLength], InternalAddress: settings.InternalAddress, Zone: settings.Zone, Capacity: settings.Cores},
+		clock:          cherrykeel.BootTimeClock(),
+		logger:         zap.NewNop(),
+		scope:          tally.NoopScope,
+		metrics:        http.NotFoundHandler(),
+		incarnations:   map[string]string{},
+		missingChanges: map[string]*missingChange{},
+
+		upstreamsThrough: -1,
+		acceptEnded:      make(chan struct{}),
+		mustExit:         make(chan struct{}),
 	}
 	host.bounds.Store(&settings.Bounds)
 	for _, option := range options {
@@ -228,17 +228,17 @@
 		zap.String("Callers", host.settings.CallerAddress), zap.String("Inner", host.self.InternalAddress), zap.Any("Bounds", host.settings.Bounds))
 	running, halt := context.WithCancel(context.Background())
 	defer halt()
-	for _, topic := range host.topics.all() {
+	for _, topic := range host.topics.followers() {
 		go topic.Run(running)
 	}
 	go host.mesh.Run(running)
 	go host.keeper.Run(running)
-	go host.announce(running)
-	go host.tend(running)
-	go host.lag.run(running)
-	go host.keepDenied(running)
+	go host.announceSelf(running)
+	go host.maintain(running)
+	go host.schedulingDelay.run(running)
+	go host.writePendingDenials(running)
 	go func() {
-		defer close(host.accepted)
+		defer close(host.acceptEnded)
 		host.server.Serve(host.listener)
 	}()
 	<-ctx.Done()
--- a/entry/lag_test.go
+++ b/entry/lag_test.go
@@ -14,17 +14,17 @@
 	// Guards against a host that takes itself for quick while the first measurement on a busy processor is not over.
 	It("is how long others go first, also while it is measured", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		lag := newLag(clock)
-		Expect(lag.current()).To(BeZero())
-		lag.yield = func() {
+		delay := newSchedulingDelay(clock)
+		Expect(delay.current()).To(BeZero())
+		delay.yield = func() {
 			clock.Advance(time.Second)
-			Expect(lag.current()).To(Equal(time.Second))
+			Expect(delay.current()).To(Equal(time.Second))
 			clock.Advance(time.Second)
 		}
-		lag.measure()
-		Expect(lag.current()).To(Equal(2 * time.Second))
-		lag.yield = func() {}
-		lag.measure()
-		Expect(lag.current()).To(BeZero())
+		delay.measure()
+		Expect(delay.current()).To(Equal(2 * time.Second))
+		delay.yield = func() {}
+		delay.measure()
+		Expect(delay.current()).To(BeZero())
 	})
 })
--- a/entry/listed_test.go
+++ b/entry/listed_test.go
@@ -14,11 +14,11 @@
 )
 
 // announcements are the records of hosts in one life of each, from an offset on.
-func announcements(count int, life string, offset int64) []cherrykeel.KeyedRecord {
+func announcements(count int, incarnation string, offset int64) []cherrykeel.KeyedRecord {
 	var records []cherrykeel.KeyedRecord
 	for i := range count {
 		name := fmt.Sprintf("host-%d", i)
-		value, err := watch.EncodePeer(cherrykeel.Peer{Name: name, Incarnation: life, InternalAddress: fmt.Sprintf("127.2.0.%d:7100", i), Zone: "zone-0"})
+		value, err := watch.EncodePeer(cherrykeel.Peer{Name: name, Incarnation: incarnation, InternalAddress: fmt.Sprintf("127.2.0.%d:7100", i), Zone: "zone-0"})
 		if err != nil {
 			panic(err)
 		}
@@ -30,14 +30,14 @@
 var _ = Describe("the list of hosts", func() {
 	const hosts = 195
 	var host *Host
-	var passed atomic.Int64
+	var applied atomic.Int64
 
 	BeforeEach(func() {
-		host = bareHost(nil)
-		passed.Store(0)
-		host.listed.do = func() {
-			passed.Add(1)
-			host.putPeersInForce()
+		host = unstartedHost(nil)
+		applied.Store(0)
+		host.peersThrottle.run = func() {
+			applied.Add(1)
+			host.applyPeers()
 		}
 	})
 
@@ -46,17 +46,17 @@
 	It("is put in force at a bounded pace when many announce themselves, the last ones included", func() {
 		begun := time.Now()
 		for _, record := range announcements(hosts, "second", hosts) {
-			host.told(share.Announcement{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
+			host.receive(share.Announcement{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
 		}
 		Eventually(host.mesh.HostCount, "20s").Should(Equal(hosts))
-		most := 2 + int(time.Since(begun)/peersPace)
-		Expect(passed.Load()).To(BeNumerically("<=", most))
+		most := 2 + int(time.Since(begun)/peersInterval)
+		Expect(applied.Load()).To(BeNumerically("<=", most))
 	})
 
 	// Guards against a host that has read the whole list and spends, as the only one it knows, the retries of all.
 	It("is in force at once when it was read whole, however lately it was before", func() {
 		first := announcements(1, "first", 0)
-		host.told(share.Announcement{Topic: topicHosts, Records: first})
+		host.receive(share.Announcement{Topic: topicHosts, Records: first})
 		host.applyHosts(watch.Update{Records: announcements(hosts, "first", 0), Snapshot: true, Next: hosts})
 		Expect(host.mesh.HostCount()).To(Equal(hosts))
 	})
@@ -64,11 +64,11 @@
 	// Guards against hosts that start unnoticed because others have started within the same pause.
 	It("says that there are newcomers until they are told, also when several start in one pause", func() {
 		host.applyHosts(watch.Update{Records: announcements(3, "first", 0), Snapshot: true, Next: 3})
-		Expect(host.takeLives(host.peers.Current())).To(BeFalse())
+		Expect(host.recordIncarnations(host.peers.Current())).To(BeFalse())
 		host.peers.Apply(watch.Update{Records: announcements(2, "second", 3), FromPeer: true, Next: 5})
-		life, known := host.peers.Incarnation("host-1")
+		incarnation, known := host.peers.Incarnation("host-1")
 		Expect(known).To(BeTrue())
-		Expect(life).To(Equal("second"))
-		Expect(host.takeLives(host.peers.Current())).To(BeTrue())
+		Expect(incarnation).To(Equal("second"))
+		Expect(host.recordIncarnations(host.peers.Current())).To(BeTrue())
 	})
 })
--- a/entry/paced.go
+++ b/entry/paced.go
@@ -8,39 +8,39 @@
 )
 
 // paced does something soon after it is asked to, at a bounded pace, and always once more after it was last asked.
-type paced struct {
-	clock cherrykeel.Clock
-	pace  time.Duration
-	do    func()
+type throttle struct {
+	clock    cherrykeel.Clock
+	interval time.Duration
+	run      func()
 
 	mutex   sync.Mutex
-	at      cherrykeel.Instant
+	lastRun cherrykeel.Instant
 	pending bool
 }
 
 // ask has it done now, or when the pace allows.
-func (paced *paced) ask() {
-	paced.mutex.Lock()
-	now := paced.clock.Now()
-	left := paced.pace - now.Sub(paced.at)
+func (throttle *throttle) trigger() {
+	throttle.mutex.Lock()
+	now := throttle.clock.Now()
+	left := throttle.interval - now.Sub(throttle.lastRun)
 	if left <= 0 {
-		paced.at = now
-		paced.mutex.Unlock()
-		paced.do()
+		throttle.lastRun = now
+		throttle.mutex.Unlock()
+		throttle.run()
 		return
 	}
-	if !paced.pending {
-		paced.pending = true
-		time.AfterFunc(left, paced.late)
+	if !throttle.pending {
+		throttle.pending = true
+		time.AfterFunc(left, throttle.runPending)
 	}
-	paced.mutex.Unlock()
+	throttle.mutex.Unlock()
 }
 
 // late does what was asked for within the pace.
-func (paced *paced) late() {
-	paced.mutex.Lock()
-	paced.pending = false
-	paced.at = paced.clock.Now()
-	paced.mutex.Unlock()
-	paced.do()
+func (throttle *throttle) runPending() {
+	throttle.mutex.Lock()
+	throttle.pending = false
+	throttle.lastRun = throttle.clock.Now()
+	throttle.mutex.Unlock()
+	throttle.run()
 }
--- a/entry/ready_test.go
+++ b/entry/ready_test.go
@@ -28,7 +28,7 @@
 		released := make(chan struct{})
 		release := sync.OnceFunc(func() { close(released) })
 		DeferCleanup(release)
-		host := bareHost(func(platform *Platform) {
+		host := unstartedHost(func(platform *Platform) {
 			platform.Operator = oneRecord{key: platform.RoutesKey}
 			platform.Upstreams = oneRecord{key: "u-1"}
 			platform.DecodeUpstream = func(id string, _ []byte) (cherrykeel.Upstream, error) {
@@ -46,10 +46,10 @@
 		go host.topics.upstreams.Run(ctx)
 		Eventually(decoding, "20s").Should(BeClosed())
 		Expect(host.topics.upstreams.HasRead()).To(BeTrue())
-		go host.noteReady()
+		go host.checkReady()
 		Consistently(host.ready.Load, "100ms").Should(BeFalse())
 		release()
-		Eventually(host.noteReady, "20s").Should(BeTrue())
+		Eventually(host.checkReady, "20s").Should(BeTrue())
 		Expect(host.usable.current()).To(HaveLen(1))
 	})
 })
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -16,20 +16,20 @@
 	// notices after two missed questions, 2 to 3 s of 6, and goes on sending until then.
 	acceptShare = 0.6
 	// takeShare is the part in which every request is taken; after it only those whose time ends before the host's.
-	takeShare = 0.45
+	admitShare = 0.45
 	// endMargin is kept of the grace for the process to end by itself: for its last words, and from exitMargin on for
 	// nothing but the end.
-	endMargin  = 150 * time.Millisecond
-	exitMargin = 50 * time.Millisecond
-	stopPace   = 50 * time.Millisecond
+	endMargin        = 150 * time.Millisecond
+	exitMargin       = 50 * time.Millisecond
+	stopPollInterval = 50 * time.Millisecond
 	// mostLagShare is the most that the lag may be of the grace. A measurement amid which the process stood still seems to
 	// show seconds; taken in full, a host that was told a moment ago would cut all its requests at once.
-	mostLagShare = 0.25
+	maxDelayShare = 0.25
 	// acceptTimeout is what taking the last connections has at the least, however late the stop comes to it; the listener
 	// waits for 200 ms for those that are under way.
 	acceptTimeout = 300 * time.Millisecond
 	// withdrawTimeout bounds the write that takes the host's record away, made this long before the end.
-	withdrawTimeout = 400 * time.Millisecond
+	removeTimeout = 400 * time.Millisecond
 	// finishTimeout bounds the last word of a keeper, which waits for no call.
 	finishTimeout = 50 * time.Millisecond
 )
@@ -44,15 +44,15 @@
 	host.stopping.Store(true)
 	// The grace counts from the signal, which a busy process notices late by its lag, and one that stood still by up to the
 	// time of that. A process that notices its signal late is as late with its own end, so it keeps its lag of the grace.
-	whole := host.currentBounds().Grace
-	lag := min(host.lag.current(), part(whole, mostLagShare))
-	signalled := begun.Add(-lag)
+	fullGrace := host.currentBounds().Grace
+	delay := min(host.schedulingDelay.current(), shareOf(fullGrace, maxDelayShare))
+	signalled := begun.Add(-delay)
 	earliest := min(signalled, host.mesh.EarliestEventTime())
-	grace := whole - lag
+	grace := fullGrace - delay
 	events.Log(host.logger, events.EntryStopping, zap.Int("Connections", host.server.Open()), zap.Duration("Grace", grace), zap.Duration("Late", begun.Sub(earliest)))
 	host.server.Stop()
 	go host.keeper.Resign(ctx)
-	go host.endProcess(signalled.Add(grace - exitMargin))
+	go host.signalExit(signalled.Add(grace - exitMargin))
 	// One end bounds the whole stop. While each wait had a bound of its own, or none, a host that had run out of
 	// descriptors, or was asked to wait by its store, was killed at the end of its grace.
 	end := signalled.Add(grace - endMargin)
@@ -60,18 +60,18 @@
 	defer cancel()
 	runUntil(draining.Done(), func() { host.drain(draining, earliest, grace, end) })
 	events.Log(host.logger, events.EntryStopped, zap.Int("Cut", host.server.Open()), zap.Duration("Took", host.clock.Now().Sub(begun)))
-	runUntil(host.over, func() { host.finishKeeping(ctx) })
+	runUntil(host.mustExit, func() { host.stopGranting(ctx) })
 }
 
 // endProcess closes Over at an instant. It outlives the stop, since what follows may hang as well.
-func (host *Host) endProcess(at cherrykeel.Instant) {
-	host.waitUntil(context.Background(), at)
-	close(host.over)
+func (host *Host) signalExit(instant cherrykeel.Instant) {
+	host.waitUntil(context.Background(), instant)
+	close(host.mustExit)
 }
 
 // MustExit is closed when the process has to end, whatever it still waits for, since its grace is all but over.
 func (host *Host) MustExit() <-chan struct{} {
-	return host.over
+	return host.mustExit
 }
 
 // drain returns when no connection is left and the host's record is taken away, or the context has ended. Earliest is when
@@ -79,33 +79,33 @@
 // platform might cut by killing the process. What has been taken is served until the end, since the signal may have come
 // later than that.
 func (host *Host) drain(ctx context.Context, earliest cherrykeel.Instant, grace time.Duration, end cherrykeel.Instant) {
-	host.waitUntil(ctx, earliest.Add(part(grace, takeShare)))
+	host.waitUntil(ctx, earliest.Add(shareOf(grace, admitShare)))
 	host.relay.SetProcessEnd(earliest.Add(grace - endMargin))
-	host.waitUntil(ctx, earliest.Add(part(grace, acceptShare)))
-	serving, cancel := host.contextUntil(ctx, end.Add(-withdrawTimeout))
+	host.waitUntil(ctx, earliest.Add(shareOf(grace, acceptShare)))
+	serving, cancel := host.contextUntil(ctx, end.Add(-removeTimeout))
 	defer cancel()
-	withdrawn := make(chan struct{})
+	removed := make(chan struct{})
 	go func() {
-		defer close(withdrawn)
+		defer close(removed)
 		<-serving.Done()
-		host.withdraw(ctx, end)
+		host.removeRecord(ctx, end)
 	}()
-	err := host.closeListener(ctx, max(end.Add(-withdrawTimeout), host.clock.Now().Add(acceptTimeout)))
+	err := host.closeListener(ctx, max(end.Add(-removeTimeout), host.clock.Now().Add(acceptTimeout)))
 	events.Log(host.logger, events.EntryClosed, zap.Duration("After", host.clock.Now().Sub(earliest)), zap.Int("Connections", host.server.Open()), zap.Error(err))
 	host.closeConnections(ctx)
 	// With no connection left the record is taken away at once.
 	cancel()
-	<-withdrawn
+	<-removed
 }
 
 // closeListener returns when the listener is closed: after the connections that are complete were taken, or, if they
 // cannot all be until an instant, as when descriptors have run out, then. What has been taken is served to its end.
-func (host *Host) closeListener(ctx context.Context, at cherrykeel.Instant) error {
-	ctx, cancel := host.contextUntil(ctx, at)
+func (host *Host) closeListener(ctx context.Context, end cherrykeel.Instant) error {
+	ctx, cancel := host.contextUntil(ctx, end)
 	defer cancel()
 	err := host.listener.Stop()
 	select {
-	case <-host.accepted:
+	case <-host.acceptEnded:
 		return err
 	case <-ctx.Done():
 		_ = host.listener.Close()
@@ -117,12 +117,12 @@
 func (host *Host) closeConnections(ctx context.Context) {
 	for host.server.Open() > 0 && ctx.Err() == nil {
 		host.server.CloseIdle()
-		pause(ctx, stopPace)
+		sleepContext(ctx, stopPollInterval)
 	}
 }
 
 // runUntil runs a step, and returns when it is done or the channel is closed, whatever the step waits for.
-func runUntil(over <-chan struct{}, step func()) {
+func runUntil(end <-chan struct{}, step func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -130,7 +130,7 @@
 	}()
 	select {
 	case <-done:
-	case <-over:
+	case <-end:
 	}
 }
 
@@ -147,7 +147,7 @@
 // finishKeeping tells the others that this host grants nothing any more, should it be keeper still: it could
 // not resign while the store is away. The word is sent twice, since a datagram may be lost; each host that has
 // it passes it on.
-func (host *Host) finishKeeping(ctx context.Context) {
+func (host *Host) stopGranting(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	host.keeper.StopGranting(ctx)
@@ -165,14 +165,14 @@
 		if left <= 0 {
 			return
 		}
-		pause(ctx, min(left, stopPace))
+		sleepContext(ctx, min(left, stopPollInterval))
 	}
 }
 
 // withdraw takes this host's record away. The others count hosts to tell whether they are more than half;
 // those that have left for good would make that impossible.
-func (host *Host) withdraw(ctx context.Context, end cherrykeel.Instant) {
-	ctx, cancel := context.WithTimeout(ctx, min(withdrawTimeout, end.Sub(host.clock.Now())))
+func (host *Host) removeRecord(ctx context.Context, end cherrykeel.Instant) {
+	ctx, cancel := context.WithTimeout(ctx, min(removeTimeout, end.Sub(host.clock.Now())))
 	defer cancel()
 	_, err := host.platform.Hosts.Put(ctx, host.self.Name, nil)
 	if err != nil {
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	generous   = "30s"
-	stopsGrace = 6 * time.Second
+	generous  = "30s"
+	testGrace = 6 * time.Second
 )
 
 // hostsLog is the hosts' topic; it hands each removal of a record to a function.
@@ -53,7 +53,7 @@
 	clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 	settings := cherrykeel.EntrySettings{
 		Name: "host-1", CallerAddress: fakes.FreeAddress(), ReadinessAddress: fakes.FreeAddress(), InternalAddress: fakes.FreeAddress(),
-		Bounds: cherrykeel.Bounds{Grace: stopsGrace, MaxLeaseDuration: 10 * time.Second, RetryWindow: 10 * time.Second, MaxSettingsDelay: 2 * time.Second, Drain: 2 * time.Second},
+		Bounds: cherrykeel.Bounds{Grace: testGrace, MaxLeaseDuration: 10 * time.Second, RetryWindow: 10 * time.Second, MaxSettingsDelay: 2 * time.Second, Drain: 2 * time.Second},
 	}
 	platform := Platform{Dialect: noDialect{}, Operator: emptyLog{}, Upstreams: emptyLog{}, Spans: emptyLog{}, Hosts: hostsLog{remove: remove}}
 	host := New(settings, platform, WithClock(clock), WithLogger(zap.New(core)))
@@ -105,7 +105,7 @@
 			stopping.host.stop(ctx)
 		}()
 		Eventually(stopping.host.stopping.Load, generous).Should(BeTrue())
-		stopping.clock.Advance(stopsGrace)
+		stopping.clock.Advance(testGrace)
 		Eventually(stopping.ended, generous).Should(BeClosed())
 	})
 
@@ -116,7 +116,7 @@
 		stopping := newStoppingHost(func(context.Context) { <-release })
 		stopping.run()
 		stopping.begin()
-		stopping.clock.Advance(stopsGrace)
+		stopping.clock.Advance(testGrace)
 		Eventually(stopping.ended, generous).Should(BeClosed())
 	})
 
@@ -124,21 +124,21 @@
 	// had a time of its own, counted from its beginning, and the host waited for it beyond its grace.
 	It("and asks the store for nothing that outlasts it", func() {
 		var mutex sync.Mutex
-		late := 0
+		lateCalls := 0
 		stopping := newStoppingHost(func(ctx context.Context) {
 			mutex.Lock()
 			defer mutex.Unlock()
 			if ctx.Err() == nil {
-				late++
+				lateCalls++
 			}
 		})
 		stopping.run()
 		stopping.begin()
-		stopping.clock.Advance(stopsGrace)
+		stopping.clock.Advance(testGrace)
 		Eventually(stopping.ended, generous).Should(BeClosed())
 		mutex.Lock()
 		defer mutex.Unlock()
-		Expect(late).To(BeZero())
+		Expect(lateCalls).To(BeZero())
 	})
 
 	// The machine stands still while the host is told to stop, and its grace may have begun at any moment of that. Guards
@@ -150,7 +150,7 @@
 		stopping.holdOpen()
 		stopping.host.relay.SetRoutes(cherrykeel.RouteSet{
 			Services: map[string]cherrykeel.RoutedService{"s": {Name: "s"}},
-			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: stopsGrace / 2, SplitTargets: []cherrykeel.SplitTarget{{Service: "s", Weight: 1}}}},
+			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: testGrace / 2, SplitTargets: []cherrykeel.SplitTarget{{Service: "s", Weight: 1}}}},
 		})
 		ask := func() string {
 			writer := httptest.NewRecorder()
@@ -158,10 +158,10 @@
 			return writer.Body.String()
 		}
 		Expect(ask()).To(HavePrefix("no-upstream"), "taken, and refused only for want of an upstream")
-		stopping.clock.Advance(stopsGrace / 2)
+		stopping.clock.Advance(testGrace / 2)
 		stopping.begin()
 		Eventually(ask, generous).Should(HavePrefix("stopping"))
-		stopping.clock.Advance(stopsGrace - endMargin - 1)
+		stopping.clock.Advance(testGrace - endMargin - 1)
 		Consistently(stopping.ended, "200ms").ShouldNot(BeClosed())
 		stopping.clock.Advance(1)
 		Eventually(stopping.ended, generous).Should(BeClosed())
@@ -172,21 +172,21 @@
 	// requests at once.
 	DescribeTable("counted from the signal, though it notices that late, and would its end", func(measured, counted time.Duration) {
 		stopping := newStoppingHost(noRemoval)
-		stopping.host.lag.yield = func() { stopping.clock.Advance(measured) }
-		stopping.host.lag.measure()
-		over := make(chan struct{})
-		DeferCleanup(func() { close(over) })
-		stopping.host.lag.yield = func() { <-over }
+		stopping.host.schedulingDelay.yield = func() { stopping.clock.Advance(measured) }
+		stopping.host.schedulingDelay.measure()
+		release := make(chan struct{})
+		DeferCleanup(func() { close(release) })
+		stopping.host.schedulingDelay.yield = func() { <-release }
 		stopping.run()
 		stopping.holdOpen()
 		stopping.begin()
-		stopping.clock.Advance(stopsGrace - 2*counted - endMargin - 1)
+		stopping.clock.Advance(testGrace - 2*counted - endMargin - 1)
 		Consistently(stopping.ended, "200ms").ShouldNot(BeClosed())
 		stopping.clock.Advance(1)
 		Eventually(stopping.ended, generous).Should(BeClosed())
 	},
 		Entry("by a second", time.Second, time.Second),
-		Entry("by more than a quarter of the grace", stopsGrace, stopsGrace/4),
+		Entry("by more than a quarter of the grace", testGrace, testGrace/4),
 	)
 
 	It("and not before, while a request is unanswered, if it ran all the while", func() {
@@ -194,7 +194,7 @@
 		stopping.run()
 		stopping.holdOpen()
 		stopping.begin()
-		stopping.clock.Advance(stopsGrace - endMargin - 1)
+		stopping.clock.Advance(testGrace - endMargin - 1)
 		Consistently(stopping.ended, "200ms").ShouldNot(BeClosed())
 		stopping.clock.Advance(1)
 		Eventually(stopping.ended, generous).Should(BeClosed())
@@ -205,7 +205,7 @@
 		stopping := newStoppingHost(noRemoval)
 		stopping.run()
 		stopping.begin()
-		stopping.clock.Advance(stopsGrace - endMargin - withdrawTimeout/2)
+		stopping.clock.Advance(testGrace - endMargin - removeTimeout/2)
 		closed := func() []observer.LoggedEntry { return stopping.logged.FilterMessage(events.EntryClosed.Text).All() }
 		Eventually(closed, generous).Should(HaveLen(1))
 		Expect(closed()[0].ContextMap()).NotTo(HaveKeyWithValue("Error", ErrConnectionsNotAccepted.Error()))
--- a/entry/tend.go
+++ b/entry/tend.go
@@ -14,54 +14,54 @@
 const (
 	// dispatchEvery is how often waiting requests are looked at when nothing else wakes them. While none
 	// waits nobody looks: of some 170 timers a second on an idle host 100 were this one.
-	dispatchEvery = 10 * time.Millisecond
+	dispatchInterval = 10 * time.Millisecond
 	// readyEvery is how often a host that has started looks whether it knows enough.
-	readyEvery  = 25 * time.Millisecond
-	settleEvery = 250 * time.Millisecond
+	readyInterval   = 25 * time.Millisecond
+	refreshInterval = 250 * time.Millisecond
 )
 
 // tend does what time asks for.
-func (host *Host) tend(ctx context.Context) {
-	dispatch := time.NewTimer(dispatchEvery)
+func (host *Host) maintain(ctx context.Context) {
+	dispatch := time.NewTimer(dispatchInterval)
 	defer dispatch.Stop()
-	looking := true
-	ready := time.NewTicker(readyEvery)
+	dispatching := true
+	ready := time.NewTicker(readyInterval)
 	defer ready.Stop()
-	settle := time.NewTicker(settleEvery)
-	defer settle.Stop()
+	refresh := time.NewTicker(refreshInterval)
+	defer refresh.Stop()
 	demand := time.NewTicker(share.DemandInterval())
 	defer demand.Stop()
-	drop := time.NewTicker(dropEvery)
-	defer drop.Stop()
+	remove := time.NewTicker(removeInterval)
+	defer remove.Stop()
 	begun := host.clock.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-host.relay.QueuedSignal():
-			if !looking {
-				dispatch.Reset(dispatchEvery)
+			if !dispatching {
+				dispatch.Reset(dispatchInterval)
 			}
-			looking = true
+			dispatching = true
 		case <-dispatch.C:
-			looking = host.relay.Dispatch()
-			if looking {
-				dispatch.Reset(dispatchEvery)
+			dispatching = host.relay.Dispatch()
+			if dispatching {
+				dispatch.Reset(dispatchInterval)
 			}
 		case <-ready.C:
-			if host.noteReady() {
+			if host.checkReady() {
 				ready.Stop()
 			}
-		case <-settle.C:
+		case <-refresh.C:
 			host.upstreams.RemoveMissing()
-			host.heard()
-			host.countUnreadable()
-			host.countUnused()
+			host.checkReports()
+			host.updateUnreadableGauges()
+			host.updateUpstreamGauges()
 			// A host that has fallen silent is forgotten without a message.
-			host.gather()
-		case <-drop.C:
-			host.dropSilent(ctx, host.clock.Now().Sub(begun))
-			host.forgetDenied(ctx)
+			host.updateOtherCounts()
+		case <-remove.C:
+			host.removeUnreachable(ctx, host.clock.Now().Sub(begun))
+			host.removeExpiredDenials(ctx)
 			// Connections that rest take up room at upstreams, which reset what is beyond theirs.
 			host.conns.Sweep()
 		case <-demand.C:
@@ -75,9 +75,9 @@
 
 // noteReady makes the host ready once it knows routes, evacuated zones, upstreams and the requests to refuse, and reports
 // whether it is.
-func (host *Host) noteReady() bool {
+func (host *Host) checkReady() bool {
 	_, known := host.routes.Current()
-	if !known || !host.topics.operator.HasAppliedSnapshot() || !host.topics.upstreams.HasAppliedSnapshot() || !host.knowsDenied() {
+	if !known || !host.topics.operator.HasAppliedSnapshot() || !host.topics.upstreams.HasAppliedSnapshot() || !host.hasDenyList() {
 		return false
 	}
 	host.ready.Store(true)
@@ -87,29 +87,29 @@
 
 // countUnused shows how many upstreams get nothing, since their availability zone is evacuated, or only a part, since they
 // are cold, and how many of this host's requests are still at work in evacuated zones.
-func (host *Host) countUnused() {
+func (host *Host) updateUpstreamGauges() {
 	evacuated := host.zones.Evacuated()
-	var closed []string
+	var evacuating []string
 	for _, upstream := range host.usable.current() {
 		if upstream.EvacuateAt != 0 {
-			closed = append(closed, upstream.ID)
+			evacuating = append(evacuating, upstream.ID)
 		}
 	}
-	atWork := 0
-	if len(closed) > 0 {
+	stillRunning := 0
+	if len(evacuating) > 0 {
 		running := host.relay.OwnCounts().Running
-		for _, id := range closed {
-			atWork += running[id]
+		for _, id := range evacuating {
+			stillRunning += running[id]
 		}
 	}
 	host.scope.Gauge("evacuated_zones").Update(float64(len(evacuated)))
-	host.scope.Gauge("evacuated_upstreams").Update(float64(len(closed)))
-	host.scope.Gauge("evacuated_running").Update(float64(atWork))
-	host.scope.Gauge("cold_upstreams").Update(float64(host.coldUpstreams()))
+	host.scope.Gauge("evacuated_upstreams").Update(float64(len(evacuating)))
+	host.scope.Gauge("evacuated_running").Update(float64(stillRunning))
+	host.scope.Gauge("cold_upstreams").Update(float64(host.countColdUpstreams()))
 }
 
 // countUnreadable shows how many records of other writers each topic has had.
-func (host *Host) countUnreadable() {
+func (host *Host) updateUnreadableGauges() {
 	for name, topic := range map[string]*watch.Follower{
 		topicSettings: host.topics.operator, topicUpstreams: host.topics.upstreams, topicHosts: host.topics.hosts, topicSpans: host.topics.spans,
 	} {
--- a/entry/told_bench_test.go
+++ b/entry/told_bench_test.go
@@ -16,10 +16,10 @@
 	second := announcements(benchHosts, "second", benchHosts)
 	b.ReportAllocs()
 	for b.Loop() {
-		host := bareHost(nil)
+		host := unstartedHost(nil)
 		host.topics.hosts.ApplyReceived(first)
 		for _, record := range second {
-			host.told(share.Announcement{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
+			host.receive(share.Announcement{Topic: topicHosts, Records: []cherrykeel.KeyedRecord{record}})
 		}
 	}
 }
--- a/entry/world.go
+++ b/entry/world.go
@@ -10,13 +10,13 @@
 )
 
 // world shows the keeper what its host knows.
-type world struct {
+type environment struct {
 	host *Host
 }
 
 // KeyedServices implements grants.World.
-func (world *world) KeyedServices() []cherrykeel.RoutedService {
-	routes, known := world.host.routes.Current()
+func (environment *environment) KeyedServices() []cherrykeel.RoutedService {
+	routes, known := environment.host.routes.Current()
 	if !known {
 		return nil
 	}
@@ -30,42 +30,42 @@
 }
 
 // Upstreams implements grants.World.
-func (world *world) Upstreams() []cherrykeel.Upstream {
-	return world.host.usable.current()
+func (environment *environment) Upstreams() []cherrykeel.Upstream {
+	return environment.host.usable.current()
 }
 
 // IsReplaced implements grants.World.
-func (world *world) IsReplaced(id, address string) bool {
-	return world.host.upstreams.IsReplaced(id, address)
+func (environment *environment) IsReplaced(id, address string) bool {
+	return environment.host.upstreams.IsReplaced(id, address)
 }
 
 // NotifyEnded implements grants.World.
-func (world *world) NotifyEnded(id string) {
-	world.host.upstreams.MarkEnded(id)
+func (environment *environment) NotifyEnded(id string) {
+	environment.host.upstreams.MarkEnded(id)
 }
 
 // RereadTable implements grants.World.
-func (world *world) RereadTable() {
-	world.host.topics.spans.TriggerRead()
+func (environment *environment) RereadTable() {
+	environment.host.topics.spans.TriggerRead()
 }
 
 // StoreAvailableFor implements grants.World.
-func (world *world) StoreAvailableFor() time.Duration {
-	if !world.host.topics.spans.HasRead() {
+func (environment *environment) StoreAvailableFor() time.Duration {
+	if !environment.host.topics.spans.HasRead() {
 		return 0
 	}
-	return world.host.storeWell()
+	return environment.host.storeAvailableFor()
 }
 
 // PeerIncarnation implements grants.World.
-func (world *world) PeerIncarnation(name string) (string, time.Duration, bool) {
-	life, known := world.host.peers.Incarnation(name)
-	return life, world.host.peers.RecordAge(name), known
+func (environment *environment) PeerIncarnation(name string) (string, time.Duration, bool) {
+	incarnation, known := environment.host.peers.Incarnation(name)
+	return incarnation, environment.host.peers.RecordAge(name), known
 }
 
 // Rank implements grants.World.
-func (world *world) Rank() int {
-	return world.host.mesh.Rank(func(share.Report) bool { return true })
+func (environment *environment) Rank() int {
+	return environment.host.mesh.Rank(func(share.Report) bool { return true })
 }
 
 // ownTable is the keeper's view of the table; what it writes counts as read and is told.
@@ -90,6 +90,6 @@
 	table.host.topics.spans.ApplyReceived([]cherrykeel.KeyedRecord{record})
 	after, _, _ := table.host.spans.Current()
 	if after.Version == offset {
-		table.host.tellSpans(after.Diff(before), before.Version)
+		table.host.announceSpans(after.Diff(before), before.Version)
 	}
 }
