--- a/entry/announce.go
+++ b/entry/announce.go
@@ -14,16 +14,18 @@
 
 const (
 	announceInterval = 300 * time.Millisecond
-	// longestAnnouncePause bounds the pauses while the store does not take the announcement: refused calls
-	// have their price too, and the others miss this host for no longer than that after its return.
+	// maxAnnounceInterval bounds the interval while the store does not accept the announcement: refused calls have a
+	// cost too, and the others lack this host for no longer than that after the store's return.
 	maxAnnounceInterval = 1200 * time.Millisecond
-	// peersPace bounds how often a changed list of hosts is put in force. When all hosts start at once each hears of all
-	// others one by one, and 195 lists put in force took 107 ms of a core, two thirds of a second of a small host's, in
-	// which it was not ready. Loads and reports are sent each 80 ms at the soonest, so that none waits for it.
+	// peersInterval bounds how often a changed list of hosts is applied. When all hosts start at once, each receives
+	// the announcements of all others one by one; applying 195 lists took 107 ms of a core, two thirds of a second on a
+	// small host, which was not ready meanwhile. Loads and reports are sent each 80 ms at the soonest, so none of them
+	// is delayed by it.
 	peersInterval = 50 * time.Millisecond
 )
 
-// announce tells the other hosts of this one, again if its record is dropped.
+// announceSelf writes this host's record to the store and sends it to the other hosts, again whenever the record is
+// missing.
 func (host *Host) announceSelf(ctx context.Context) {
 	value, err := watch.EncodePeer(host.self)
 	if err != nil {
@@ -51,8 +53,9 @@
 	}
 }
 
-// readBefore reads the hosts' records if there are any before this host's own that it does not know. Hosts that start at
-// the same moment have read them before any had written its own, and nobody else may be there to tell them.
+// readEarlierHosts triggers a read of the hosts' topic if it has records before this host's own that this host lacks.
+// Hosts that start at the same moment have read the topic before any of them had written its own record, and there may
+// be no other host to announce the records.
 func (host *Host) readEarlierHosts(written int64) {
 	if host.isReadDue(ownRecord, host.topics.hosts.NextOffset()-1, written, host.clock.Now()) {
 		host.topics.hosts.TriggerRead()
@@ -68,7 +71,7 @@
 	}
 }
 
-// putPeersInForce passes on the hosts there are. Calls follow each other, so that the last one knows all changes.
+// applyPeers puts the current list of hosts in force. Calls are serialized, so that the last one has all changes.
 func (host *Host) applyPeers() {
 	host.peersMutex.Lock()
 	defer host.peersMutex.Unlock()
@@ -83,7 +86,7 @@
 	}
 }
 
-// takeLives notes the hosts' lives, and reports whether there are new ones among them.
+// recordIncarnations records the hosts' incarnations and reports whether there are new ones among them.
 func (host *Host) recordIncarnations(peers []cherrykeel.Peer) bool {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
--- a/entry/behind.go
+++ b/entry/behind.go
@@ -6,22 +6,23 @@
 	"cherrykeel"
 )
 
-// toldWithin is how long a host waits to be told of a change that another one reports before it reads the store for
-// it. Reports overtake the messages that tell: while each report of a newer change made a host read, 195 hosts that
-// had all been told made 7,300 reading calls in the first 31 s of their lives. It is a tenth of the shortest time in which
-// a change has to be in force.
+// announcementTimeout is how long a host waits for the announcement of a change that another host reports before it
+// reads the store. Reports overtake announcements: when each report of a newer change triggered a read, 195 hosts made
+// 7,300 reads in the first 31 s after their start although all of them received the announcements. It is a tenth of the
+// shortest time in which a change has to be in force.
 const announcementTimeout = 250 * time.Millisecond
 
-// behind follows for one topic whether this host lacks a change that others know.
+// missingChange tracks for one topic whether this host lacks a change that other hosts have.
 type missingChange struct {
-	// lacked is the newest change that was reported when it began to lack one, since when.
+	// offset is the newest change that was reported when this host began to lack one; since is when that was, or when
+	// the last read was due.
 	offset int64
 	since  cherrykeel.Instant
 	active bool
 }
 
-// overdue takes up to where this host knows a topic and the newest change that is reported, and says whether the
-// host should read the store for it now.
+// isReadDue takes the offset up to which this host has the topic and the newest reported offset, and reports whether
+// the host should read the store now.
 func (missingChange *missingChange) isReadDue(known, reported int64, now cherrykeel.Instant) bool {
 	if reported <= known {
 		missingChange.active = false
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -5,7 +5,7 @@
 	"cherrykeel/cold"
 )
 
-// noteCold puts down until when an upstream is cold, and what this host may send it until then.
+// setColdLimit sets until when an upstream is cold, and how much this host may send it until then.
 func (host *Host) setColdLimit(upstream *cherrykeel.Upstream) {
 	routes, _ := host.routes.Current()
 	service := routes.Services[upstream.Service]
@@ -19,8 +19,8 @@
 	upstream.ColdQuota = cold.Quota(host.self.Name, host.hostNames(), upstream.ID, bound)
 }
 
-// coldSinceTakenBack is until when the upstreams of a zone that was taken back count as cold. Their entries say so a
-// second later only, and in the meantime all callers would be sent to them.
+// coldUntilAfterEvacuation returns until when the upstreams of a zone count as cold after its evacuation has ended.
+// Their entries show it only a second later; all callers would be sent to them in the meantime.
 func (host *Host) coldUntilAfterEvacuation(zone string, service cherrykeel.RoutedService) cherrykeel.Instant {
 	state, ordered := host.zones.State(zone)
 	if !ordered || state.Evacuated || state.FoundAtStart || service.SlowStartRate <= 0 {
@@ -29,7 +29,7 @@
 	return state.Since.Add(service.SlowStart)
 }
 
-// knownHosts names the hosts that share what cold upstreams bear; none while this host does not know them.
+// hostNames returns the hosts that share the rate limits of cold upstreams; none until this host has read their list.
 func (host *Host) hostNames() []string {
 	if !host.topics.hosts.HasRead() {
 		return nil
@@ -43,7 +43,7 @@
 	return names
 }
 
-// coldUpstreams counts the upstreams that get only so many requests a second, of which this host may send a part.
+// countColdUpstreams returns how many upstreams are cold and have a rate limit, of which this host has a quota.
 func (host *Host) countColdUpstreams() int {
 	now := host.clock.Now()
 	count := 0
--- a/entry/counts.go
+++ b/entry/counts.go
@@ -8,11 +8,12 @@
 	"cherrykeel/share"
 )
 
-// gatherPace is how often the other hosts' counts are summed up at the most. Counts are 80 to 320 ms old in any case;
-// the head of a group of 24 gets some 250 messages with counts a second, each of which was summed up for all upstreams.
+// countsInterval bounds how often the other hosts' counts are summed up. Counts are 80 to 320 ms old in any case; the
+// aggregator of a group of 24 receives some 250 messages with counts a second, and each of them led to new sums for all
+// upstreams.
 const countsInterval = 20 * time.Millisecond
 
-// shortNames are the names under which upstreams stand in counts, worked out when the upstreams change.
+// shortNames maps the short names of upstreams in counts to their IDs. It is computed when the upstreams change.
 type shortNames map[string]string
 
 func newShortNames(upstreams []cherrykeel.Upstream) shortNames {
@@ -23,7 +24,7 @@
 	return names
 }
 
-// full returns counts by the upstreams' whole names; what no upstream here is called by is left out.
+// expand returns counts by the upstreams' IDs; counts of unknown upstreams are left out.
 func (names shortNames) expand(counts map[string]int) map[string]int {
 	full := make(map[string]int, len(counts))
 	for short, count := range counts {
@@ -35,7 +36,7 @@
 	return full
 }
 
-// gather takes what the other hosts do.
+// updateOtherCounts passes the sums of the other hosts' counts to the relay.
 func (host *Host) updateOtherCounts() {
 	sums := host.mesh.OtherCounts()
 	names := *host.shortNames.Load()
--- a/entry/denied.go
+++ b/entry/denied.go
@@ -15,25 +15,27 @@
 )
 
 const (
-	// topicDenied names, among the hosts, what they tell each other of requests that stand at upstreams' ends.
+	// topicDenied names, in messages between hosts, the records of requests that ran when upstreams crashed.
 	topicDenied = "denied"
-	// deniedPrefix begins the keys of such requests in the topic of the hosts, which each host reads at its start
-	// anyway: a topic of their own would cost one call more for each host there is.
+	// deniedPrefix begins the keys of such records in the topic of the hosts, which each host reads at its start
+	// anyway: a topic of their own would cost one more call for each host.
 	deniedPrefix = "denied/"
-	// keptEnds is how many ends a request stands at when it is written there. One end is told from host to host alone:
-	// each loss of an upstream leaves some dozens of requests that stand at one, and next to none at two.
+	// minStoredCrashes is how many crashes a request's record must have to be written to that topic. Records with one
+	// crash are only sent from host to host: each loss of an upstream leaves some dozens of requests with one crash,
+	// and next to none with two.
 	minStoredCrashes = 2
-	// newcomersPace bounds how often hosts that have just started are told: when all start at once, each of them is one.
+	// newcomersInterval bounds how often all records are sent because hosts have started: when all start at once, each
+	// of them would cause that.
 	newcomersInterval = 250 * time.Millisecond
-	// deniedPatience is how long a host that knows all else waits for that topic before it is ready.
+	// denyListTimeout is how long a host that has everything else waits for the topic of the hosts before it is ready.
 	denyListTimeout = 2 * time.Second
 )
 
-// toldAgain is when the others are told once more: datagrams are lost, a few in a hundred on bad links, and all hosts
-// have to know within a second or two.
+// denialRepeatDelays are the delays after which a record is sent again: a few datagrams in a hundred are lost on bad
+// links, and all hosts have to receive the record within a second or two.
 var denialRepeatDelays = []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 900 * time.Millisecond}
 
-// tellDenied tells the other hosts of a request, now and some more times.
+// announceDenial sends the record of a request to the other hosts, now and several times later.
 func (host *Host) announceDenial(record poison.Record) {
 	host.announceDenials(record)
 	for _, delay := range denialRepeatDelays {
@@ -59,8 +61,8 @@
 	host.mesh.Announce(topicDenied, encoded, share.NoPreviousChange)
 }
 
-// tellNewcomers tells all that is known to hosts that have just started. Among many hosts only those do that hear from
-// all.
+// announceToNewcomers sends all records to the other hosts after some of them have started. Among many hosts only hubs
+// do that.
 func (host *Host) announceToNewcomers() {
 	if host.denyList.Empty() || host.mesh.HubDuration() == 0 {
 		return
@@ -68,7 +70,7 @@
 	host.announceDenials(host.denyList.Records()...)
 }
 
-// applyHosts takes what the topic of the hosts brought: the hosts themselves, and the requests to refuse.
+// applyHosts applies an update of the hosts' topic: the records of hosts and of requests to refuse.
 func (host *Host) applyHosts(update watch.Update) {
 	var peers, denied []cherrykeel.KeyedRecord
 	for _, record := range update.Records {
@@ -82,12 +84,13 @@
 	host.applyDenials(denied, host.denyList.MergeKept)
 	host.peers.Apply(update)
 	if update.Snapshot {
-		// A host is ready once it has read the whole list; until it is in force it would spend the retries of all hosts.
+		// A host may be ready once it has read the whole list. Until the list is in force, it counts itself as the only
+		// host and would use the retry budget of all.
 		host.applyPeers()
 	}
 }
 
-// applyDenied takes what other hosts have seen, as they told it or as it is kept in the store.
+// applyDenials merges the records of requests that other hosts have sent or stored.
 func (host *Host) applyDenials(records []cherrykeel.KeyedRecord, merge func(record poison.Record)) {
 	for _, record := range records {
 		if len(record.Value) == 0 {
@@ -102,13 +105,13 @@
 	}
 }
 
-// knowsDenied reports whether this host has read which requests end upstreams. It does not wait for that for ever:
-// one partition of the store may be away while the others are not, and nobody would be served.
+// hasDenyList reports whether this host has read which requests crash upstreams. It stops waiting for that after a
+// while: one partition of the store may be unavailable while the others are not, and no caller would be served.
 func (host *Host) hasDenyList() bool {
 	return host.topics.hosts.HasAppliedSnapshot() || host.clock.Now().Sub(host.started) > denyListTimeout
 }
 
-// forgetDenied drops what is too old, at one host from the store too, and shows how much is left.
+// removeExpiredDenials removes records that are too old, on one host from the store too, and updates the metrics.
 func (host *Host) removeExpiredDenials(ctx context.Context) {
 	host.denyList.Count(host.scope)
 	dropped := host.denyList.Forget()
@@ -123,7 +126,7 @@
 	}
 }
 
-// keepDenied writes records until the context ends, each until the store has taken it.
+// writePendingDenials writes records until the context ends, each until the store has accepted it.
 func (host *Host) writePendingDenials(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, identity := range host.pendingDenials.Take(ctx) {
@@ -136,7 +139,7 @@
 	}
 }
 
-// writeDenied reports whether nothing is left to write of a request.
+// writeDenial writes a request's record and reports whether nothing is left to write.
 func (host *Host) writeDenial(ctx context.Context, identity poison.Identity) bool {
 	record, known := host.denyList.Find(identity)
 	if !known {
@@ -157,7 +160,7 @@
 	unread := host.topics.hosts.NextOffset() < offset
 	host.topics.hosts.ApplyReceived(written)
 	if unread {
-		// Another host may have written of the same request at the same moment.
+		// Another host may have written a record of the same request at the same moment.
 		host.topics.hosts.TriggerRead()
 	}
 	host.mesh.Announce(topicHosts, written, share.NoPreviousChange)
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -12,44 +12,49 @@
 	"cherrykeel/watch"
 )
 
-// One host reads the store closely and tells the others; each report of a host says how long ago it has
-// read itself. The others read seldom, at once when another host reports a change that they have not been
-// told of, and for themselves when nobody has read for a part of the bound within which a change has to be
-// known. With each host reading for itself a quiet day cost 39 calls a second for 8 hosts, in this way 14.
-// With a fixed second reader in place of the ages each reader that was lost cost its whole patience, one
-// after the other, and two at once left eleven hosts sending work to an upstream for over 2 s after its leave.
+// One host reads the store frequently and announces the changes to the others; each report of a host has the ages of
+// its own last reads. The other hosts read rarely. In addition, they read when another host reports a change whose
+// announcement they have not received, and when no host has read for a certain share of the bound within which a change
+// has to be known. When each host read for itself, a quiet day cost 39 calls a second for 8 hosts, and this way 14.
+// With a fixed second reader instead of the ages, each lost reader cost its whole timeout, one after the other; after
+// two were lost at once, eleven hosts sent requests to an upstream for over 2 s after it had left.
 const (
-	// settingsWait bounds a waiting read of the settings, as a part of the time in which they have to be in
-	// force: a change is known at once, and the read's end shows the others that it goes on.
+	// settingsWaitShare bounds a waiting read of the settings, as a share of the time in which they have to be in
+	// force: a change is received at once, and the end of the read shows the other hosts that the reads go on.
 	settingsWaitShare = 0.3
-	// upstreamsPace is the pace of reads of the upstreams' entries, which change with each heartbeat, as a
-	// part of the time in which a leaving upstream may still get work.
+	// upstreamsIntervalShare is the interval between reads of the upstreams' entries, which change with each heartbeat,
+	// as a share of the time in which a leaving upstream may still get requests.
 	upstreamsIntervalShare = 0.2
-	// seldomPace is the pace of what others tell, and report the newest offset of, among up to fewHosts hosts; it counts
-	// only when all their messages are lost. Among more each reads the more seldom: what one of them finds it reports,
-	// and at one pace for all 195 hosts made 26 calls a second in which nothing was found.
+	// fallbackInterval is the interval, with up to fewHosts hosts, between reads of a topic whose changes other hosts
+	// announce and whose newest offset they report; these reads matter only if all of their messages are lost. With
+	// more hosts, each reads less often: any of them reports what it finds, and with one interval for all, 195 hosts
+	// made 26 calls a second that found nothing.
 	fallbackInterval = 30 * time.Second
 	fewHosts         = topo.MaxFullMeshHosts
-	// mostPatience is by how much the waits of hosts far down the order are longer while the store is away: 195 hosts
-	// made 800 calls a second that failed. They wait up to 2 s then, and are told by those who try each 0.5 s.
+	// maxBackoffFactor multiplies the waits of hosts far down the order while the store is unavailable: 195 hosts made
+	// 800 failing calls a second. They wait up to 2 s, and receive announcements of the hosts that retry each 0.5 s.
 	maxBackoffFactor = 4
-	// keeperPace is the pace of the keeper's reads of its table, of which it tells all others itself. One that
-	// the store no longer serves moves no keys, and another one takes over a second after it has said so.
+	// keeperInterval is the interval between the keeper's reads of its table, whose changes it announces to all others
+	// itself. A keeper that the store no longer serves transfers no keys, and another host takes over a second after
+	// the keeper has reported that.
 	keeperInterval = 2 * time.Second
-	// keeperLook is how soon a host that has become the keeper reads its table at that pace. It has just written it.
+	// keeperRecheckInterval is how soon a host that has become the keeper adopts that interval; it has just written the
+	// table.
 	keeperRecheckInterval = 500 * time.Millisecond
-	// goneAfter is when the record of a silent host is dropped; cuts and freezes of up to 12 s are known,
-	// but a host that is back announces itself again at once.
+	// removeAfter is when the record of an unreachable host is removed; there are network cuts and suspensions of up to
+	// 12 s, but a host that is back announces itself again at once.
 	removeAfter = 8 * time.Second
-	// aloneAfter is the same for a host that hears nobody, which is more likely cut off itself.
+	// isolatedRemoveAfter is the same for a host that receives no reports at all, which is more likely cut off itself.
 	isolatedRemoveAfter = 20 * time.Second
 	removeInterval      = time.Second
-	// hearingTime is within what a host that has started hears from others, which report each 500 ms.
+	// firstReportsTime is the time within which a host that has started receives reports of the others, which send one
+	// each 500 ms.
 	firstReportsTime = time.Second
 )
 
-// rank is the host's place among those whom the store serves. A host that hears nobody is first, but not while it
-// has just started: it has read all topics then, and each of 195 hosts made the first host's calls.
+// rank returns this host's place among those for which the store is available. A host that receives no reports is
+// first, but not if it has just started: it has read all topics then, and each of 195 hosts made the calls of the first
+// host.
 func (host *Host) rank() int {
 	if host.clock.Now().Sub(host.started) < firstReportsTime && len(host.mesh.FreshReports()) == 0 {
 		return 1
@@ -57,8 +62,9 @@
 	return host.mesh.Rank(func(report share.Report) bool { return report.StoreAvailable })
 }
 
-// patience is how much more seldom than the first hosts this one tries to reach a store that is away. Those that hear
-// from all are quick, whichever they are after a loss, and so is the keeper: a host that is back sooner would claim its duty.
+// backoffFactor returns how much longer than the first hosts this one waits between attempts to reach an unavailable
+// store. Hubs do not wait longer, whichever hosts are hubs after a loss, nor does the keeper: a host that reaches the
+// store earlier would claim its duty.
 func (host *Host) backoffFactor() int {
 	if host.isKeeper() || host.mesh.HubDuration() > 0 || host.mesh.Position() < fewHosts {
 		return 1
@@ -66,7 +72,7 @@
 	return maxBackoffFactor
 }
 
-// keeps reports whether this host is the keeper.
+// isKeeper reports whether this host is the keeper.
 func (host *Host) isKeeper() bool {
 	table, _, known := host.spans.Current()
 	return known && table.Keeper == host.self.Name && table.Incarnation == host.self.Incarnation
@@ -82,8 +88,8 @@
 	return host.schedule(host.topics.upstreams, topicUpstreams, bound, watch.Schedule{Interval: shareOf(bound, upstreamsIntervalShare)})
 }
 
-// schedule returns the first host's schedule to that one, and lets the others read when what they know is
-// too old for the bound.
+// schedule returns the schedule named first for the first host, and lets another one read when its state of the topic
+// is too old for the bound.
 func (host *Host) schedule(topic *watch.Follower, name string, bound time.Duration, first watch.Schedule) watch.Schedule {
 	rank := host.rank()
 	schedule := watch.Schedule{Interval: fallbackIntervalOf(host.mesh.HostCount())}
@@ -97,13 +103,13 @@
 	return schedule
 }
 
-// seldom is the pace at which a host of so many looks whether it has missed what others tell.
+// fallbackIntervalOf returns the interval between the fallback reads of each host, given the number of hosts.
 func fallbackIntervalOf(hosts int) time.Duration {
 	return fallbackInterval * time.Duration(max(hosts, fewHosts)) / fewHosts
 }
 
-// age returns how old the youngest state of a topic is that this host knows: from a read of its own, or of
-// another host that knows of no newer change. One that does makes this host read at once (heard).
+// stateAge returns the age of the newest state of a topic that this host has: from a read of its own, or of another
+// host that reports no newer change. A host that reports one makes this host read soon (checkReports).
 func (host *Host) stateAge(topic *watch.Follower, name string) time.Duration {
 	youngest, known := topic.Age()
 	if !known {
@@ -123,7 +129,8 @@
 	return time.Duration(share * float64(bound))
 }
 
-// tableSchedule is closer at the keeper, for whom no other host could notice that its store calls hang.
+// tableSchedule has a shorter interval on the keeper, since no other host could notice that its calls to the store
+// hang.
 func (host *Host) tableSchedule() watch.Schedule {
 	if host.isKeeper() {
 		return watch.Schedule{Interval: keeperInterval, RecheckInterval: keeperRecheckInterval}
@@ -131,8 +138,8 @@
 	return watch.Schedule{Interval: fallbackIntervalOf(host.mesh.HostCount()), RecheckInterval: keeperRecheckInterval, BackoffFactor: host.backoffFactor()}
 }
 
-// dropSilent takes away the records of hosts that have been silent for long; one host does so for all.
-// More than half of the hosts may be lost for good, and without this no keeper would be confirmed again.
+// removeUnreachable removes the records of hosts that have been unreachable for long; one host does so for all. More
+// than half of the hosts may be lost for good, and no keeper would be confirmed again otherwise.
 func (host *Host) removeUnreachable(ctx context.Context, uptime time.Duration) {
 	if host.rank() > 0 || host.topics.upstreams.AvailableFor() < removeAfter/2 || host.stopping.Load() {
 		return
@@ -146,7 +153,7 @@
 		if !hasReported {
 			silence = min(uptime, host.peers.RecordAge(peer.Name))
 		}
-		// Before this host became one that hears from all, silence said nothing.
+		// Before this host became a hub, it did not receive the reports of all hosts.
 		silence = min(silence, host.mesh.HubDuration())
 		if peer.Name == host.self.Name || silence < threshold {
 			continue
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -13,7 +13,7 @@
 	"cherrykeel/watch"
 )
 
-// The topics of the store, as hosts name them among each other.
+// The topics of the store, as named in messages between hosts.
 const (
 	topicSettings  = "settings"
 	topicUpstreams = "upstreams"
@@ -21,21 +21,21 @@
 	topicSpans     = "spans"
 )
 
-// misdirectedTable names, beside the topics, a table that misdirected requests let this host expect.
+// misdirectedTable is the key in Host.missingChanges for a newer table that misdirected requests suggest.
 const misdirectedTable = "misdirected"
 
-// unknownHost names, beside the topics, the list of hosts with one that reports and is not known.
+// unknownHost is the key in Host.missingChanges for a list of hosts that includes the unknown sender of a report.
 const unknownHost = "unknown host"
 
-// ownRecord names, beside the topics, the list of hosts up to this host's own record.
+// ownRecord is the key in Host.missingChanges for the list of hosts up to this host's own record.
 const ownRecord = "own record"
 
-// state is what the host tells of itself.
+// state provides what a host reports about itself.
 type state struct {
 	host *Host
 }
 
-// FillReport implements share.State.
+// FillReport implements share.StateSource.
 func (state *state) FillReport(report *share.Report) {
 	host := state.host
 	table, _, known := host.spans.Current()
@@ -48,7 +48,7 @@
 	report.FinalGrants = host.keeper.FinalGrants()
 }
 
-// FillLoad implements share.State.
+// FillLoad implements share.StateSource.
 func (state *state) FillLoad(load *share.Load) bool {
 	own := state.host.relay.OwnCounts()
 	load.Running = share.ShortenKeys(own.Running)
@@ -57,7 +57,7 @@
 	return own.Busy
 }
 
-// offsets tells where the newest changes stand that this host knows.
+// offsets returns the offsets of the newest changes that this host has.
 func (host *Host) offsets() map[string]int64 {
 	table, _, _ := host.spans.Current()
 	return map[string]int64{
@@ -68,8 +68,8 @@
 	}
 }
 
-// ages tells how long ago this host began the last reads that were answered; the others do not need those
-// that would be overdue anyway.
+// ages returns how long ago this host began its last successful reads. Those older than a topic's bound are left out,
+// since they would be overdue anyway.
 func (host *Host) ages() map[string]time.Duration {
 	bounds := host.currentBounds()
 	ages := map[string]time.Duration{}
@@ -84,8 +84,9 @@
 	return ages
 }
 
-// chainUpstreams notes up to where all changes of upstreams are known. A message names the change before its own:
-// whoever lacks that one stays behind, though it has the newer one, until it has read the store.
+// recordUpstreamsThrough records up to which offset all changes of upstreams are known. An announcement has the offset
+// of the change before its own: a host that lacks that one counts as lacking a change, even with the newer one, until
+// it has read the store.
 func (host *Host) recordUpstreamsThrough(announcement share.Announcement) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
@@ -97,10 +98,10 @@
 	}
 }
 
-// readThrough tells up to where this host knows each topic without a gap. Of upstreams, whose heartbeats are not
-// told, changes that were told without a gap count too. A host that has just started takes all that it finds for
-// changes, and reports an offset up to which the others have known all changes and read no heartbeats: they read
-// once. While only the newest change counted they read ten times a second each, until the next change.
+// completeOffsets returns up to which offset this host has each topic without a gap. For upstreams, whose heartbeats
+// are not announced, changes that were announced without a gap count too. A host that has just started takes everything
+// that it finds for changes, and reports an offset up to which the others have all changes but no heartbeats: they read
+// once. When only the newest change counted, they read ten times a second each, until the next change.
 func (host *Host) completeOffsets() map[string]int64 {
 	host.mutex.Lock()
 	through := host.upstreamsThrough
@@ -113,7 +114,7 @@
 	}
 }
 
-// storeWell is how long the store has served this host; 0 while any topic cannot be read.
+// storeAvailableFor returns how long the store has been available to this host; 0 while any topic cannot be read.
 func (host *Host) storeAvailableFor() time.Duration {
 	for _, topic := range []*watch.Follower{host.topics.operator, host.topics.hosts, host.topics.spans} {
 		if topic.IsUnavailable() {
@@ -123,11 +124,12 @@
 	return host.topics.upstreams.AvailableFor()
 }
 
-// heardPace is how often reports are looked through at the most. Watchers and the keeper get two a second from each
-// host, 390 among 195, and changes are read 250 ms after they were first reported at the earliest.
+// reportsInterval bounds how often reports are checked. Hubs and the keeper receive two a second from each host, 390
+// with 195 hosts, and a change is read at the earliest 250 ms after it was first reported.
 const reportsInterval = 50 * time.Millisecond
 
-// heard reads what other hosts report to be newer than what this one knows, and has not been told in time.
+// checkReports triggers reads of the topics for which other hosts report newer changes whose announcements have not
+// arrived in time.
 func (host *Host) checkReports() {
 	known := host.completeOffsets()
 	newest := maps.Clone(known)
@@ -152,9 +154,10 @@
 	}
 }
 
-// misdirected takes it that an upstream did not hold a key that the table gives to it: the next table may be on its
-// way to this host, or the grant to the upstream. Only while requests go on being misdirected under the same table
-// does the host read it; when each of them made it read, 60 of 91 hosts did so within 0.2 s of a move.
+// onMisdirected handles the refusal of a request by an upstream that did not hold a key although the table assigns it
+// the key: the next table may be on its way to this host, or the grant to the upstream. The host reads the table only
+// if requests go on being misdirected under the same one; when each of them triggered a read, 60 of 91 hosts read
+// within 0.2 s of a transfer.
 func (host *Host) onMisdirected() {
 	version := host.spans.Version()
 	if host.isReadDue(misdirectedTable, version, version+1, host.clock.Now()) {
@@ -186,7 +189,7 @@
 	}
 }
 
-// told takes records that another host has read.
+// receive applies records that another host has announced.
 func (host *Host) receive(announcement share.Announcement) {
 	switch announcement.Topic {
 	case topicSettings:
@@ -203,8 +206,8 @@
 	}
 }
 
-// toldSpans takes changes of the table, each of which follows the one before. Who has missed one is told of it again
-// with the next ones, and reads the table if that does not come soon (heard).
+// receiveSpans applies changes of the table, each of which is based on the one before. A host that misses one receives
+// it again with the next announcements, and reads the table if that takes too long (checkReports).
 func (host *Host) receiveSpans(announcement share.Announcement) {
 	before := announcement.PreviousOffset
 	for _, record := range announcement.Records {
@@ -225,14 +228,15 @@
 	}
 }
 
-// tellUpstreams passes on what this host found of upstreams itself, under the same condition as tellOne.
+// announceUpstreams announces changes of upstreams that this host has found itself, under the same condition as
+// announcer.
 func (host *Host) announceUpstreams(records []cherrykeel.KeyedRecord, before int64) {
 	if host.mesh.HubDuration() > 0 {
 		host.mesh.Announce(topicUpstreams, records, before)
 	}
 }
 
-// tellSpans tells the others what a table changed.
+// announceSpans announces the changes of a table.
 func (host *Host) announceSpans(change spans.Table, before int64) {
 	value, err := change.Encode()
 	if err != nil {
@@ -246,8 +250,9 @@
 	host.mesh.Announce(topicSpans, records, before)
 }
 
-// tellOne passes a record on. Among many hosts only those do that hear from all: when a message of theirs is
-// lost to many, each of those reads for itself and would tell all the others again.
+// announcer returns a function that announces a record of the topic. Among many hosts only hubs do: when an
+// announcement of theirs fails to reach many hosts, each of those reads for itself and would announce the change to all
+// others again.
 func (host *Host) announcer(topic string) func(record cherrykeel.KeyedRecord) {
 	return func(record cherrykeel.KeyedRecord) {
 		if host.mesh.HubDuration() == 0 {
--- a/entry/host.go
+++ b/entry/host.go
@@ -26,35 +26,40 @@
 )
 
 const (
-	// dialTimeout and userTimeout end tries to reach an upstream that does not answer at all; the way
-	// there and back takes 3 ms, and one lost packet is sent again after 200 ms.
+	// dialTimeout and userTimeout end attempts to reach an upstream that does not answer; a round trip takes 3 ms, and a
+	// lost packet is sent again after 200 ms.
 	dialTimeout = 300 * time.Millisecond
 	userTimeout = 500 * time.Millisecond
 	idleTimeout = 8 * time.Second
-	// lifeLength is enough to tell the lives of one host apart.
+	// incarnationLength is long enough to tell the incarnations of one host apart.
 	incarnationLength = 8
-	// bodyShare is the part of the memory that held bodies may take.
+	// bodyShare is the share of the memory that buffered bodies may take.
 	bodyShare = 0.25
 )
 
-// Platform is what a host needs of the platform it runs on.
+// Platform holds what a host needs from the platform that it runs on.
 type Platform struct {
-	Dialect   cherrykeel.Dialect
-	Granter   cherrykeel.SpanGranter
+	// Dialect reads and writes the platform's headers.
+	Dialect cherrykeel.Dialect
+	// Granter grants key spans to upstreams.
+	Granter cherrykeel.SpanGranter
+	// Operator, Upstreams, Hosts and Spans are the store's topics: the operator's settings and orders, the entries of
+	// upstreams, the records of hosts, and the table of key spans.
 	Operator  cherrykeel.KeyedLog
 	Upstreams cherrykeel.KeyedLog
 	Hosts     cherrykeel.KeyedLog
 	Spans     cherrykeel.KeyedLog
 	// RoutesKey is the key of the routes in Operator.
 	RoutesKey string
-	// EvacuationPrefix begins the keys of the orders in Operator that evacuate an availability zone.
+	// EvacuationPrefix begins the keys in Operator of the orders to evacuate an availability zone.
 	EvacuationPrefix string
 
+	// DecodeRoutes decodes the record under RoutesKey, DecodeUpstream an upstream's entry.
 	DecodeRoutes   func(value []byte) (cherrykeel.RouteSet, error)
 	DecodeUpstream func(id string, value []byte) (cherrykeel.Upstream, error)
 }
 
-// Host is one entry host.
+// Host is an entry host.
 type Host struct {
 	settings cherrykeel.EntrySettings
 	bounds   atomic.Pointer[cherrykeel.Bounds]
@@ -82,15 +87,15 @@
 	topics topics
 
 	listener *drain.Listener
-	// accepted is closed when no further connection will be.
+	// acceptEnded is closed when no further connection will be accepted.
 	acceptEnded chan struct{}
-	// over is closed when the process has to end.
+	// mustExit is closed when the process must exit.
 	mustExit     chan struct{}
 	ready        atomic.Bool
 	stopping     atomic.Bool
 	mutex        sync.Mutex
 	incarnations map[string]string
-	// passing makes those who put the list of hosts in force follow each other.
+	// peersMutex serializes the updates of the list of hosts.
 	peersMutex        sync.Mutex
 	recent            recentChanges
 	countsThrottle    *throttle
@@ -101,13 +106,14 @@
 	schedulingDelay   *schedulingDelay
 	// started is when the process began.
 	started cherrykeel.Instant
-	// upstreamsChained is the newest change of upstreams up to which this host was told of all.
+	// upstreamsThrough is the newest change of upstreams up to which this host has received all announcements.
 	upstreamsThrough int64
-	// behind follows by topic what others know and this host does not.
+	// missingChanges tracks, by topic or by one of the keys beside the topics, changes that other hosts have and this
+	// one lacks.
 	missingChanges map[string]*missingChange
 }
 
-// topics are those of the platform's store that a host follows.
+// topics holds the followers of the store's topics.
 type topics struct {
 	operator  *watch.Follower
 	upstreams *watch.Follower
@@ -119,17 +125,17 @@
 	return []*watch.Follower{topics.operator, topics.upstreams, topics.hosts, topics.spans}
 }
 
-// Option changes a Host under construction.
+// Option configures a Host in New.
 type Option func(*Host)
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger for events.
 func WithLogger(logger *zap.Logger) Option {
 	return func(host *Host) {
 		host.logger = logger
 	}
 }
 
-// WithMetrics sets where requests are counted and what serves the counts.
+// WithMetrics sets the scope for metrics and the handler that serves them.
 func WithMetrics(scope tally.Scope, handler http.Handler) Option {
 	return func(host *Host) {
 		host.scope = scope
@@ -137,14 +143,14 @@
 	}
 }
 
-// WithClock replaces the clock, which counts suspension.
+// WithClock replaces the default clock, which includes the time in which the machine is suspended.
 func WithClock(clock cherrykeel.Clock) Option {
 	return func(host *Host) {
 		host.clock = clock
 	}
 }
 
-// New returns a host that does nothing yet.
+// New returns a host that does not run yet.
 func New(settings cherrykeel.EntrySettings, platform Platform, options ...Option) *Host {
 	host := &Host{
 		settings:       settings,
@@ -170,8 +176,8 @@
 	return host
 }
 
-// Reload puts in force what may change while the host runs: the platform's bounds. Addresses are taken
-// at the next start.
+// Reload applies the settings that may change while the host runs: the platform's bounds. Addresses take effect at the
+// next start.
 func (host *Host) Reload(settings cherrykeel.EntrySettings) {
 	host.bounds.Store(&settings.Bounds)
 	events.Log(host.logger, events.SettingsReread, zap.Any("Bounds", settings.Bounds), zap.String("Store", settings.StoreURL))
@@ -181,7 +187,7 @@
 	return *host.bounds.Load()
 }
 
-// Listen opens the host's addresses.
+// Listen opens the host's listening sockets.
 func (host *Host) Listen() error {
 	var err error
 	host.listener, err = drain.Listen(host.settings.CallerAddress)
--- a/entry/lag.go
+++ b/entry/lag.go
@@ -9,18 +9,18 @@
 	"cherrykeel"
 )
 
-// lagPace is how often the lag is measured.
+// measureInterval is the interval between two measurements of the scheduling delay.
 const measureInterval = 250 * time.Millisecond
 
-// lag is how late this process notices what the system tells it. A goroutine that the system wakes waits behind all that
-// are ready to run: seconds on a host whose callers press for more than its processor can do. Timers do not wait there, so
-// that the clock alone shows no standstill, and a host that noticed its signal late was killed with requests that it had
-// taken for the rest of a grace that was over.
+// schedulingDelay measures how late this process notices an event of the operating system. A goroutine that the system
+// wakes waits behind all that are ready to run: seconds on a host whose callers send more than its processor can
+// handle. Timers do not wait like that, so that the clock alone shows no suspension, and a host that noticed its signal
+// late was killed with requests that it had admitted when its grace was already over.
 type schedulingDelay struct {
 	clock cherrykeel.Clock
-	// yield lets all go first that are ready to run.
+	// yield lets all goroutines run first that are ready to run.
 	yield func()
-	// begun is when the measurement under way began, or 0, and last what the one before has shown.
+	// begun is when the running measurement began, or 0; lastMeasured is the result of the last one.
 	begun        atomic.Int64
 	lastMeasured atomic.Int64
 }
@@ -51,7 +51,8 @@
 	schedulingDelay.begun.Store(0)
 }
 
-// current returns the lag as far as it is known: that of a measurement under way is as long as it lasts already.
+// current returns the delay as far as it is known: for a running measurement, at least the time that it has taken
+// already.
 func (schedulingDelay *schedulingDelay) current() time.Duration {
 	last := time.Duration(schedulingDelay.lastMeasured.Load())
 	begun := cherrykeel.Instant(schedulingDelay.begun.Load())
--- a/entry/paced.go
+++ b/entry/paced.go
@@ -7,7 +7,7 @@
 	"cherrykeel"
 )
 
-// paced does something soon after it is asked to, at a bounded pace, and always once more after it was last asked.
+// throttle runs a function soon after it is triggered, at a limited rate, and always once more after the last trigger.
 type throttle struct {
 	clock    cherrykeel.Clock
 	interval time.Duration
@@ -18,7 +18,7 @@
 	pending bool
 }
 
-// ask has it done now, or when the pace allows.
+// trigger runs the function now, or as soon as the interval allows it.
 func (throttle *throttle) trigger() {
 	throttle.mutex.Lock()
 	now := throttle.clock.Now()
@@ -36,7 +36,7 @@
 	throttle.mutex.Unlock()
 }
 
-// late does what was asked for within the pace.
+// runPending runs the function for the triggers that came within the interval.
 func (throttle *throttle) runPending() {
 	throttle.mutex.Lock()
 	throttle.pending = false
--- a/entry/recent.go
+++ b/entry/recent.go
@@ -6,22 +6,24 @@
 	"cherrykeel"
 )
 
-// repeatedChanges is how many changes of the table are told together, the newest one included: whoever missed one
-// message learns of its change with the next, mostly within 100 ms, and need not read the store.
+// maxRepeatedChanges is how many changes of the table one announcement contains, the newest one included: a host that
+// misses an announcement receives its change with the next one, usually within 100 ms, and need not read the store.
 const maxRepeatedChanges = 3
 
-// repeatedBytes bounds what is repeated: a claim changes the fence of every span, 30 KB of them among 231 upstreams.
+// maxRepeatedBytes bounds the changes in one announcement: a claim changes the fence of every span, which is 30 KB with
+// 231 upstreams.
 const maxRepeatedBytes = 8 << 10
 
-// recentChanges has the last changes that were told, each of which follows the one before.
+// recentChanges holds the last changes that were announced, each of which is based on the one before.
 type recentChanges struct {
 	mutex sync.Mutex
-	// before is the version that the first of them follows.
+	// previousVersion is the version that the first change is based on.
 	previousVersion int64
 	records         []cherrykeel.KeyedRecord
 }
 
-// with adds a change that follows a version, and returns what is to be told and the version before all of that.
+// add adds a change that is based on the version before, and returns the changes to announce and the version that the
+// first of them is based on.
 func (recent *recentChanges) add(record cherrykeel.KeyedRecord, before int64) ([]cherrykeel.KeyedRecord, int64) {
 	recent.mutex.Lock()
 	defer recent.mutex.Unlock()
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -12,38 +12,42 @@
 )
 
 const (
-	// acceptShare is the part of the grace in which new connections are still served: the balancer
-	// notices after two missed questions, 2 to 3 s of 6, and goes on sending until then.
+	// acceptShare is the share of the grace in which new connections are still accepted: the load balancer notices the
+	// stop after two failed health checks, 2 to 3 s of 6, and sends connections until then.
 	acceptShare = 0.6
-	// takeShare is the part in which every request is taken; after it only those whose time ends before the host's.
+	// admitShare is the share in which every request is admitted; after it only those whose deadline is before the
+	// host's end.
 	admitShare = 0.45
-	// endMargin is kept of the grace for the process to end by itself: for its last words, and from exitMargin on for
-	// nothing but the end.
+	// endMargin is kept of the grace for the process to end by itself: for its last messages, and from exitMargin on
+	// for nothing but the exit.
 	endMargin        = 150 * time.Millisecond
 	exitMargin       = 50 * time.Millisecond
 	stopPollInterval = 50 * time.Millisecond
-	// mostLagShare is the most that the lag may be of the grace. A measurement amid which the process stood still seems to
-	// show seconds; taken in full, a host that was told a moment ago would cut all its requests at once.
+	// maxDelayShare is the largest scheduling delay that counts, as a share of the grace. A measurement during which
+	// the process was suspended seems to show seconds; if it counted in full, a host that has just received its signal
+	// would cut all its requests at once.
 	maxDelayShare = 0.25
-	// acceptTimeout is what taking the last connections has at the least, however late the stop comes to it; the listener
-	// waits for 200 ms for those that are under way.
+	// acceptTimeout is the least time for accepting the last connections, however late in the stop that begins; the
+	// listener waits 200 ms for connections that are being set up.
 	acceptTimeout = 300 * time.Millisecond
-	// withdrawTimeout bounds the write that takes the host's record away, made this long before the end.
+	// removeTimeout bounds the write that removes the host's record; the write is made this long before the end.
 	removeTimeout = 400 * time.Millisecond
-	// finishTimeout bounds the last word of a keeper, which waits for no call.
+	// finishTimeout bounds a keeper's last report, which waits for no call.
 	finishTimeout = 50 * time.Millisecond
 )
 
-// ErrConnectionsNotAccepted means that connections still waited to be taken when the listener was closed; they are reset.
-var ErrConnectionsNotAccepted = errors.New("connections still waited to be taken")
+// ErrConnectionsNotAccepted means that connections were still waiting to be accepted when the listener was closed; they
+// are reset.
+var ErrConnectionsNotAccepted = errors.New("connections were still waiting to be accepted")
 
-// stop serves what the balancer still sends, lets each connection end with its next answer, and returns
-// when none is left or the grace has passed.
+// stop serves what the load balancer still sends, closes each connection after its next answer, and returns when none
+// is left or the grace has passed.
 func (host *Host) stop(ctx context.Context) {
 	begun := host.clock.Now()
 	host.stopping.Store(true)
-	// The grace counts from the signal, which a busy process notices late by its lag, and one that stood still by up to the
-	// time of that. A process that notices its signal late is as late with its own end, so it keeps its lag of the grace.
+	// The grace counts from the signal. A busy process notices the signal late by its scheduling delay, a suspended one
+	// by up to the time of its suspension. A process that notices its signal late also exits late, so the delay is
+	// taken off the grace.
 	fullGrace := host.currentBounds().Grace
 	delay := min(host.schedulingDelay.current(), shareOf(fullGrace, maxDelayShare))
 	signalled := begun.Add(-delay)
@@ -53,8 +57,8 @@
 	host.server.Stop()
 	go host.keeper.Resign(ctx)
 	go host.signalExit(signalled.Add(grace - exitMargin))
-	// One end bounds the whole stop. While each wait had a bound of its own, or none, a host that had run out of
-	// descriptors, or was asked to wait by its store, was killed at the end of its grace.
+	// One end bounds the whole stop. When each wait had a bound of its own, or none, a host that had run out of
+	// descriptors, or that waited for its store, was killed at the end of its grace.
 	end := signalled.Add(grace - endMargin)
 	draining, cancel := host.contextUntil(ctx, end)
 	defer cancel()
@@ -63,21 +67,22 @@
 	runUntil(host.mustExit, func() { host.stopGranting(ctx) })
 }
 
-// endProcess closes Over at an instant. It outlives the stop, since what follows may hang as well.
+// signalExit closes mustExit at an instant. It outlives the stop, since what follows may hang as well.
 func (host *Host) signalExit(instant cherrykeel.Instant) {
 	host.waitUntil(context.Background(), instant)
 	close(host.mustExit)
 }
 
-// MustExit is closed when the process has to end, whatever it still waits for, since its grace is all but over.
+// MustExit returns a channel that is closed when the process must exit, whatever it still waits for, since its grace is
+// almost over.
 func (host *Host) MustExit() <-chan struct{} {
 	return host.mustExit
 }
 
-// drain returns when no connection is left and the host's record is taken away, or the context has ended. Earliest is when
-// the signal may have come at the soonest: the grace counts from then for what is taken, so that nothing is taken that the
-// platform might cut by killing the process. What has been taken is served until the end, since the signal may have come
-// later than that.
+// drain returns when no connection is left and the host's record is removed, or when the context has ended. Earliest is
+// the earliest time at which the signal can have been sent: for new requests and connections the grace counts from
+// then, so that the platform cannot cut any of them by killing the process. What has been admitted is served until the
+// end, since the signal may have been sent later than that.
 func (host *Host) drain(ctx context.Context, earliest cherrykeel.Instant, grace time.Duration, end cherrykeel.Instant) {
 	host.waitUntil(ctx, earliest.Add(shareOf(grace, admitShare)))
 	host.relay.SetProcessEnd(earliest.Add(grace - endMargin))
@@ -93,13 +98,13 @@
 	err := host.closeListener(ctx, max(end.Add(-removeTimeout), host.clock.Now().Add(acceptTimeout)))
 	events.Log(host.logger, events.EntryClosed, zap.Duration("After", host.clock.Now().Sub(earliest)), zap.Int("Connections", host.server.Open()), zap.Error(err))
 	host.closeConnections(ctx)
-	// With no connection left the record is taken away at once.
+	// With no connection left the record is removed at once.
 	cancel()
 	<-removed
 }
 
-// closeListener returns when the listener is closed: after the connections that are complete were taken, or, if they
-// cannot all be until an instant, as when descriptors have run out, then. What has been taken is served to its end.
+// closeListener returns when the listener is closed: after all complete connections have been accepted or, if that
+// takes too long, as when descriptors have run out, at the given instant. Accepted connections are served to their end.
 func (host *Host) closeListener(ctx context.Context, end cherrykeel.Instant) error {
 	ctx, cancel := host.contextUntil(ctx, end)
 	defer cancel()
@@ -113,7 +118,7 @@
 	}
 }
 
-// closeConnections ends each connection as it becomes idle, and returns when none is left or the context has ended.
+// closeConnections closes each connection as it becomes idle, and returns when none is left or the context has ended.
 func (host *Host) closeConnections(ctx context.Context) {
 	for host.server.Open() > 0 && ctx.Err() == nil {
 		host.server.CloseIdle()
@@ -134,7 +139,8 @@
 	}
 }
 
-// contextUntil returns a context that ends at an instant of the host's clock, which goes on while the machine is suspended.
+// contextUntil returns a context that ends at an instant of the host's clock, which goes on while the machine is
+// suspended.
 func (host *Host) contextUntil(ctx context.Context, end cherrykeel.Instant) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -144,9 +150,9 @@
 	return ctx, cancel
 }
 
-// finishKeeping tells the others that this host grants nothing any more, should it be keeper still: it could
-// not resign while the store is away. The word is sent twice, since a datagram may be lost; each host that has
-// it passes it on.
+// stopGranting reports to the others that this host grants nothing any more, in case it is still the keeper: it cannot
+// resign while the store is unavailable. The report is sent twice, since a datagram may be lost; each host that
+// receives it passes it on.
 func (host *Host) stopGranting(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
@@ -169,8 +175,8 @@
 	}
 }
 
-// withdraw takes this host's record away. The others count hosts to tell whether they are more than half;
-// those that have left for good would make that impossible.
+// removeRecord removes this host's record. The other hosts see from the records whether they are more than half of all
+// hosts; records of hosts that have left for good would make that impossible.
 func (host *Host) removeRecord(ctx context.Context, end cherrykeel.Instant) {
 	ctx, cancel := context.WithTimeout(ctx, min(removeTimeout, end.Sub(host.clock.Now())))
 	defer cancel()
--- a/entry/tend.go
+++ b/entry/tend.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// dispatchEvery is how often waiting requests are looked at when nothing else wakes them. While none
-	// waits nobody looks: of some 170 timers a second on an idle host 100 were this one.
+	// dispatchInterval is how often waiting requests are checked when nothing else triggers that. The timer does not
+	// run while none waits: of some 170 timers a second on an idle host, 100 were this one.
 	dispatchInterval = 10 * time.Millisecond
-	// readyEvery is how often a host that has started looks whether it knows enough.
+	// readyInterval is how often a host that has started checks whether it is ready.
 	readyInterval   = 25 * time.Millisecond
 	refreshInterval = 250 * time.Millisecond
 )
 
-// tend does what time asks for.
+// maintain runs the host's periodic work until the context ends.
 func (host *Host) maintain(ctx context.Context) {
 	dispatch := time.NewTimer(dispatchInterval)
 	defer dispatch.Stop()
@@ -57,12 +57,12 @@
 			host.checkReports()
 			host.updateUnreadableGauges()
 			host.updateUpstreamGauges()
-			// A host that has fallen silent is forgotten without a message.
+			// A host that has become unreachable is left out of the sums without a message.
 			host.updateOtherCounts()
 		case <-remove.C:
 			host.removeUnreachable(ctx, host.clock.Now().Sub(begun))
 			host.removeExpiredDenials(ctx)
-			// Connections that rest take up room at upstreams, which reset what is beyond theirs.
+			// Idle connections take up room at upstreams, which reset those beyond their limit.
 			host.conns.Sweep()
 		case <-demand.C:
 			table, _, known := host.spans.Current()
@@ -73,8 +73,8 @@
 	}
 }
 
-// noteReady makes the host ready once it knows routes, evacuated zones, upstreams and the requests to refuse, and reports
-// whether it is.
+// checkReady makes the host ready once it has the routes, the evacuated zones, the upstreams and the requests to
+// refuse, and reports whether it is ready.
 func (host *Host) checkReady() bool {
 	_, known := host.routes.Current()
 	if !known || !host.topics.operator.HasAppliedSnapshot() || !host.topics.upstreams.HasAppliedSnapshot() || !host.hasDenyList() {
@@ -85,8 +85,8 @@
 	return true
 }
 
-// countUnused shows how many upstreams get nothing, since their availability zone is evacuated, or only a part, since they
-// are cold, and how many of this host's requests are still at work in evacuated zones.
+// updateUpstreamGauges shows how many upstreams get no requests because their availability zone is evacuated, how many
+// get a limited rate because they are cold, and how many of this host's requests still run in evacuated zones.
 func (host *Host) updateUpstreamGauges() {
 	evacuated := host.zones.Evacuated()
 	var evacuating []string
@@ -108,7 +108,7 @@
 	host.scope.Gauge("cold_upstreams").Update(float64(host.countColdUpstreams()))
 }
 
-// countUnreadable shows how many records of other writers each topic has had.
+// updateUnreadableGauges shows how many records of each topic could not be decoded.
 func (host *Host) updateUnreadableGauges() {
 	for name, topic := range map[string]*watch.Follower{
 		topicSettings: host.topics.operator, topicUpstreams: host.topics.upstreams, topicHosts: host.topics.hosts, topicSpans: host.topics.spans,
--- a/entry/usable.go
+++ b/entry/usable.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// handoverShare is the part of the bound on evacuations in which keys are still served by their owners in an
-	// evacuated availability zone, until the keeper has given them on. Hosts learn of the order within another part of
-	// the bound, and half of it is left for one that learns late.
+	// transferShare is the share of the bound on evacuations in which owners in an evacuated availability zone still
+	// serve their keys, until the keeper has transferred them. Hosts learn of the order within another share of the
+	// bound, and half of it is left for a host that learns late.
 	transferShare = 0.3
-	// longAgo is before any order that a host which has just started could find.
+	// longAgo is longer ago than any order that a host could find at its start.
 	longAgo = time.Hour
 )
 
-// usable has the upstreams as they were last passed on.
+// upstreamList holds the upstreams as they were last passed to the relay.
 type upstreamList struct {
-	// mutex makes those who pass them on follow each other.
+	// mutex serializes the updates.
 	mutex sync.Mutex
 	list  atomic.Pointer[[]cherrykeel.Upstream]
 }
 
-// current returns the upstreams that were last passed on; the list is not to be changed.
+// current returns the upstreams that were last passed on; callers must not modify the list.
 func (upstreamList *upstreamList) current() []cherrykeel.Upstream {
 	list := upstreamList.list.Load()
 	if list == nil {
@@ -34,9 +34,9 @@
 	return *list
 }
 
-// putUpstreamsInForce passes on the upstreams that are not gone, with what the operator's orders mean for them. A host
-// that does not know the orders yet passes on none: it would send requests into a zone that is evacuated. Calls follow
-// each other, so that the last one knows all changes.
+// applyUpstreams passes the upstreams that are not gone to the relay, with the effects of the operator's orders. A host
+// that does not have the orders yet passes none: it would send requests into an evacuated zone. Calls are serialized,
+// so that the last one has all changes.
 func (host *Host) applyUpstreams() {
 	host.usable.mutex.Lock()
 	defer host.usable.mutex.Unlock()
@@ -56,8 +56,8 @@
 	host.relay.SetUpstreams(list)
 }
 
-// closedAt is when the upstream gets nothing more, or 0. Any other upstream can take the requests of a service without
-// keys at once; those for a key need its next owner.
+// evacuateAt returns from when on the upstream gets no requests, or 0. Any other upstream can serve the requests of a
+// service without keys at once; those for a key need its next owner.
 func (host *Host) evacuateAt(upstream cherrykeel.Upstream) cherrykeel.Instant {
 	state, ordered := host.zones.State(upstream.Zone)
 	if !ordered || !state.Evacuated {
@@ -74,13 +74,13 @@
 	return max(evacuateAt, 1)
 }
 
-// applyOperator takes what the operator's topic brought.
+// applyOperator applies an update of the operator's topic.
 func (host *Host) applyOperator(update watch.Update) {
 	host.routes.Apply(update)
 	host.zones.Apply(update)
 }
 
-// takeRoutes puts routes in force; they say which services have keys, and what a cold upstream bears.
+// applyRoutes puts routes in force; they determine which services have keys, and the rate limits of cold upstreams.
 func (host *Host) applyRoutes(routes cherrykeel.RouteSet) {
 	host.relay.SetRoutes(routes)
 	host.applyUpstreams()
--- a/entry/world.go
+++ b/entry/world.go
@@ -9,12 +9,12 @@
 	"cherrykeel/watch"
 )
 
-// world shows the keeper what its host knows.
+// environment gives the keeper access to what its host knows.
 type environment struct {
 	host *Host
 }
 
-// KeyedServices implements grants.World.
+// KeyedServices implements grants.Environment.
 func (environment *environment) KeyedServices() []cherrykeel.RoutedService {
 	routes, known := environment.host.routes.Current()
 	if !known {
@@ -29,27 +29,27 @@
 	return keyed
 }
 
-// Upstreams implements grants.World.
+// Upstreams implements grants.Environment.
 func (environment *environment) Upstreams() []cherrykeel.Upstream {
 	return environment.host.usable.current()
 }
 
-// IsReplaced implements grants.World.
+// IsReplaced implements grants.Environment.
 func (environment *environment) IsReplaced(id, address string) bool {
 	return environment.host.upstreams.IsReplaced(id, address)
 }
 
-// NotifyEnded implements grants.World.
+// NotifyEnded implements grants.Environment.
 func (environment *environment) NotifyEnded(id string) {
 	environment.host.upstreams.MarkEnded(id)
 }
 
-// RereadTable implements grants.World.
+// RereadTable implements grants.Environment.
 func (environment *environment) RereadTable() {
 	environment.host.topics.spans.TriggerRead()
 }
 
-// StoreAvailableFor implements grants.World.
+// StoreAvailableFor implements grants.Environment.
 func (environment *environment) StoreAvailableFor() time.Duration {
 	if !environment.host.topics.spans.HasRead() {
 		return 0
@@ -57,18 +57,18 @@
 	return environment.host.storeAvailableFor()
 }
 
-// PeerIncarnation implements grants.World.
+// PeerIncarnation implements grants.Environment.
 func (environment *environment) PeerIncarnation(name string) (string, time.Duration, bool) {
 	incarnation, known := environment.host.peers.Incarnation(name)
 	return incarnation, environment.host.peers.RecordAge(name), known
 }
 
-// Rank implements grants.World.
+// Rank implements grants.Environment.
 func (environment *environment) Rank() int {
 	return environment.host.mesh.Rank(func(share.Report) bool { return true })
 }
 
-// ownTable is the keeper's view of the table; what it writes counts as read and is told.
+// ownTable is the keeper's view of the table; what the keeper writes counts as read and is announced.
 type ownTable struct {
 	host *Host
 }
