--- a/watch/entries.go
+++ b/watch/entries.go
@@ -80,6 +80,7 @@
 	return upstreams.removeIfMissing(old)
 }
 
+// markUnlisted handles the entries that a snapshot lacks as missing ones.
 func (upstreams *Upstreams) markUnlisted(listed map[string]bool) bool {
 	changed := false
 	for id := range upstreams.entries {
@@ -90,6 +91,7 @@
 	return changed
 }
 
+// removeIfMissing marks an upstream as gone if its entry is missing although it had time to register again.
 func (upstreams *Upstreams) removeIfMissing(entry *entry) bool {
 	available := upstreams.availableFor()
 	if !entry.missing || entry.gone || available < reregistrationTime {
--- a/watch/follow.go
+++ b/watch/follow.go
@@ -129,6 +129,7 @@
 	}
 }
 
+// sleepContext waits until the pause has passed or the context has ended.
 func sleepContext(ctx context.Context, pause time.Duration) {
 	if pause <= 0 {
 		return
@@ -192,6 +193,7 @@
 	}
 }
 
+// readOnce reads the next records, or a snapshot if there was none yet or the next records have expired.
 func (follower *Follower) readOnce(ctx context.Context) error {
 	follower.mutex.Lock()
 	next, known := follower.next, follower.hasRead
@@ -224,6 +226,7 @@
 	return nil
 }
 
+// read reads from the offset next on; TriggerRead can interrupt it if it waits for records.
 func (follower *Follower) read(ctx context.Context, next int64, wait time.Duration) (cherrykeel.KeyedBatch, error) {
 	reading, interrupt := context.WithCancel(ctx)
 	defer interrupt()
--- a/watch/table.go
+++ b/watch/table.go
@@ -42,6 +42,7 @@
 	reassigned []reassignedSpan
 }
 
+// reassignedSpan is a span with a new owner, which may lack its grant until an instant.
 type reassignedSpan struct {
 	service string
 	span    cherrykeel.KeySpan
--- a/watch/upstreams.go
+++ b/watch/upstreams.go
@@ -47,6 +47,7 @@
 	previousOffset int64
 }
 
+// entry is what is known of one upstream.
 type entry struct {
 	upstream cherrykeel.Upstream
 	// offset is the offset of the newest record, firstOffset that of the first record that was read of this
@@ -141,6 +142,8 @@
 	return true
 }
 
+// markGone marks an upstream as gone and logs it; available is how long the store has been available, or 0 if that was
+// not the reason.
 func (upstreams *Upstreams) markGone(entry *entry, available time.Duration) {
 	entry.gone = true
 	upstreams.listValid = false
