--- a/entry/announce.go
+++ b/entry/announce.go
@@ -13,6 +13,7 @@
 )
 
 const (
+	// announceInterval is how often a host checks that its record is there.
 	announceInterval = 300 * time.Millisecond
 	// maxAnnounceInterval bounds the interval while the store does not accept the announcement: refused calls have a
 	// cost too, and the others lack this host for no longer than that after the store's return.
@@ -62,6 +63,7 @@
 	}
 }
 
+// sleepContext waits until the time has passed or the context has ended.
 func sleepContext(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -56,6 +56,7 @@
 		&environment{host: host}, host.mesh, host.platform.Granter, host.currentBounds, grants.WithMetrics(host.scope))
 }
 
+// onSpansChange passes a new table's keeper to the mesh, and dispatches requests that waited for an owner.
 func (host *Host) onSpansChange() {
 	table, _, _ := host.spans.Current()
 	host.mesh.SetKeeper(table.Keeper)
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -46,7 +46,8 @@
 	removeAfter = 8 * time.Second
 	// isolatedRemoveAfter is the same for a host that receives no reports at all, which is more likely cut off itself.
 	isolatedRemoveAfter = 20 * time.Second
-	removeInterval      = time.Second
+	// removeInterval is how often records that are too old and idle connections are removed.
+	removeInterval = time.Second
 	// firstReportsTime is the time within which a host that has started receives reports of the others, which send one
 	// each 500 ms.
 	firstReportsTime = time.Second
@@ -125,6 +126,7 @@
 	return youngest
 }
 
+// shareOf returns a share of a bound.
 func shareOf(bound time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(bound))
 }
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -99,9 +99,9 @@
 }
 
 // completeOffsets returns up to which offset this host has each topic without a gap. For upstreams, whose heartbeats
-// are not announced, changes that were announced without a gap count too. A host that has just started takes everything
-// that it finds for changes, and reports an offset up to which the others have all changes but no heartbeats: they read
-// once. When only the newest change counted, they read ten times a second each, until the next change.
+// are not announced, changes that were announced without a gap count too. A host that has just started treats
+// everything that it finds as changes, and reports an offset up to which the others have all changes but no heartbeats:
+// they read once. When only the newest change counted, they read ten times a second each, until the next change.
 func (host *Host) completeOffsets() map[string]int64 {
 	host.mutex.Lock()
 	through := host.upstreamsThrough
@@ -165,6 +165,7 @@
 	}
 }
 
+// isReadDue reports whether the host should read the store for a topic, or for one of the keys beside the topics.
 func (host *Host) isReadDue(topic string, known, reported int64, now cherrykeel.Instant) bool {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -20,8 +20,9 @@
 	admitShare = 0.45
 	// endMargin is kept of the grace for the process to end by itself: for its last messages, and from exitMargin on
 	// for nothing but the exit.
-	endMargin        = 150 * time.Millisecond
-	exitMargin       = 50 * time.Millisecond
+	endMargin  = 150 * time.Millisecond
+	exitMargin = 50 * time.Millisecond
+	// stopPollInterval is how often a stopping host checks its clock and its connections.
 	stopPollInterval = 50 * time.Millisecond
 	// maxDelayShare is the largest scheduling delay that counts, as a share of the grace. A measurement during which
 	// the process was suspended seems to show seconds; if it counted in full, a host that has just received its signal
--- a/entry/tend.go
+++ b/entry/tend.go
@@ -16,7 +16,8 @@
 	// run while none waits: of some 170 timers a second on an idle host, 100 were this one.
 	dispatchInterval = 10 * time.Millisecond
 	// readyInterval is how often a host that has started checks whether it is ready.
-	readyInterval   = 25 * time.Millisecond
+	readyInterval = 25 * time.Millisecond
+	// refreshInterval is how often missing upstreams, reports, counts and gauges are updated.
 	refreshInterval = 250 * time.Millisecond
 )
 
