--- a/entry/cold.go
+++ b/entry/cold.go
@@ -5,23 +5,23 @@
 	"cherrykeel/cold"
 )
 
-// noteCold puts down until when an upstream is cold, and what this host may send it until then.
-func (host *Host) noteCold(upstream *cherrykeel.Upstream) {
+// setColdLimit sets until when an upstream is cold, and how much this host may send it until then.
+func (host *Host) setColdLimit(upstream *cherrykeel.Upstream) {
 	routes, _ := host.routes.Current()
 	service := routes.Services[upstream.Service]
-	upstream.ColdUntil = max(upstream.ColdUntil, host.coldSinceTakenBack(upstream.Zone, service))
+	upstream.ColdUntil = max(upstream.ColdUntil, host.coldUntilAfterEvacuation(upstream.Zone, service))
 	if service.SlowStartRate <= 0 || host.clock.Now() >= upstream.ColdUntil {
 		return
 	}
 	bounds := host.currentBounds()
 	bound := service.SlowStartRate*bounds.SlowStartFactor + bounds.SlowStartSlack
 	upstream.HasColdLimit = true
-	upstream.ColdQuota = cold.Quota(host.self.Name, host.knownHosts(), upstream.ID, bound)
+	upstream.ColdQuota = cold.Quota(host.self.Name, host.hostNames(), upstream.ID, bound)
 }
 
-// coldSinceTakenBack is until when the upstreams of a zone that was taken back count as cold. Their entries say so a
-// second later only, and in the meantime all callers would be sent to them.
-func (host *Host) coldSinceTakenBack(zone string, service cherrykeel.RoutedService) cherrykeel.Instant {
+// coldUntilAfterEvacuation returns until when the upstreams of a zone count as cold after its evacuation has ended.
+// Their entries show it only a second later; all callers would be sent to them in the meantime.
+func (host *Host) coldUntilAfterEvacuation(zone string, service cherrykeel.RoutedService) cherrykeel.Instant {
 	state, ordered := host.zones.State(zone)
 	if !ordered || state.Evacuated || state.FoundAtStart || service.SlowStartRate <= 0 {
 		return 0
@@ -29,22 +29,22 @@
 	return state.Since.Add(service.SlowStart)
 }
 
-// knownHosts names the hosts that share what cold upstreams bear; none while this host does not know them.
-func (host *Host) knownHosts() []string {
+// hostNames returns the hosts that share the rate limits of cold upstreams; none until this host has read their list.
+func (host *Host) hostNames() []string {
 	if !host.topics.hosts.HasRead() {
 		return nil
 	}
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
-	names := make([]string, 0, len(host.lives))
-	for name := range host.lives {
+	names := make([]string, 0, len(host.incarnations))
+	for name := range host.incarnations {
 		names = append(names, name)
 	}
 	return names
 }
 
-// coldUpstreams counts the upstreams that get only so many requests a second, of which this host may send a part.
-func (host *Host) coldUpstreams() int {
+// countColdUpstreams returns how many upstreams are cold and have a rate limit, of which this host has a quota.
+func (host *Host) countColdUpstreams() int {
 	now := host.clock.Now()
 	count := 0
 	for _, upstream := range host.usable.current() {
--- a/entry/ready_test.go
+++ b/entry/ready_test.go
@@ -21,14 +21,14 @@
 }
 
 var _ = Describe("a host that starts", func() {
-	// A host with a sixth of a core takes a tenth of a second to put hundreds of upstreams in force that it has read. Guards
-	// against one that counts as ready in that time, and refuses callers since it knows no upstream.
+	// A host with a sixth of a core takes a tenth of a second to put in force hundreds of upstreams that it has read.
+	// Guards against a host that is ready in that time and refuses callers because it knows no upstream.
 	It("is not ready before the upstreams that it has read are in force", func() {
 		decoding := make(chan struct{})
 		released := make(chan struct{})
 		release := sync.OnceFunc(func() { close(released) })
 		DeferCleanup(release)
-		host := bareHost(func(platform *Platform) {
+		host := unstartedHost(func(platform *Platform) {
 			platform.Operator = oneRecord{key: platform.RoutesKey}
 			platform.Upstreams = oneRecord{key: "u-1"}
 			platform.DecodeUpstream = func(id string, _ []byte) (cherrykeel.Upstream, error) {
@@ -46,10 +46,10 @@
 		go host.topics.upstreams.Run(ctx)
 		Eventually(decoding, "20s").Should(BeClosed())
 		Expect(host.topics.upstreams.HasRead()).To(BeTrue())
-		go host.noteReady()
+		go host.checkReady()
 		Consistently(host.ready.Load, "100ms").Should(BeFalse())
 		release()
-		Eventually(host.noteReady, "20s").Should(BeTrue())
+		Eventually(host.checkReady, "20s").Should(BeTrue())
 		Expect(host.usable.current()).To(HaveLen(1))
 	})
 })
--- a/watch/follow.go
+++ b/watch/follow.go
@@ -12,104 +12,109 @@
 )
 
 const (
-	// firstPause and lastPause bound the waits between tries while the store is away. Each call costs
-	// also when it is refused; a try each 500 ms finds the store's return well within the 2 s in which
-	// a change has to be in force.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
-	// nudgePace bounds how often a host reads because another one seems to know more.
-	nudgePace = 100 * time.Millisecond
+	// initialBackoff and maxBackoff bound the waits between attempts while the store is unavailable. A refused call has
+	// its cost too; an attempt each 500 ms notices the store's return well within the 2 s in which a change has to be
+	// in force.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
+	// minTriggerInterval limits how often a host reads because another host seems to have newer records.
+	minTriggerInterval = 100 * time.Millisecond
 )
 
-// errInterrupted means that a read was given up to be made anew, which says nothing of the store.
+// errInterrupted means that a waiting read was canceled in order to repeat it; it does not count as a failure of the
+// store.
 var errInterrupted = errors.New("the read was interrupted")
 
-// Schedule says how closely a topic is read.
+// Schedule sets how often a topic is read.
 type Schedule struct {
-	// Wait lets a read wait for a record, so that a change is known as soon as it is there.
+	// Wait is how long a read may wait for a record (long polling), so that a change is received as soon as it is
+	// stored.
 	Wait time.Duration
-	// Interval is the time from one read to the next.
+	// Interval is the time between two reads.
 	Interval time.Duration
-	// RecheckInterval is how soon another schedule has to be noticed, nudgePace at the least.
+	// RecheckInterval is how often a follower that waits for its next read asks for the schedule again; at least
+	// minTriggerInterval.
 	RecheckInterval time.Duration
-	// BackoffFactor is by how much the waits between tries are longer while the store is away; at least 1.
+	// BackoffFactor multiplies the waits between attempts while the store is unavailable; less than 1 counts as 1.
 	BackoffFactor int
 }
 
-// Update is what a topic brought.
+// Update is the result of a read of a topic, or records that were received from another host.
 type Update struct {
+	// Records holds the records that were read or received.
 	Records []cherrykeel.KeyedRecord
-	// Snapshot says that the records are the newest of all keys there are.
+	// Snapshot means that Records holds the newest record of each key that exists.
 	Snapshot bool
 	// Next is the offset that the next record will get.
 	Next int64
-	// FromPeer says that another host has read the records, and some of them may have been left out.
+	// FromPeer means that another host has read the records and sent them; records may be missing between them.
 	FromPeer bool
 }
 
-// Follower reads a topic from its newest records on.
+// Follower reads a snapshot of a topic and then each record that follows it.
 type Follower struct {
 	name   string
 	log    cherrykeel.KeyedLog
 	clock  cherrykeel.Clock
 	logger *zap.Logger
 	apply  func(update Update)
-	// schedule tells how closely to read, which changes with the hosts there are.
+	// schedule returns how often to read, which changes with the hosts that are available.
 	schedule func() Schedule
-	nudge    chan struct{}
+	trigger  chan struct{}
 
-	mutex sync.Mutex
-	next  int64
-	known bool
-	// applied says that what was read first has been handed on whole.
-	applied bool
-	lost    bool
-	// interrupt ends the read that waits now.
-	interrupt context.CancelFunc
-	nudgedAt  cherrykeel.Instant
-	// wellSince is when the topic was last found to be read again.
-	wellSince cherrykeel.Instant
-	// unreadable counts records that could not be read, unreadableAt is the newest one's offset.
+	mutex   sync.Mutex
+	next    int64
+	hasRead bool
+	// snapshotApplied is set after the first snapshot has been applied.
+	snapshotApplied bool
+	unavailable     bool
+	// interrupt cancels the read that waits for records; nil if none does.
+	interrupt   context.CancelFunc
+	triggeredAt cherrykeel.Instant
+	// availableSince is when the topic last became readable.
+	availableSince cherrykeel.Instant
+	// unreadable counts the records that could not be decoded, unreadableAt is the offset of the newest one.
 	unreadable   int64
 	unreadableAt int64
-	// currentAt is a time up to which all changes are known from a read of this host's own.
+	// currentAt is an instant up to which a read of this host has shown all changes.
 	currentAt cherrykeel.Instant
 }
 
-// NewFollower returns a follower of the log that hands on what it reads, in order.
+// NewFollower returns a follower of the log that passes what it reads to apply, in order; name is used in log lines.
 func NewFollower(name string, log cherrykeel.KeyedLog, clock cherrykeel.Clock, logger *zap.Logger, apply func(Update), schedule func() Schedule) *Follower {
-	return &Follower{unreadableAt: -1, name: name, log: log, clock: clock, logger: logger, apply: apply, nudge: make(chan struct{}, 1), schedule: schedule}
+	return &Follower{unreadableAt: -1, name: name, log: log, clock: clock, logger: logger, apply: apply, trigger: make(chan struct{}, 1), schedule: schedule}
 }
 
-// Run follows until the context ends.
+// Run follows the topic until the context ends.
 func (follower *Follower) Run(ctx context.Context) {
-	pause := firstPause
+	pause := initialBackoff
 	for ctx.Err() == nil {
-		err := follower.step(ctx)
+		err := follower.readOnce(ctx)
 		if err == nil {
-			pause = firstPause
-			follower.rest(ctx)
+			pause = initialBackoff
+			follower.waitForNextRead(ctx)
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		follower.failed(err)
-		follower.recover(ctx, pause)
-		pause = min(2*pause, lastPause)
+		follower.recordFailure(err)
+		follower.backOff(ctx, pause)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-// recover waits until the next try. Who has more patience than others is nudged when one of them reports a change.
-func (follower *Follower) recover(ctx context.Context, pause time.Duration) {
-	patience := time.Duration(max(1, follower.schedule().BackoffFactor))
-	wait(ctx, pause)
-	follower.sleep(ctx, (patience-1)*pause)
+// backOff waits until the next attempt. TriggerRead ends the part of the wait that BackoffFactor adds, so that a host
+// with a high factor reads at once when another host reports a change.
+func (follower *Follower) backOff(ctx context.Context, pause time.Duration) {
+	factor := time.Duration(max(1, follower.schedule().BackoffFactor))
+	sleepContext(ctx, pause)
+	follower.sleepUntilTriggered(ctx, (factor-1)*pause)
 }
 
-// rest waits until the next read. Whoever is to read more closely from now on does so at once, since the
-// host before may have died.
-func (follower *Follower) rest(ctx context.Context) {
+// waitForNextRead waits until the next read is due. It rechecks the schedule meanwhile: a host that has to read more
+// often from now on reads at once, since the host that has read for it may have crashed.
+func (follower *Follower) waitForNextRead(ctx context.Context) {
 	begun := follower.clock.Now()
 	for ctx.Err() == nil {
 		schedule := follower.schedule()
@@ -117,14 +122,15 @@
 		if left <= 0 {
 			return
 		}
-		if follower.sleep(ctx, min(left, max(schedule.RecheckInterval, nudgePace))) {
-			wait(ctx, nudgePace-follower.clock.Now().Sub(begun))
+		if follower.sleepUntilTriggered(ctx, min(left, max(schedule.RecheckInterval, minTriggerInterval))) {
+			sleepContext(ctx, minTriggerInterval-follower.clock.Now().Sub(begun))
 			return
 		}
 	}
 }
 
-func wait(ctx context.Context, pause time.Duration) {
+// sleepContext waits until the pause has passed or the context has ended.
+func sleepContext(ctx context.Context, pause time.Duration) {
 	if pause <= 0 {
 		return
 	}
@@ -136,14 +142,14 @@
 	}
 }
 
-// TriggerRead makes the follower read now, also when it waits for an answer; a waiting read can hang on a
-// connection that went silent.
+// TriggerRead makes the follower read now. It also cancels a read that waits for records, which may hang on a
+// connection that has gone silent, but not twice within minTriggerInterval.
 func (follower *Follower) TriggerRead() {
 	follower.mutex.Lock()
 	now := follower.clock.Now()
-	tooSoon := now.Sub(follower.nudgedAt) < nudgePace
+	tooSoon := now.Sub(follower.triggeredAt) < minTriggerInterval
 	if !tooSoon {
-		follower.nudgedAt = now
+		follower.triggeredAt = now
 	}
 	interrupt := follower.interrupt
 	follower.mutex.Unlock()
@@ -151,16 +157,17 @@
 		interrupt()
 	}
 	select {
-	case follower.nudge <- struct{}{}:
+	case follower.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// ApplyReceived takes records that another host has read; they count as read if nothing is missing between.
+// ApplyReceived applies records that another host has read. They advance the next offset only as long as no offset is
+// missing before them.
 func (follower *Follower) ApplyReceived(records []cherrykeel.KeyedRecord) {
 	follower.mutex.Lock()
 	for _, record := range records {
-		if follower.known && record.Offset == follower.next {
+		if follower.hasRead && record.Offset == follower.next {
 			follower.next++
 		}
 	}
@@ -169,8 +176,8 @@
 	follower.apply(Update{Records: records, Next: next, FromPeer: true})
 }
 
-// sleep reports whether it was ended by a nudge.
-func (follower *Follower) sleep(ctx context.Context, pause time.Duration) bool {
+// sleepUntilTriggered waits for the pause and reports whether TriggerRead ended the wait.
+func (follower *Follower) sleepUntilTriggered(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return false
 	}
@@ -179,16 +186,17 @@
 	select {
 	case <-timer.C:
 		return false
-	case <-follower.nudge:
+	case <-follower.trigger:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (follower *Follower) step(ctx context.Context) error {
+// readOnce reads the next records, or a snapshot if there was none yet or the next records have expired.
+func (follower *Follower) readOnce(ctx context.Context) error {
 	follower.mutex.Lock()
-	next, known := follower.next, follower.known
+	next, known := follower.next, follower.hasRead
 	follower.mutex.Unlock()
 	if !known {
 		return follower.readNewest(ctx)
@@ -206,17 +214,19 @@
 		return err
 	}
 	if len(batch.Records) == 0 {
-		// The store has waited that long before it answered that there is nothing.
+		// The store has waited that long before it answered that there are no records, so that the answer shows all
+		// changes up to then.
 		begun = min(begun.Add(wait), follower.clock.Now())
 	}
-	follower.succeeded(batch.Next, begun)
-	follower.noteUnreadable(batch.Unreadable)
+	follower.recordSuccess(batch.Next, begun)
+	follower.recordUnreadable(batch.Unreadable)
 	if len(batch.Records) > 0 {
 		follower.apply(Update{Records: batch.Records, Next: batch.Next})
 	}
 	return nil
 }
 
+// read reads from the offset next on; TriggerRead can interrupt it if it waits for records.
 func (follower *Follower) read(ctx context.Context, next int64, wait time.Duration) (cherrykeel.KeyedBatch, error) {
 	reading, interrupt := context.WithCancel(ctx)
 	defer interrupt()
@@ -243,14 +253,14 @@
 	if err != nil {
 		return err
 	}
-	if !follower.succeeded(batch.Next, begun) {
-		// An older state than the one known: nothing in it is news, and what it lacks may be there.
+	if !follower.recordSuccess(batch.Next, begun) {
+		// An older state than the one already read: it holds no new record, and a key that it lacks may exist.
 		return nil
 	}
-	follower.noteUnreadable(batch.Unreadable)
+	follower.recordUnreadable(batch.Unreadable)
 	follower.apply(Update{Records: batch.Records, Snapshot: true, Next: batch.Next})
 	follower.mutex.Lock()
-	follower.applied = true
+	follower.snapshotApplied = true
 	follower.mutex.Unlock()
 	return nil
 }
--- a/watch/peers.go
+++ b/watch/peers.go
@@ -13,58 +13,58 @@
 	"cherrykeel/events"
 )
 
-var errNoPeer = errors.New("the record does not name its host and life")
+var errInvalidPeer = errors.New("the host's record lacks its incarnation, or names another host")
 
-// Peers keeps the hosts that have announced themselves.
+// Peers holds the hosts that have announced themselves.
 type Peers struct {
-	clock  cherrykeel.Clock
-	logger *zap.Logger
-	change func()
-	tell   func(record cherrykeel.KeyedRecord)
+	clock    cherrykeel.Clock
+	logger   *zap.Logger
+	onChange func()
+	announce func(record cherrykeel.KeyedRecord)
 
 	mutex   sync.Mutex
 	peers   map[string]cherrykeel.Peer
 	offsets map[string]int64
-	since   map[string]cherrykeel.Instant
+	readAt  map[string]cherrykeel.Instant
 }
 
-// NewPeers returns a view of the hosts' announcements; change is called when there are others, and tell with
-// each record that this host read itself.
-func NewPeers(clock cherrykeel.Clock, logger *zap.Logger, change func(), tell func(cherrykeel.KeyedRecord)) *Peers {
+// NewPeers returns a view of the hosts' records. It calls onChange after the list has changed, and announce with each
+// changed record that this host has read itself outside a snapshot.
+func NewPeers(clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(cherrykeel.KeyedRecord)) *Peers {
 	return &Peers{
-		clock: clock, logger: logger, change: change, tell: tell,
-		peers: map[string]cherrykeel.Peer{}, offsets: map[string]int64{}, since: map[string]cherrykeel.Instant{},
+		clock: clock, logger: logger, onChange: onChange, announce: announce,
+		peers: map[string]cherrykeel.Peer{}, offsets: map[string]int64{}, readAt: map[string]cherrykeel.Instant{},
 	}
 }
 
-// EncodePeer returns the record's value.
+// EncodePeer returns the value of a host's record.
 func EncodePeer(peer cherrykeel.Peer) ([]byte, error) {
 	return json.Marshal(peer)
 }
 
-// Apply takes what the topic brought.
+// Apply applies an update of the topic.
 func (peers *Peers) Apply(update Update) {
 	peers.mutex.Lock()
-	var news []cherrykeel.KeyedRecord
+	var changed []cherrykeel.KeyedRecord
 	for _, record := range update.Records {
-		if peers.take(record) {
-			news = append(news, record)
+		if peers.applyRecord(record) {
+			changed = append(changed, record)
 		}
 	}
 	peers.mutex.Unlock()
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return
 	}
-	peers.change()
+	peers.onChange()
 	if update.FromPeer || update.Snapshot {
 		return
 	}
-	for _, record := range news {
-		peers.tell(record)
+	for _, record := range changed {
+		peers.announce(record)
 	}
 }
 
-// Offset returns where the newest record stands, or -1.
+// Offset returns the offset of the newest record, or -1.
 func (peers *Peers) Offset() int64 {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -75,7 +75,7 @@
 	return newest
 }
 
-func (peers *Peers) take(record cherrykeel.KeyedRecord) bool {
+func (peers *Peers) applyRecord(record cherrykeel.KeyedRecord) bool {
 	old, known := peers.offsets[record.Key]
 	if known && record.Offset <= old {
 		return false
@@ -91,14 +91,14 @@
 		return false
 	}
 	peers.peers[record.Key] = peer
-	peers.since[record.Key] = peers.clock.Now()
+	peers.readAt[record.Key] = peers.clock.Now()
 	events.Log(peers.logger, events.PeerSeen,
 		zap.String("Host", peer.Name), zap.String("Life", peer.Incarnation), zap.String("Address", peer.InternalAddress), zap.Int64("Offset", record.Offset))
 	return true
 }
 
-// decodePeer reads a host's record; one that another writer put there must not count as a host, since a keeper asks
-// for the word of more than half of them.
+// decodePeer decodes a host's record. A record of another writer must not count as a host, since a keeper needs the
+// confirmation of more than half of the hosts.
 func decodePeer(record cherrykeel.KeyedRecord) (cherrykeel.Peer, error) {
 	var peer cherrykeel.Peer
 	err := json.Unmarshal(record.Value, &peer)
@@ -110,12 +110,12 @@
 		return peer, err
 	}
 	if peer.Name != record.Key || peer.Incarnation == "" {
-		return peer, errNoPeer
+		return peer, errInvalidPeer
 	}
 	return peer, nil
 }
 
-// Current returns the hosts.
+// Current returns the hosts, in no particular order.
 func (peers *Peers) Current() []cherrykeel.Peer {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -126,7 +126,7 @@
 	return all
 }
 
-// Incarnation returns a host's life; false if it has not announced itself.
+// Incarnation returns the incarnation that a host has announced; false if it has not announced itself.
 func (peers *Peers) Incarnation(name string) (string, bool) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
@@ -134,9 +134,9 @@
 	return peer.Incarnation, known
 }
 
-// RecordAge returns how long ago a host's record was read.
+// RecordAge returns the time since a host's record was read.
 func (peers *Peers) RecordAge(name string) time.Duration {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	return peers.clock.Now().Sub(peers.since[name])
+	return peers.clock.Now().Sub(peers.readAt[name])
 }
--- a/watch/upstreams.go
+++ b/watch/upstreams.go
@@ -11,77 +11,79 @@
 	"cherrykeel/events"
 )
 
-// returnTime is how long upstreams have, after the store is back, to renew entries that lapsed
-// meanwhile; the platform promises that a live one is back within about two seconds.
-const returnTime = 2200 * time.Millisecond
+// reregistrationTime is how long upstreams have, after the store has become available again, to renew entries that have
+// expired; the platform promises that a running one is registered again within about two seconds.
+const reregistrationTime = 2200 * time.Millisecond
 
-// coldAgain is by how much the end of an upstream's cold time has to move for it to have turned cold again. It moves by
-// the age of its entry too, which is read twice a second.
-const coldAgain = time.Second
+// coldRestartThreshold is by how much the end of an upstream's cold phase has to move to count as a new cold phase. It
+// also moves by the age of the entry, which is read twice a second.
+const coldRestartThreshold = time.Second
 
-// maxInvalid bounds the keys of unreadable records that are remembered, so as to log each record once.
-const maxInvalid = 1024
+// maxInvalidKeys bounds the keys of invalid records that are remembered in order to log each record once.
+const maxInvalidKeys = 1024
 
-// Upstreams keeps the upstreams that the store lists.
+// Upstreams holds the upstreams that the store lists.
 type Upstreams struct {
-	decode func(id string, value []byte) (cherrykeel.Upstream, error)
-	clock  cherrykeel.Clock
-	logger *zap.Logger
-	change func()
-	tell   func(records []cherrykeel.KeyedRecord, before int64)
+	decode   func(id string, value []byte) (cherrykeel.Upstream, error)
+	clock    cherrykeel.Clock
+	logger   *zap.Logger
+	onChange func()
+	announce func(records []cherrykeel.KeyedRecord, before int64)
 
 	mutex   sync.Mutex
 	entries map[string]*entry
-	// list has the upstreams that are not gone, if listed.
-	list    []cherrykeel.Upstream
-	listed  bool
-	wellFor func() time.Duration
-	// invalid has the offsets of the records that were logged as unreadable, by key.
-	invalid map[string]int64
-	// refused counts the records that name no upstream.
-	refused int64
-	// offset is where the newest change stands, and untold what the other hosts are to be told.
-	offset     int64
-	untold     []cherrykeel.KeyedRecord
-	toldBefore int64
-}
-
+	// list holds the upstreams that are not gone; it is up to date if listValid is set.
+	list         []cherrykeel.Upstream
+	listValid    bool
+	availableFor func() time.Duration
+	// invalidOffsets has the offsets of the invalid records that were logged, by key.
+	invalidOffsets map[string]int64
+	// invalidCount counts the records that describe no upstream.
+	invalidCount int64
+	// offset is the offset of the newest change, unannounced holds the changes to announce to the other hosts, and
+	// previousOffset is the offset of the change before those.
+	offset         int64
+	unannounced    []cherrykeel.KeyedRecord
+	previousOffset int64
+}
+
+// entry is what is known of one upstream.
 type entry struct {
 	upstream cherrykeel.Upstream
-	// offset is of its newest record, since of the first that was read of this life: it tells which of two
-	// upstreams at one address is the later one, since the earlier one's entry may lapse long after the next one
-	// has registered.
-	offset int64
-	since  int64
-	// latest says that since is the newest record of this life and its first one may lie before it: it was found among
-	// the newest records of all keys.
-	latest bool
-	// missing says that the entry is gone from the store while that may be the store's own trouble.
+	// offset is the offset of the newest record, firstOffset that of the first record that was read of this
+	// incarnation. The first one shows which of two upstreams at one address is the later one, since the entry of the
+	// earlier one may expire long after the later one has registered.
+	offset      int64
+	firstOffset int64
+	// fromSnapshot means that firstOffset was read from a snapshot, which holds only the newest record of this
+	// incarnation: its first record may lie before it.
+	fromSnapshot bool
+	// missing means that the store lacks the entry, possibly only because the store was unavailable.
 	missing bool
 	gone    bool
-	// ended says that its process is known to have ended.
+	// ended means that the process is known to have ended.
 	ended bool
 }
 
-// NewUpstreams returns a view that believes a missing entry when the store has been well for long enough
-// that the upstream had time to come back. Change is called when it changed, and
-// tell with the records of changes that this host found itself and the offset of the change before them; a
-// gone upstream's record has no value.
-func NewUpstreams(decode func(string, []byte) (cherrykeel.Upstream, error), clock cherrykeel.Clock, logger *zap.Logger, change func(), tell func(records []cherrykeel.KeyedRecord, before int64)) *Upstreams {
+// NewUpstreams returns a view that removes an upstream with a missing entry once the store has been available for so
+// long that the upstream could have registered again. It calls onChange after the list has changed, and announce with
+// the records of changes that this host has found itself and the offset of the change before them; the record of a gone
+// upstream has no value.
+func NewUpstreams(decode func(string, []byte) (cherrykeel.Upstream, error), clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(records []cherrykeel.KeyedRecord, before int64)) *Upstreams {
 	return &Upstreams{
-		decode: decode, clock: clock, logger: logger, change: change, tell: tell, offset: -1, toldBefore: -1,
-		entries: map[string]*entry{}, invalid: map[string]int64{}, wellFor: func() time.Duration { return 0 },
+		decode: decode, clock: clock, logger: logger, onChange: onChange, announce: announce, offset: -1, previousOffset: -1,
+		entries: map[string]*entry{}, invalidOffsets: map[string]int64{}, availableFor: func() time.Duration { return 0 },
 	}
 }
 
-// SetTopicAvailability tells where the topic's health is read.
-func (upstreams *Upstreams) SetTopicAvailability(wellFor func() time.Duration) {
+// SetTopicAvailability sets the function that returns how long the topic has been available.
+func (upstreams *Upstreams) SetTopicAvailability(availableFor func() time.Duration) {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
-	upstreams.wellFor = wellFor
+	upstreams.availableFor = availableFor
 }
 
-// Apply takes what the topic brought.
+// Apply applies an update of the topic.
 func (upstreams *Upstreams) Apply(update Update) {
 	upstreams.mutex.Lock()
 	changed := false
@@ -89,83 +91,85 @@
 	for _, record := range update.Records {
 		listed[record.Key] = true
 		if update.FromPeer && len(record.Value) == 0 {
-			changed = upstreams.end(record.Key, record.Offset) || changed
+			changed = upstreams.applyRemoval(record.Key, record.Offset) || changed
 			continue
 		}
 		if len(record.Value) == 0 {
-			changed = upstreams.drop(record.Key, record.Offset) || changed
+			changed = upstreams.markMissing(record.Key, record.Offset) || changed
 			continue
 		}
-		changed = upstreams.put(record, update.Snapshot) || changed
+		changed = upstreams.applyEntry(record, update.Snapshot) || changed
 	}
 	if update.Snapshot {
-		changed = upstreams.dropUnlisted(listed) || changed
+		changed = upstreams.markUnlisted(listed) || changed
 	}
 	if update.FromPeer {
-		upstreams.untold = nil
+		upstreams.unannounced = nil
 	}
-	upstreams.changed(changed)
+	upstreams.unlockAndNotify(changed)
 }
 
-// changed unlocks and tells of a change.
-func (upstreams *Upstreams) changed(changed bool) {
-	untold := upstreams.untold
-	before := upstreams.toldBefore
-	upstreams.untold = nil
-	upstreams.toldBefore = upstreams.offset
+// unlockAndNotify unlocks the mutex, calls onChange if there was a change, and announces what is unannounced.
+func (upstreams *Upstreams) unlockAndNotify(changed bool) {
+	unannounced := upstreams.unannounced
+	before := upstreams.previousOffset
+	upstreams.unannounced = nil
+	upstreams.previousOffset = upstreams.offset
 	upstreams.mutex.Unlock()
 	if changed {
-		upstreams.change()
+		upstreams.onChange()
 	}
-	if len(untold) > 0 {
-		upstreams.tell(untold, before)
+	if len(unannounced) > 0 {
+		upstreams.announce(unannounced, before)
 	}
 }
 
-// Offset returns where the newest change stands, or -1.
+// Offset returns the offset of the newest change, or -1.
 func (upstreams *Upstreams) Offset() int64 {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	return upstreams.offset
 }
 
-// end takes another host's word that an upstream is gone, unless this host has read of it since.
-func (upstreams *Upstreams) end(id string, offset int64) bool {
+// applyRemoval applies another host's report that an upstream is gone, unless this host has read a newer record.
+func (upstreams *Upstreams) applyRemoval(id string, offset int64) bool {
 	old, known := upstreams.entries[id]
 	if !known || old.gone || old.offset > offset {
 		return false
 	}
 	old.offset = offset
-	upstreams.gone(old, 0)
+	upstreams.markGone(old, 0)
 	return true
 }
 
-func (upstreams *Upstreams) gone(entry *entry, well time.Duration) {
+// markGone marks an upstream as gone and logs it; available is how long the store has been available, or 0 if that was
+// not the reason.
+func (upstreams *Upstreams) markGone(entry *entry, available time.Duration) {
 	entry.gone = true
-	upstreams.listed = false
+	upstreams.listValid = false
 	upstreams.offset = max(upstreams.offset, entry.offset)
-	upstreams.untold = append(upstreams.untold, cherrykeel.KeyedRecord{Key: entry.upstream.ID, Offset: entry.offset})
+	upstreams.unannounced = append(upstreams.unannounced, cherrykeel.KeyedRecord{Key: entry.upstream.ID, Offset: entry.offset})
 	events.Log(upstreams.logger, events.UpstreamGone,
 		zap.String("Upstream", entry.upstream.ID), zap.String("Service", entry.upstream.Service),
-		zap.Duration("StoreWell", well), zap.Int64("Offset", entry.offset))
+		zap.Duration("StoreWell", available), zap.Int64("Offset", entry.offset))
 }
 
-// RemoveMissing lets missing entries go whose upstreams had time to come back.
+// RemoveMissing removes the upstreams with missing entries that had time to register again.
 func (upstreams *Upstreams) RemoveMissing() {
 	upstreams.mutex.Lock()
 	changed := false
 	for _, entry := range upstreams.entries {
-		changed = upstreams.settle(entry) || changed
+		changed = upstreams.removeIfMissing(entry) || changed
 	}
-	upstreams.changed(changed)
+	upstreams.unlockAndNotify(changed)
 }
 
-// Current returns the upstreams that are not gone, in order of their IDs; the list is not to be changed. The keeper
-// asks for it 40 times a second, so it is kept until an entry changes.
+// Current returns the upstreams that are not gone, ordered by ID; callers must not modify the list. It is cached until
+// an entry changes, since the keeper asks for it 40 times a second.
 func (upstreams *Upstreams) Current() []cherrykeel.Upstream {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
-	if !upstreams.listed {
+	if !upstreams.listValid {
 		upstreams.list = nil
 		for _, entry := range upstreams.entries {
 			if !entry.gone {
@@ -173,12 +177,12 @@
 			}
 		}
 		sort.Slice(upstreams.list, func(i, j int) bool { return upstreams.list[i].ID < upstreams.list[j].ID })
-		upstreams.listed = true
+		upstreams.listValid = true
 	}
 	return upstreams.list
 }
 
-// MarkEnded takes it that an upstream's process has ended: another one has answered at its address.
+// MarkEnded records that an upstream's process has ended because another one has answered at its address.
 func (upstreams *Upstreams) MarkEnded(id string) {
 	upstreams.mutex.Lock()
 	old, known := upstreams.entries[id]
@@ -186,29 +190,29 @@
 	if changed {
 		old.ended = true
 		if !old.gone {
-			upstreams.gone(old, 0)
+			upstreams.markGone(old, 0)
 		}
 	}
-	upstreams.changed(changed)
+	upstreams.unlockAndNotify(changed)
 }
 
-// IsLeaving reports whether a life of an upstream has said that it leaves, also after its end.
-func (upstreams *Upstreams) IsLeaving(id string, born int64) bool {
+// IsLeaving reports whether an incarnation of an upstream has announced that it is leaving, also after its end.
+func (upstreams *Upstreams) IsLeaving(id string, startedAt int64) bool {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
 	known, exists := upstreams.entries[id]
-	return exists && known.upstream.StartedAt == born && known.upstream.Leaving
+	return exists && known.upstream.StartedAt == startedAt && known.upstream.Leaving
 }
 
-// InvalidCount returns how many entries named no upstream.
+// InvalidCount returns how many records described no upstream.
 func (upstreams *Upstreams) InvalidCount() int64 {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
-	return upstreams.refused
+	return upstreams.invalidCount
 }
 
-// IsReplaced reports whether another upstream has registered at the address after the given one, or has answered there: its
-// process has therefore ended.
+// IsReplaced reports whether another upstream has registered at the address after the given one, or has answered there.
+// In both cases the process of the given one has ended.
 func (upstreams *Upstreams) IsReplaced(id, address string) bool {
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
@@ -217,20 +221,21 @@
 		return true
 	}
 	for other, entry := range upstreams.entries {
-		if known && other != id && entry.upstream.Address == address && entry.follows(this) {
+		if known && other != id && entry.upstream.Address == address && entry.isSuccessorOf(this) {
 			return true
 		}
 	}
 	return false
 }
 
-// follows reports whether this entry's upstream surely came after the other's at their address. A host that reads the
-// newest records of all keys does not know where this one's first stands, and the last heartbeat of an upstream may be
-// carried out after the next one has registered; births have to agree then. They do not decide alone, since clocks differ.
-func (entry *entry) follows(other *entry) bool {
-	if entry.since <= other.since {
+// isSuccessorOf reports whether this entry's upstream certainly came after the other's at their address. A host that
+// has read a snapshot does not know the offset of this one's first record, and the store may carry out the last
+// heartbeat of an upstream after the next one has registered; in that case the start times have to agree. Start times
+// do not decide alone, since clocks differ.
+func (entry *entry) isSuccessorOf(other *entry) bool {
+	if entry.firstOffset <= other.firstOffset {
 		return false
 	}
-	told := entry.upstream.StartedAt > 0 && other.upstream.StartedAt > 0
-	return !entry.latest || !told || entry.upstream.StartedAt > other.upstream.StartedAt
+	bothKnown := entry.upstream.StartedAt > 0 && other.upstream.StartedAt > 0
+	return !entry.fromSnapshot || !bothKnown || entry.upstream.StartedAt > other.upstream.StartedAt
 }
