--- a/keeper/term.go
+++ b/keeper/term.go
@@ -172,9 +172,9 @@
 		if learned == 0 {
 			return
 		}
-		longest := lease.WithMaxDrift(earlier.LeaseLength)
+		longest := lease.MaxElapsed(earlier.LeaseLength)
 		if bound := boundOf(earlier.Timeout, input.Service); bound > 0 {
-			longest += lease.WithMaxDrift(lease.MaxProcessingTime(bound))
+			longest += lease.MaxElapsed(lease.MaxProcessingTime(bound))
 		}
 		freeAt = max(freeAt, learned.Add(longest))
 	}
--- a/lease/ledger.go
+++ b/lease/ledger.go
@@ -79,11 +79,11 @@
 // MaxProcessingTime bounds how long after a request was sent an upstream may work on it, by the sender's clock; timeout is
 // what the request told the upstream, whose own clock may be slow.
 func MaxProcessingTime(timeout time.Duration) time.Duration {
-	return transitTime + WithMaxDrift(timeout)
+	return transitTime + MaxElapsed(timeout)
 }
 
-// WithMaxDrift bounds the time on any clock in which a duration passes on another one.
-func WithMaxDrift(duration time.Duration) time.Duration {
+// MaxElapsed bounds the time on any clock in which a duration passes on another one.
+func MaxElapsed(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration) * (1 + DefaultDrift))
 }
 
@@ -103,7 +103,7 @@
 	return func(ledger *Ledger) {
 		ledger.toHosts = true
 		ledger.timeout = timeout
-		ledger.linger = WithMaxDrift(MaxProcessingTime(timeout))
+		ledger.linger = MaxElapsed(MaxProcessingTime(timeout))
 	}
 }
 
