--- a/spans/change.go
+++ b/spans/change.go
@@ -6,12 +6,12 @@
 	change := table
 	change.Services = map[string][]Owned{}
 	for service, list := range table.Services {
-		known := map[Owned]bool{}
+		existing := map[Owned]bool{}
 		for _, owned := range before.Services[service] {
-			known[owned] = true
+			existing[owned] = true
 		}
 		for _, owned := range list {
-			if !known[owned] {
+			if !existing[owned] {
 				change.Services[service] = append(change.Services[service], owned)
 			}
 		}
@@ -28,8 +28,8 @@
 		changed.Services[service] = overlay(list, change.Services[service])
 	}
 	for service, list := range change.Services {
-		_, known := table.Services[service]
-		if !known {
+		_, exists := table.Services[service]
+		if !exists {
 			changed.Services[service] = append([]Owned(nil), list...)
 		}
 	}
--- a/spans/demand.go
+++ b/spans/demand.go
@@ -13,45 +13,45 @@
 	// 4 to 5 s; with a shorter life chance alone would move keys at 30 requests a second an upstream.
 	demandHalfLife = 1500 * time.Millisecond
 	// forgetBelow drops keys whose remaining weight says nothing.
-	forgetBelow = 0.02
+	minWeight = 0.02
 	// priorRate is a request a second, spread evenly over all keys at anchors of their own. Without it
 	// nothing would tell spans apart while nobody asks, and the first upstream to register would keep all
 	// keys until the callers come.
-	priorRate = 1.0
-	anchors   = 256
+	priorRate   = 1.0
+	anchorCount = 256
 )
 
-const anchorStep = (cherrykeel.MaxKey + 1) / anchors
+const anchorStep = (cherrykeel.MaxKey + 1) / anchorCount
 
 const (
 	// shortestCount is the least time over which a rate is taken from what was counted.
-	shortestCount = 300 * time.Millisecond
+	minCountingTime = 300 * time.Millisecond
 	// settledCount is the time after which a count is taken for what it would be in the end; it lacks 6% then.
-	settledCount = 4 * demandHalfLife
+	fullCountingTime = 4 * demandHalfLife
 )
 
 // Demand counts requests by key, older ones for less.
 type Demand struct {
 	weights map[int]float64
 	// begun is when the first request was counted.
-	begun   cherrykeel.Instant
-	asked   bool
-	keys    []int
-	sums    []float64
-	decayed cherrykeel.Instant
-	sorted  bool
+	countingSince cherrykeel.Instant
+	hasRequests   bool
+	keys          []int
+	sums          []float64
+	decayedAt     cherrykeel.Instant
+	sorted        bool
 }
 
 // NewDemand returns a count that has seen nothing.
 func NewDemand(now cherrykeel.Instant) *Demand {
-	return &Demand{weights: map[int]float64{}, decayed: now}
+	return &Demand{weights: map[int]float64{}, decayedAt: now}
 }
 
 // Add counts requests for a key.
 func (demand *Demand) Add(key int, requests float64) {
-	if !demand.asked {
-		demand.asked = true
-		demand.begun = demand.decayed
+	if !demand.hasRequests {
+		demand.hasRequests = true
+		demand.countingSince = demand.decayedAt
 	}
 	demand.weights[key] += requests
 	demand.sorted = false
@@ -59,12 +59,12 @@
 
 // Decay forgets with time.
 func (demand *Demand) Decay(now cherrykeel.Instant) {
-	elapsed := now.Sub(demand.decayed)
-	demand.decayed = now
+	elapsed := now.Sub(demand.decayedAt)
+	demand.decayedAt = now
 	factor := math.Exp2(-elapsed.Seconds() / demandHalfLife.Seconds())
 	for key, weight := range demand.weights {
 		weight *= factor
-		if weight < forgetBelow {
+		if weight < minWeight {
 			delete(demand.weights, key)
 			continue
 		}
@@ -76,30 +76,30 @@
 // perSecond turns a decayed count into a rate: a steady rate r has the count r * halfLife / ln 2 in the end,
 // and less while requests have been counted for a short time. Taken for the end's, the first second's counts
 // show a third of the load, and a keeper that has just begun leaves owners overrun that it could relieve.
-func (demand *Demand) perSecond(weight float64) float64 {
-	return weight * math.Ln2 / demandHalfLife.Seconds() / demand.counted()
+func (demand *Demand) ratePerSecond(weight float64) float64 {
+	return weight * math.Ln2 / demandHalfLife.Seconds() / demand.countedShare()
 }
 
 // counted is the part that has been counted of what a steady load would have in the end.
-func (demand *Demand) counted() float64 {
-	since := max(demand.decayed.Sub(demand.begun), shortestCount)
-	if !demand.asked || since >= settledCount {
+func (demand *Demand) countedShare() float64 {
+	since := max(demand.decayedAt.Sub(demand.countingSince), minCountingTime)
+	if !demand.hasRequests || since >= fullCountingTime {
 		return 1
 	}
-	return kept(since) / kept(settledCount)
+	return shareCountedIn(since) / shareCountedIn(fullCountingTime)
 }
 
 // kept is the part of a steady count that comes from the given time.
-func kept(since time.Duration) float64 {
+func shareCountedIn(since time.Duration) float64 {
 	return 1 - math.Exp2(-since.Seconds()/demandHalfLife.Seconds())
 }
 
 // requests returns how many requests a rate has been taken from.
-func (demand *Demand) requests(perSecond float64) float64 {
-	return perSecond * demandHalfLife.Seconds() / math.Ln2 * demand.counted()
+func (demand *Demand) requestCount(perSecond float64) float64 {
+	return perSecond * demandHalfLife.Seconds() / math.Ln2 * demand.countedShare()
 }
 
-func (demand *Demand) sort() {
+func (demand *Demand) sortKeys() {
 	if demand.sorted {
 		return
 	}
@@ -118,7 +118,7 @@
 	for _, key := range demand.keys {
 		sum += demand.weights[key]
 		if isAnchor(key) {
-			sum += priorRate / anchors * demandHalfLife.Seconds() / math.Ln2
+			sum += priorRate / anchorCount * demandHalfLife.Seconds() / math.Ln2
 		}
 		demand.sums = append(demand.sums, sum)
 	}
@@ -130,7 +130,7 @@
 }
 
 // below returns the weight of all keys lower than the given one.
-func (demand *Demand) below(key int) float64 {
+func (demand *Demand) weightBelow(key int) float64 {
 	i := sort.SearchInts(demand.keys, key)
 	if i == 0 {
 		return 0
@@ -140,13 +140,13 @@
 
 // Load returns the requests a second for a span.
 func (demand *Demand) Load(span cherrykeel.KeySpan) float64 {
-	demand.sort()
-	return demand.perSecond(demand.below(span.Last+1) - demand.below(span.First))
+	demand.sortKeys()
+	return demand.ratePerSecond(demand.weightBelow(span.Last+1) - demand.weightBelow(span.First))
 }
 
 // quantile returns the key below which a share of the load lies.
 func (demand *Demand) quantile(share float64) int {
-	demand.sort()
+	demand.sortKeys()
 	wanted := share * demand.sums[len(demand.sums)-1]
 	i := sort.SearchFloat64s(demand.sums, wanted)
 	if i >= len(demand.keys) {
@@ -156,8 +156,8 @@
 }
 
 // hottest returns the key of a span that is asked for most, and how often in a second.
-func (demand *Demand) hottest(span cherrykeel.KeySpan) (int, float64) {
-	demand.sort()
+func (demand *Demand) hottestKey(span cherrykeel.KeySpan) (int, float64) {
+	demand.sortKeys()
 	hottest, most := span.First, 0.0
 	for i := sort.SearchInts(demand.keys, span.First); i < len(demand.keys) && demand.keys[i] <= span.Last; i++ {
 		weight := demand.weights[demand.keys[i]]
@@ -166,19 +166,19 @@
 			most = weight
 		}
 	}
-	return hottest, demand.perSecond(most)
+	return hottest, demand.ratePerSecond(most)
 }
 
 // prefix returns the start of a span that has about the wanted load and leaves a rest.
-func (demand *Demand) prefix(span cherrykeel.KeySpan, wanted float64) (cherrykeel.KeySpan, bool) {
-	demand.sort()
-	base := demand.below(span.First)
+func (demand *Demand) prefixWithLoad(span cherrykeel.KeySpan, wanted float64) (cherrykeel.KeySpan, bool) {
+	demand.sortKeys()
+	base := demand.weightBelow(span.First)
 	for i := sort.SearchInts(demand.keys, span.First); i < len(demand.keys); i++ {
 		key := demand.keys[i]
 		if key >= span.Last {
 			break
 		}
-		if demand.perSecond(demand.sums[i]-base) >= wanted {
+		if demand.ratePerSecond(demand.sums[i]-base) >= wanted {
 			return cherrykeel.KeySpan{First: span.First, Last: key}, true
 		}
 	}
@@ -186,15 +186,15 @@
 }
 
 // suffix is prefix from the other end.
-func (demand *Demand) suffix(span cherrykeel.KeySpan, wanted float64) (cherrykeel.KeySpan, bool) {
-	demand.sort()
-	top := demand.below(span.Last + 1)
+func (demand *Demand) suffixWithLoad(span cherrykeel.KeySpan, wanted float64) (cherrykeel.KeySpan, bool) {
+	demand.sortKeys()
+	top := demand.weightBelow(span.Last + 1)
 	for i := sort.SearchInts(demand.keys, span.Last+1) - 1; i >= 0; i-- {
 		key := demand.keys[i]
 		if key <= span.First {
 			break
 		}
-		if demand.perSecond(top-demand.below(key)) >= wanted {
+		if demand.ratePerSecond(top-demand.weightBelow(key)) >= wanted {
 			return cherrykeel.KeySpan{First: key, Last: span.Last}, true
 		}
 	}
--- a/spans/next.go
+++ b/spans/next.go
@@ -10,8 +10,8 @@
 const (
 	// pieceShare is the largest part of an upstream's mean load that one taker gets of a lost owner's keys:
 	// an eighth of all keys dumped on one upstream would double its load.
-	pieceShare = 0.3
-	maxPieces  = 4
+	maxPieceShare = 0.3
+	maxPieces     = 4
 )
 
 // Input is what the next table of a service rests on.
@@ -35,129 +35,129 @@
 //
 // Owners that leave are asked to give back what they have; what nobody holds is given to new owners;
 // and spans are taken from upstreams with more load than others.
-func (table Table) NextSpans(service string, facts Input) ([]Owned, bool) {
+func (table Table) NextSpans(service string, input Input) ([]Owned, bool) {
 	list := table.Services[service]
-	if len(facts.Candidates) == 0 {
+	if len(input.Candidates) == 0 {
 		return list, false
 	}
 	if len(list) == 0 {
-		return dealt(facts), true
+		return divideAll(input), true
 	}
-	step := newStep(list, facts)
-	step.replaceOwners()
-	step.balance()
-	step.join()
-	return step.list, step.changed
+	builder := newListBuilder(list, input)
+	builder.replaceOwners()
+	builder.markMoves()
+	builder.mergeNeighbours()
+	return builder.list, builder.changed
 }
 
-func dealt(facts Input) []Owned {
-	list := Divide(facts.Candidates, facts.Demand)
+func divideAll(input Input) []Owned {
+	list := Divide(input.Candidates, input.Demand)
 	for i := range list {
-		list[i].Fence = facts.Offset
+		list[i].Fence = input.Offset
 	}
 	return list
 }
 
-type step struct {
-	facts Input
-	list  []Owned
-	fit   map[string]Candidate
+type builder struct {
+	input      Input
+	list       []Owned
+	candidates map[string]Candidate
 	// known is the load by owner, once it was asked for: most looks change nothing and need none.
-	known   map[string]float64
+	loads   map[string]float64
 	changed bool
 }
 
-func newStep(list []Owned, facts Input) *step {
-	step := &step{facts: facts, list: list, fit: make(map[string]Candidate, len(facts.Candidates))}
-	for _, candidate := range facts.Candidates {
-		step.fit[candidate.ID] = candidate
+func newListBuilder(list []Owned, input Input) *builder {
+	builder := &builder{input: input, list: list, candidates: make(map[string]Candidate, len(input.Candidates))}
+	for _, candidate := range input.Candidates {
+		builder.candidates[candidate.ID] = candidate
 	}
-	return step
+	return builder
 }
 
 // load returns the load by owner as the table was, with what was given since.
-func (step *step) load() map[string]float64 {
-	if step.known == nil {
-		step.known = make(map[string]float64, len(step.facts.Candidates))
-		for _, owned := range step.list {
-			step.known[owned.Owner] += step.facts.Demand.Load(owned.Span())
+func (builder *builder) loadByOwner() map[string]float64 {
+	if builder.loads == nil {
+		builder.loads = make(map[string]float64, len(builder.input.Candidates))
+		for _, owned := range builder.list {
+			builder.loads[owned.Owner] += builder.input.Demand.Load(owned.Span())
 		}
 	}
-	return step.known
+	return builder.loads
 }
 
 // replaceOwners gives spans that nobody holds to new owners, and takes spans from owners that leave.
-func (step *step) replaceOwners() {
+func (builder *builder) replaceOwners() {
 	var list []Owned
-	for _, owned := range step.list {
-		owner, fit := step.fit[owned.Owner]
-		if fit && owner.StartedAt != owned.StartedAt {
-			owned = step.reborn(owned, owner)
+	for _, owned := range builder.list {
+		owner, isCandidate := builder.candidates[owned.Owner]
+		if isCandidate && owner.StartedAt != owned.StartedAt {
+			owned = builder.grantToNewIncarnation(owned, owner)
 		}
 		switch {
-		case fit && !owned.Moving:
+		case isCandidate && !owned.Moving:
 			list = append(list, owned)
-		case step.facts.IsFree(owned.Span()):
-			list = append(list, step.give(owned)...)
-			step.changed = true
-		case !owned.Moving && !step.facts.IsUnavailable(owned.Owner):
+		case builder.input.IsFree(owned.Span()):
+			list = append(list, builder.distribute(owned)...)
+			builder.changed = true
+		case !owned.Moving && !builder.input.IsUnavailable(owned.Owner):
 			owned.Moving = true
 			list = append(list, owned)
-			step.changed = true
+			builder.changed = true
 		default:
 			list = append(list, owned)
 		}
 	}
-	step.list = list
+	builder.list = list
 }
 
 // reborn gives a span to the next life of its owner. That holds nothing and takes the span at once under a higher
 // fence, whatever the earlier life may have held; another upstream would have to wait until that has surely ended.
-func (step *step) reborn(owned Owned, owner Candidate) Owned {
+func (builder *builder) grantToNewIncarnation(owned Owned, owner Candidate) Owned {
 	owned.Address = owner.Address
 	owned.StartedAt = owner.StartedAt
 	owned.Moving = false
-	owned.Fence = step.facts.Offset
-	step.changed = true
+	owned.Fence = builder.input.Offset
+	builder.changed = true
 	return owned
 }
 
 // give deals a free span to the candidates that will be the least used with it, the heaviest piece first.
-func (step *step) give(owned Owned) []Owned {
-	pieces := step.pieces(owned.Span())
+func (builder *builder) distribute(owned Owned) []Owned {
+	pieces := builder.splitByLoad(owned.Span())
 	order := make([]int, len(pieces))
 	for i := range order {
 		order[i] = i
 	}
 	sort.SliceStable(order, func(i, j int) bool {
-		return step.facts.Demand.Load(pieces[order[i]]) > step.facts.Demand.Load(pieces[order[j]])
+		return builder.input.Demand.Load(pieces[order[i]]) > builder.input.Demand.Load(pieces[order[j]])
 	})
-	given := make([]Owned, len(pieces))
+	assigned := make([]Owned, len(pieces))
 	for _, i := range order {
-		load := step.facts.Demand.Load(pieces[i])
-		taker := step.leastUsed(owned, load)
-		step.load()[taker.ID] += load
-		given[i] = Owned{First: pieces[i].First, Last: pieces[i].Last, Owner: taker.ID, Address: taker.Address, StartedAt: taker.StartedAt, Fence: step.facts.Offset}
+		load := builder.input.Demand.Load(pieces[i])
+		target := builder.leastUtilized(owned, load)
+		builder.loadByOwner()[target.ID] += load
+		assigned[i] = Owned{First: pieces[i].First, Last: pieces[i].Last, Owner: target.ID, Address: target.Address, StartedAt: target.StartedAt, Fence: builder.input.Offset}
 	}
-	return given
+	return assigned
 }
 
 // pieces cuts a span by its load, and around a key that has most of it: with its neighbours it would keep an
 // upstream busy that could just serve it alone.
-func (step *step) pieces(span cherrykeel.KeySpan) []cherrykeel.KeySpan {
-	wanted := pieceShare * step.total() / float64(len(step.facts.Candidates))
-	whole := step.facts.Demand.Load(span)
-	if wanted <= 0 || whole <= wanted {
+func (builder *builder) splitByLoad(span cherrykeel.KeySpan) []cherrykeel.KeySpan {
+	wanted := maxPieceShare * builder.totalLoad() / float64(len(builder.input.Candidates))
+	load := builder.input.Demand.Load(span)
+	if wanted <= 0 || load <= wanted {
 		return []cherrykeel.KeySpan{span}
 	}
-	key, load := step.facts.Demand.hottest(span)
-	if load > whole/2 {
-		return around(span, key)
+	key, keyLoad := builder.input.Demand.hottestKey(span)
+	if keyLoad > load/2 {
+		return isolateKey(span, key)
 	}
-	count := min(maxPieces, int(math.Ceil(whole/wanted)))
+	count := min(maxPieces, int(math.Ceil(load/wanted)))
 	var pieces []cherrykeel.KeySpan
 	for ; count > 1; count-- {
-		piece, found := step.facts.Demand.prefix(span, step.facts.Demand.Load(span)/float64(count))
+		piece, found := builder.input.Demand.prefixWithLoad(span, builder.input.Demand.Load(span)/float64(count))
 		if !found {
 			break
 		}
@@ -168,7 +168,7 @@
 }
 
 // around cuts a key out of a span.
-func around(span cherrykeel.KeySpan, key int) []cherrykeel.KeySpan {
+func isolateKey(span cherrykeel.KeySpan, key int) []cherrykeel.KeySpan {
 	var pieces []cherrykeel.KeySpan
 	if span.First < key {
 		pieces = append(pieces, cherrykeel.KeySpan{First: span.First, Last: key - 1})
@@ -180,9 +180,9 @@
 	return pieces
 }
 
-func (step *step) total() float64 {
+func (builder *builder) totalLoad() float64 {
 	total := 0.0
-	for _, load := range step.load() {
+	for _, load := range builder.loadByOwner() {
 		total += load
 	}
 	return total
@@ -190,28 +190,28 @@
 
 // leastUsed returns the candidate that will have the least use with some more load. By its use before, a key
 // that is hot for all went to a slow one that happened to be idle, for the second that it had to stay there.
-func (step *step) leastUsed(owned Owned, more float64) Candidate {
+func (builder *builder) leastUtilized(owned Owned, more float64) Candidate {
 	best := Candidate{}
-	bestUse := math.Inf(1)
-	for _, candidate := range step.facts.Candidates {
-		if candidate.Cold && !step.allCold() {
+	bestUtilization := math.Inf(1)
+	for _, candidate := range builder.input.Candidates {
+		if candidate.Cold && !builder.allCandidatesCold() {
 			continue
 		}
-		use := (step.load()[candidate.ID] + more) / max(candidate.Capacity, math.SmallestNonzeroFloat64)
-		if candidate.ID == owned.Owner && owned.Moving && len(step.fit) > 1 {
+		utilization := (builder.loadByOwner()[candidate.ID] + more) / max(candidate.Capacity, math.SmallestNonzeroFloat64)
+		if candidate.ID == owned.Owner && owned.Moving && len(builder.candidates) > 1 {
 			// What was taken for balance does not go back in the same breath.
-			use *= 1 + unevenness
+			utilization *= 1 + maxImbalance
 		}
-		if use < bestUse {
+		if utilization < bestUtilization {
 			best = candidate
-			bestUse = use
+			bestUtilization = utilization
 		}
 	}
 	return best
 }
 
-func (step *step) allCold() bool {
-	for _, candidate := range step.facts.Candidates {
+func (builder *builder) allCandidatesCold() bool {
+	for _, candidate := range builder.input.Candidates {
 		if !candidate.Cold {
 			return false
 		}
@@ -220,53 +220,53 @@
 }
 
 // balance marks spans of the most used upstreams as moving.
-func (step *step) balance() {
-	moving := 0
-	for _, owned := range step.list {
+func (builder *builder) markMoves() {
+	inTransfer := 0
+	for _, owned := range builder.list {
 		if owned.Moving {
-			moving++
+			inTransfer++
 		}
 	}
-	if step.facts.MaxMoves <= moving {
+	if builder.input.MaxMoves <= inTransfer {
 		return
 	}
-	for _, move := range PlanMoves(step.list, step.facts.Candidates, step.facts.Demand, step.facts.MaxMoves-moving) {
-		table := Table{Services: map[string][]Owned{"": step.list}}
+	for _, move := range PlanMoves(builder.list, builder.input.Candidates, builder.input.Demand, builder.input.MaxMoves-inTransfer) {
+		table := Table{Services: map[string][]Owned{"": builder.list}}
 		table.Split("", move.Span)
-		step.list = table.Services[""]
-		for i := range step.list {
-			owned := &step.list[i]
-			if owned.Span() == move.Span && owned.Owner == move.From && step.facts.IsSettled(*owned) {
+		builder.list = table.Services[""]
+		for i := range builder.list {
+			owned := &builder.list[i]
+			if owned.Span() == move.Span && owned.Owner == move.From && builder.input.IsSettled(*owned) {
 				owned.Moving = true
-				step.changed = true
+				builder.changed = true
 			}
 		}
 	}
 }
 
 // join makes one span of neighbours with one owner; it rides on changes and never causes one.
-func (step *step) join() {
-	if !step.changed {
+func (builder *builder) mergeNeighbours() {
+	if !builder.changed {
 		return
 	}
-	var joined []Owned
-	for _, owned := range step.list {
-		last := len(joined) - 1
-		if last < 0 || !step.mayJoin(joined[last], owned) {
-			joined = append(joined, owned)
+	var merged []Owned
+	for _, owned := range builder.list {
+		last := len(merged) - 1
+		if last < 0 || !builder.canMerge(merged[last], owned) {
+			merged = append(merged, owned)
 			continue
 		}
-		if joined[last].Fence != owned.Fence {
-			joined[last].Fence = step.facts.Offset
+		if merged[last].Fence != owned.Fence {
+			merged[last].Fence = builder.input.Offset
 		}
-		joined[last].Last = owned.Last
+		merged[last].Last = owned.Last
 	}
-	step.list = joined
+	builder.list = merged
 }
 
-func (step *step) mayJoin(left, right Owned) bool {
+func (builder *builder) canMerge(left, right Owned) bool {
 	if left.Owner != right.Owner || left.Moving || right.Moving {
 		return false
 	}
-	return left.Fence == right.Fence || step.facts.IsSettled(left) && step.facts.IsSettled(right)
+	return left.Fence == right.Fence || builder.input.IsSettled(left) && builder.input.IsSettled(right)
 }
--- a/spans/table.go
+++ b/spans/table.go
@@ -104,12 +104,12 @@
 
 // ClaimedBy returns the table as a new keeper writes it at an offset: the same owners, all under the new
 // fence, so that grants of the keeper before are refused wherever the new one has been heard.
-func (table Table) ClaimedBy(keeper, life string, offset int64) Table {
+func (table Table) ClaimedBy(keeper, incarnation string, offset int64) Table {
 	claimed := table.Clone()
 	claimed.Version = offset
 	claimed.Term = offset
 	claimed.Keeper = keeper
-	claimed.Incarnation = life
+	claimed.Incarnation = incarnation
 	for _, list := range claimed.Services {
 		for i := range list {
 			list[i].Fence = offset
@@ -121,11 +121,11 @@
 
 // Split cuts the spans of a service so that one of them is exactly the given one, if it lies within one span.
 func (table Table) Split(service string, span cherrykeel.KeySpan) {
-	var cut []Owned
+	var split []Owned
 	for _, owned := range table.Services[service] {
-		cut = append(cut, owned.split(span)...)
+		split = append(split, owned.split(span)...)
 	}
-	table.Services[service] = cut
+	table.Services[service] = split
 }
 
 func (owned Owned) split(span cherrykeel.KeySpan) []Owned {
@@ -155,7 +155,7 @@
 	var merged []Owned
 	for _, owned := range table.Services[service] {
 		last := len(merged) - 1
-		if last >= 0 && merged[last].joins(owned) {
+		if last >= 0 && merged[last].canMerge(owned) {
 			merged[last].Last = owned.Last
 			continue
 		}
@@ -164,6 +164,6 @@
 	table.Services[service] = merged
 }
 
-func (owned Owned) joins(next Owned) bool {
+func (owned Owned) canMerge(next Owned) bool {
 	return owned.Owner == next.Owner && owned.Fence == next.Fence && !owned.Moving && !next.Moving
 }
