--- a/spans/change.go
+++ b/spans/change.go
@@ -1,7 +1,7 @@
 package spans
 
-// Diff returns the table with only those spans that the one before does not have. With 111 upstreams the
-// whole table is some 30 KB, which each of 71 hosts got with each move.
+// Diff returns the table with only those spans that an earlier table lacks. Sending the difference saves traffic:
+// with 111 upstreams a whole table has some 30 KB, and each of 71 hosts would get it with every transfer.
 func (table Table) Diff(before Table) Table {
 	change := table
 	change.Services = map[string][]Owned{}
@@ -19,8 +19,8 @@
 	return change
 }
 
-// Apply returns the table that a change leads to. The spans of a table have no gaps, so whatever the
-// change overlaps is replaced by it, and all else stays.
+// Apply returns the table after a change that Diff returned. The spans of a service are contiguous, so the spans in
+// the change replace those that they overlap, and all others stay.
 func (table Table) Apply(change Table) Table {
 	changed := change
 	changed.Services = map[string][]Owned{}
@@ -36,7 +36,7 @@
 	return changed
 }
 
-// overlay merges two lists in order of their keys; where they overlap the upper one counts.
+// overlay merges two lists of spans in key order. A span of lower that overlaps one of upper is left out.
 func overlay(lower, upper []Owned) []Owned {
 	merged := make([]Owned, 0, len(lower)+len(upper))
 	next := 0
--- a/spans/demand.go
+++ b/spans/demand.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// demandHalfLife is how fast counted requests are forgotten. Hot keys come and go within
-	// 4 to 5 s; with a shorter life chance alone would move keys at 30 requests a second an upstream.
+	// demandHalfLife is the time in which the weight of a counted request halves. Hot keys come and go within some
+	// seconds (4 to 5 s); with a shorter half-life, random variation alone would move keys at 30 requests a second
+	// per upstream.
 	demandHalfLife = 1500 * time.Millisecond
-	// forgetBelow drops keys whose remaining weight says nothing.
+	// minWeight is the weight below which a key is dropped, since it no longer affects the rates.
 	minWeight = 0.02
-	// priorRate is a request a second, spread evenly over all keys at anchors of their own. Without it
-	// nothing would tell spans apart while nobody asks, and the first upstream to register would keep all
-	// keys until the callers come.
+	// priorRate is an assumed load of one request a second, spread evenly over anchorCount keys. It makes spans
+	// comparable by their width before any request arrives; without it the first upstream that registers would keep
+	// all keys until callers come.
 	priorRate   = 1.0
 	anchorCount = 256
 )
@@ -24,16 +25,17 @@
 const anchorStep = (cherrykeel.MaxKey + 1) / anchorCount
 
 const (
-	// shortestCount is the least time over which a rate is taken from what was counted.
+	// minCountingTime is the shortest time over which a rate is computed from counts.
 	minCountingTime = 300 * time.Millisecond
-	// settledCount is the time after which a count is taken for what it would be in the end; it lacks 6% then.
+	// fullCountingTime is the time after which a decayed count is treated as complete; under a steady load it is then
+	// 6% below its final value.
 	fullCountingTime = 4 * demandHalfLife
 )
 
-// Demand counts requests by key, older ones for less.
+// Demand counts requests by key with exponential decay, so that recent requests count more.
 type Demand struct {
 	weights map[int]float64
-	// begun is when the first request was counted.
+	// countingSince is when the first request was counted.
 	countingSince cherrykeel.Instant
 	hasRequests   bool
 	keys          []int
@@ -42,7 +44,7 @@
 	sorted        bool
 }
 
-// NewDemand returns a count that has seen nothing.
+// NewDemand returns a Demand without any counted requests.
 func NewDemand(now cherrykeel.Instant) *Demand {
 	return &Demand{weights: map[int]float64{}, decayedAt: now}
 }
@@ -57,7 +59,7 @@
 	demand.sorted = false
 }
 
-// Decay forgets with time.
+// Decay reduces all counts by the time since the last call.
 func (demand *Demand) Decay(now cherrykeel.Instant) {
 	elapsed := now.Sub(demand.decayedAt)
 	demand.decayedAt = now
@@ -73,14 +75,15 @@
 	demand.sorted = false
 }
 
-// perSecond turns a decayed count into a rate: a steady rate r has the count r * halfLife / ln 2 in the end,
-// and less while requests have been counted for a short time. Taken for the end's, the first second's counts
-// show a third of the load, and a keeper that has just begun leaves owners overrun that it could relieve.
+// ratePerSecond converts a decayed count into requests a second. Under a steady rate r the count grows towards r *
+// demandHalfLife / ln 2; it is lower while requests have been counted for a short time, which countedShare corrects.
+// Uncorrected, the counts of the first second show a third of the load, and a new keeper would not relieve overloaded
+// owners.
 func (demand *Demand) ratePerSecond(weight float64) float64 {
 	return weight * math.Ln2 / demandHalfLife.Seconds() / demand.countedShare()
 }
 
-// counted is the part that has been counted of what a steady load would have in the end.
+// countedShare returns the share of its final value that the count of a steady load has reached so far.
 func (demand *Demand) countedShare() float64 {
 	since := max(demand.decayedAt.Sub(demand.countingSince), minCountingTime)
 	if !demand.hasRequests || since >= fullCountingTime {
@@ -89,16 +92,17 @@
 	return shareCountedIn(since) / shareCountedIn(fullCountingTime)
 }
 
-// kept is the part of a steady count that comes from the given time.
+// shareCountedIn returns the share of the final count of a steady load that comes from the last given time.
 func shareCountedIn(since time.Duration) float64 {
 	return 1 - math.Exp2(-since.Seconds()/demandHalfLife.Seconds())
 }
 
-// requests returns how many requests a rate has been taken from.
+// requestCount returns the number of counted requests, after decay, behind a rate.
 func (demand *Demand) requestCount(perSecond float64) float64 {
 	return perSecond * demandHalfLife.Seconds() / math.Ln2 * demand.countedShare()
 }
 
+// sortKeys updates the sorted keys and their cumulative weights.
 func (demand *Demand) sortKeys() {
 	if demand.sorted {
 		return
@@ -125,11 +129,12 @@
 	demand.sorted = true
 }
 
+// isAnchor reports whether a key is one of those that carry the assumed load priorRate.
 func isAnchor(key int) bool {
 	return key%anchorStep == anchorStep-1
 }
 
-// below returns the weight of all keys lower than the given one.
+// weightBelow returns the total weight of all keys lower than the given one.
 func (demand *Demand) weightBelow(key int) float64 {
 	i := sort.SearchInts(demand.keys, key)
 	if i == 0 {
@@ -138,13 +143,13 @@
 	return demand.sums[i-1]
 }
 
-// Load returns the requests a second for a span.
+// Load returns the load of a span in requests a second.
 func (demand *Demand) Load(span cherrykeel.KeySpan) float64 {
 	demand.sortKeys()
 	return demand.ratePerSecond(demand.weightBelow(span.Last+1) - demand.weightBelow(span.First))
 }
 
-// quantile returns the key below which a share of the load lies.
+// quantile returns the lowest key such that the given share of the load is at or below it.
 func (demand *Demand) quantile(share float64) int {
 	demand.sortKeys()
 	wanted := share * demand.sums[len(demand.sums)-1]
@@ -155,7 +160,7 @@
 	return demand.keys[i]
 }
 
-// hottest returns the key of a span that is asked for most, and how often in a second.
+// hottestKey returns the key of a span with the highest load, and that load in requests a second.
 func (demand *Demand) hottestKey(span cherrykeel.KeySpan) (int, float64) {
 	demand.sortKeys()
 	hottest, most := span.First, 0.0
@@ -169,7 +174,8 @@
 	return hottest, demand.ratePerSecond(most)
 }
 
-// prefix returns the start of a span that has about the wanted load and leaves a rest.
+// prefixWithLoad returns the shortest prefix of a span with at least the wanted load, in requests a second. It
+// returns false if only the whole span has that much.
 func (demand *Demand) prefixWithLoad(span cherrykeel.KeySpan, wanted float64) (cherrykeel.KeySpan, bool) {
 	demand.sortKeys()
 	base := demand.weightBelow(span.First)
@@ -185,7 +191,8 @@
 	return cherrykeel.KeySpan{}, false
 }
 
-// suffix is prefix from the other end.
+// suffixWithLoad returns the shortest suffix of a span with at least the wanted load, as prefixWithLoad does for
+// prefixes.
 func (demand *Demand) suffixWithLoad(span cherrykeel.KeySpan, wanted float64) (cherrykeel.KeySpan, bool) {
 	demand.sortKeys()
 	top := demand.weightBelow(span.Last + 1)
--- a/spans/ledger.go
+++ b/spans/ledger.go
@@ -7,10 +7,11 @@
 	"cherrykeel"
 )
 
-// driftShare is how much slower than ours an upstream's clock may run, by the platform's word: 2%.
+// maxClockDrift is how much slower than this host's clock an upstream's clock may run, as a share. The platform
+// guarantees at most 2%.
 const maxClockDrift = 0.02
 
-// Never is an end that has not been bounded yet.
+// Never is the end of a lease whose end is not known yet.
 const Never = cherrykeel.Instant(1 << 62)
 
 // GrantedSpan is a span that an upstream was granted under a fence.
@@ -21,33 +22,36 @@
 	Fence   int64
 }
 
-// hold is a span that an upstream may hold until a time.
+// lease is a span that an upstream may hold until a time.
 type lease struct {
 	GrantedSpan
 	until cherrykeel.Instant
-	// call is the grant that was sent and not answered, or 0. It may be carried out after later ones.
+	// call is the number of the grant if it was sent and not answered, or 0. The upstream may still apply such a
+	// grant, even after later ones.
 	call int64
 }
 
-// Ledger knows the latest time until which each upstream may hold each span. Two upstreams
-// that hold one key are two owners of its state, so nothing is granted that another may hold.
+// Ledger records until when each upstream may hold each span. Two upstreams that hold the same key would both change
+// its state, so a span is granted only when no other upstream can hold any of its keys. The zero value is an empty
+// ledger.
 type Ledger struct {
 	leases   []lease
 	lastCall int64
 }
 
-// LatestLeaseEnd returns when a hold that arrives by the given time has surely ended: an upstream's clock that runs slow shows
-// its length that much later.
+// LatestLeaseEnd returns when a lease has ended for certain, on this host's clock, if its grant arrived by the given
+// time. An upstream whose clock runs slow counts the duration for that much longer.
 func LatestLeaseEnd(arrived cherrykeel.Instant, duration time.Duration) cherrykeel.Instant {
 	return arrived.Add(time.Duration(math.Ceil(float64(duration) / (1 - maxClockDrift))))
 }
 
-// RecordLease notes that an upstream may hold a span until a time, besides what it may hold already.
+// RecordLease records that an upstream may hold a span until a time, in addition to what it may hold already.
 //
-// A grant that was answered ends no earlier one that reaches further: the same call again renews a grant, and
-// nothing says that it can shorten it. Upstreams that had been granted 10 s while the store was away went by that
-// after a grant of 2.5 s, and their keys had been given on: two upstreams worked on one key for up to 7 s. Only a
-// release, the end of the process, or the end of the longest hold frees keys.
+// An answered grant does not shorten an earlier lease with a later end: an upstream renews a lease on a repeated
+// grant, but need not shorten it. If a lease of 10 s, granted while the store was unavailable, counted as replaced by
+// a later grant of 2.5 s, the keys would be transferred while the upstream still uses the longer lease, and two
+// upstreams would work on one key for up to 7 s. Only a release, the end of the process, or the end of the longest
+// lease frees keys.
 func (ledger *Ledger) RecordLease(held GrantedSpan, until cherrykeel.Instant) {
 	kept := ledger.leases[:0]
 	for _, old := range ledger.leases {
@@ -58,21 +62,22 @@
 	ledger.leases = append(kept, lease{GrantedSpan: held, until: until})
 }
 
-// covers reports whether whoever holds this holds the other too, and no release frees this one alone.
+// supersedes reports whether an upstream that holds this span also holds the other one, and no release can free this
+// one without freeing the other.
 func (held GrantedSpan) supersedes(other GrantedSpan) bool {
 	same := held.Service == other.Service && held.Owner == other.Owner
 	return same && other.Fence <= held.Fence && held.Span.Covers(other.Span)
 }
 
-// RecordSent notes a grant that is under way, and returns its number. Until it is answered it may be carried out at
-// any time up to until, also after a later one of the same fence that was answered.
+// RecordSent records a grant that is sent, and returns its number for RecordAnswer. Until it is answered the upstream
+// may apply it at any time up to until, even after a later grant of the same fence that was answered.
 func (ledger *Ledger) RecordSent(held GrantedSpan, until cherrykeel.Instant) int64 {
 	ledger.lastCall++
 	ledger.leases = append(ledger.leases, lease{GrantedSpan: held, until: until, call: ledger.lastCall})
 	return ledger.lastCall
 }
 
-// RecordAnswer notes that a grant was carried out or refused, and will not be carried out later.
+// RecordAnswer records that a sent grant was applied or refused, and will not be applied later.
 func (ledger *Ledger) RecordAnswer(call int64) {
 	kept := ledger.leases[:0]
 	for _, old := range ledger.leases {
@@ -83,15 +88,15 @@
 	ledger.leases = kept
 }
 
-// RecordRelease notes that a release was answered: by no grant of a lower fence does the upstream hold the span, nor take it.
-// Of a grant under a higher fence, which came after the release was sent, its answer says nothing.
+// RecordRelease records that a release was answered: the upstream holds the span under no lower fence, and refuses
+// such grants. The answer does not affect a grant under a higher fence, which was sent after the release.
 func (ledger *Ledger) RecordRelease(release GrantedSpan) {
 	ledger.removeSpan(release.Span, func(old lease) bool {
 		return old.Service == release.Service && old.Owner == release.Owner && old.Fence < release.Fence
 	})
 }
 
-// cut takes a span out of the holds that are chosen.
+// removeSpan removes a span from the leases for which matches returns true.
 func (ledger *Ledger) removeSpan(span cherrykeel.KeySpan, matches func(old lease) bool) {
 	var kept []lease
 	for _, old := range ledger.leases {
@@ -104,7 +109,7 @@
 	ledger.leases = kept
 }
 
-// RecordProcessEnd notes that an upstream's process is gone and holds nothing.
+// RecordProcessEnd records that an upstream's process has ended and holds nothing.
 func (ledger *Ledger) RecordProcessEnd(owner string) {
 	kept := ledger.leases[:0]
 	for _, old := range ledger.leases {
@@ -115,7 +120,8 @@
 	ledger.leases = kept
 }
 
-// BoundUnknownLeases gives an end to the holds that had none, which a keeper before may have granted, and returns their owners.
+// BoundUnknownLeases sets the end of all leases whose end was not known, since an earlier keeper may have granted
+// them, and returns their owners.
 func (ledger *Ledger) BoundUnknownLeases(until cherrykeel.Instant) []string {
 	var owners []string
 	for i := range ledger.leases {
@@ -127,7 +133,8 @@
 	return owners
 }
 
-// FreeAt returns when no upstream but the given one can hold any key of the span.
+// FreeAt returns when no upstream except the given one can hold any key of the span. It returns Never if that is not
+// known.
 func (ledger *Ledger) FreeAt(service, owner string, span cherrykeel.KeySpan) cherrykeel.Instant {
 	var free cherrykeel.Instant
 	for _, old := range ledger.leases {
@@ -139,7 +146,7 @@
 	return free
 }
 
-// HeldUntil returns until when an upstream may hold any of its spans.
+// HeldUntil returns until when an upstream may hold any span.
 func (ledger *Ledger) HeldUntil(owner string) cherrykeel.Instant {
 	var until cherrykeel.Instant
 	for _, old := range ledger.leases {
@@ -150,7 +157,7 @@
 	return until
 }
 
-// RemoveExpired drops what has ended.
+// RemoveExpired drops the leases that have ended.
 func (ledger *Ledger) RemoveExpired(now cherrykeel.Instant) {
 	kept := ledger.leases[:0]
 	for _, old := range ledger.leases {
@@ -161,6 +168,7 @@
 	ledger.leases = kept
 }
 
+// without returns the parts of a lease that remain when a span is removed from it.
 func (old lease) without(span cherrykeel.KeySpan) []lease {
 	if span.Last < old.Span.First || span.First > old.Span.Last {
 		return []lease{old}
--- a/spans/next.go
+++ b/spans/next.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// pieceShare is the largest part of an upstream's mean load that one taker gets of a lost owner's keys:
-	// an eighth of all keys dumped on one upstream would double its load.
+	// maxPieceShare is the largest load, as a share of the mean load per upstream, that one upstream gets of a lost
+	// owner's keys in one piece: an eighth of all keys assigned to one upstream would double its load.
 	maxPieceShare = 0.3
 	maxPieces     = 4
 )
 
-// Input is what the next table of a service rests on.
+// Input is what the next list of spans of a service is computed from.
 type Input struct {
-	// Offset is where the next table will stand; it becomes the fence of what changes hands.
+	// Offset is the offset that the next table will have; it becomes the fence of the spans that it transfers.
 	Offset int64
-	// Candidates are the upstreams that may own keys.
+	// Candidates are the upstreams that may own spans.
 	Candidates []Candidate
 	Demand     *Demand
-	// IsUnavailable reports whether an upstream cannot be asked to give its keys back.
+	// IsUnavailable reports whether an upstream cannot be asked to release its spans.
 	IsUnavailable func(owner string) bool
-	// IsFree reports whether no upstream may hold any key of the span.
+	// IsFree reports whether no upstream can hold any key of the span.
 	IsFree func(span cherrykeel.KeySpan) bool
-	// IsSettled reports whether a span has been with its owner for long enough to be joined or moved again.
+	// IsSettled reports whether a span has been with its owner long enough to be merged or moved again.
 	IsSettled func(owned Owned) bool
-	// MaxMoves bounds the spans that may be taken for balance now.
+	// MaxMoves limits the spans that may be in transfer at a time when more are marked for balance.
 	MaxMoves int
 }
 
-// NextSpans returns the table's next list of spans for a service, and whether it differs.
+// NextSpans returns the next list of spans for a service, and whether it differs from the current one.
 //
-// Owners that leave are asked to give back what they have; what nobody holds is given to new owners;
-// and spans are taken from upstreams with more load than others.
+// Owners that leave are asked to release their spans, spans that nobody holds go to new owners, and spans of the most
+// utilized upstreams are marked for transfer.
 func (table Table) NextSpans(service string, input Input) ([]Owned, bool) {
 	list := table.Services[service]
 	if len(input.Candidates) == 0 {
@@ -50,6 +50,7 @@
 	return builder.list, builder.changed
 }
 
+// divideAll returns the first list of spans of a service.
 func divideAll(input Input) []Owned {
 	list := Divide(input.Candidates, input.Demand)
 	for i := range list {
@@ -58,11 +59,13 @@
 	return list
 }
 
+// builder builds the next list of spans of a service.
 type builder struct {
 	input      Input
 	list       []Owned
 	candidates map[string]Candidate
-	// known is the load by owner, once it was asked for: most looks change nothing and need none.
+	// loads is the load by owner in requests a second; it is computed only when needed, since most decisions change
+	// nothing and need no loads.
 	loads   map[string]float64
 	changed bool
 }
@@ -75,7 +78,7 @@
 	return builder
 }
 
-// load returns the load by owner as the table was, with what was given since.
+// loadByOwner returns the load by owner under the current table, plus what distribute has assigned since.
 func (builder *builder) loadByOwner() map[string]float64 {
 	if builder.loads == nil {
 		builder.loads = make(map[string]float64, len(builder.input.Candidates))
@@ -86,7 +89,7 @@
 	return builder.loads
 }
 
-// replaceOwners gives spans that nobody holds to new owners, and takes spans from owners that leave.
+// replaceOwners assigns free spans to new owners, and marks the spans of owners that leave for transfer.
 func (builder *builder) replaceOwners() {
 	var list []Owned
 	for _, owned := range builder.list {
@@ -111,8 +114,9 @@
 	builder.list = list
 }
 
-// reborn gives a span to the next life of its owner. That holds nothing and takes the span at once under a higher
-// fence, whatever the earlier life may have held; another upstream would have to wait until that has surely ended.
+// grantToNewIncarnation assigns a span to a new incarnation of its owner. The new process holds nothing and can take
+// the span at once under a higher fence, whatever the old process held; another upstream would have to wait until the
+// old lease has ended for certain.
 func (builder *builder) grantToNewIncarnation(owned Owned, owner Candidate) Owned {
 	owned.Address = owner.Address
 	owned.StartedAt = owner.StartedAt
@@ -122,7 +126,8 @@
 	return owned
 }
 
-// give deals a free span to the candidates that will be the least used with it, the heaviest piece first.
+// distribute splits a free span and assigns each piece, the one with the highest load first, to the candidate that
+// will have the lowest utilization with it.
 func (builder *builder) distribute(owned Owned) []Owned {
 	pieces := builder.splitByLoad(owned.Span())
 	order := make([]int, len(pieces))
@@ -142,8 +147,8 @@
 	return assigned
 }
 
-// pieces cuts a span by its load, and around a key that has most of it: with its neighbours it would keep an
-// upstream busy that could just serve it alone.
+// splitByLoad splits a span into pieces of similar load. If one key has most of the load, it becomes a piece of its
+// own: together with its neighbours it would keep an upstream busy that could just serve the key alone.
 func (builder *builder) splitByLoad(span cherrykeel.KeySpan) []cherrykeel.KeySpan {
 	wanted := maxPieceShare * builder.totalLoad() / float64(len(builder.input.Candidates))
 	load := builder.input.Demand.Load(span)
@@ -167,7 +172,7 @@
 	return append(pieces, span)
 }
 
-// around cuts a key out of a span.
+// isolateKey splits a span so that the key is a span of its own.
 func isolateKey(span cherrykeel.KeySpan, key int) []cherrykeel.KeySpan {
 	var pieces []cherrykeel.KeySpan
 	if span.First < key {
@@ -188,8 +193,9 @@
 	return total
 }
 
-// leastUsed returns the candidate that will have the least use with some more load. By its use before, a key
-// that is hot for all went to a slow one that happened to be idle, for the second that it had to stay there.
+// leastUtilized returns the candidate that would have the lowest utilization with some more load. Comparing the
+// utilization without that load would send a key that is too hot for every upstream to a slow one that happens to be
+// idle, where it must stay for a second.
 func (builder *builder) leastUtilized(owned Owned, more float64) Candidate {
 	best := Candidate{}
 	bestUtilization := math.Inf(1)
@@ -199,7 +205,7 @@
 		}
 		utilization := (builder.loadByOwner()[candidate.ID] + more) / max(candidate.Capacity, math.SmallestNonzeroFloat64)
 		if candidate.ID == owned.Owner && owned.Moving && len(builder.candidates) > 1 {
-			// What was taken for balance does not go back in the same breath.
+			// A span that was released for balance should not return to its owner at once.
 			utilization *= 1 + maxImbalance
 		}
 		if utilization < bestUtilization {
@@ -219,7 +225,7 @@
 	return true
 }
 
-// balance marks spans of the most used upstreams as moving.
+// markMoves marks spans of the most utilized upstreams as in transfer.
 func (builder *builder) markMoves() {
 	inTransfer := 0
 	for _, owned := range builder.list {
@@ -244,7 +250,8 @@
 	}
 }
 
-// join makes one span of neighbours with one owner; it rides on changes and never causes one.
+// mergeNeighbours merges adjacent spans of one owner. It only runs if the list changes anyway, so that merging alone
+// never causes a new table.
 func (builder *builder) mergeNeighbours() {
 	if !builder.changed {
 		return
--- a/spans/pieces.go
+++ b/spans/pieces.go
@@ -6,6 +6,7 @@
 	"cherrykeel"
 )
 
+// bestMoveFrom returns the best move from one upstream to any of the targets.
 func (planner *planner) bestMoveFrom(from string, targets []string) (Move, bool) {
 	var best Move
 	bestScore := 0.0
@@ -19,7 +20,8 @@
 	return best, bestScore > 0
 }
 
-// bound returns how much more than the mean an upstream's use may be.
+// imbalanceLimit returns the highest utilization of an upstream, as a multiple of the mean, at which no keys are
+// moved from it. It allows for random variation, which is larger when few requests are counted for each upstream.
 func (planner *planner) imbalanceLimit() float64 {
 	upstreams := float64(len(planner.order))
 	counted := planner.demand.requestCount(planner.totalLoad / upstreams)
@@ -30,14 +32,14 @@
 	return max(maxImbalance, 1+noiseFactor*math.Sqrt(noise)+noise/3)
 }
 
-// width is a span's share of all keys.
+// keyShare returns a span's share of all keys.
 func keyShare(span cherrykeel.KeySpan) float64 {
 	return float64(span.Last-span.First+1) / (cherrykeel.MaxKey + 1)
 }
 
-// between finds the piece of one upstream's keys whose move to another brings the higher use of the two
-// down most. Keys that change hands have a price, so of two such pieces the narrower one is better; hot
-// keys lie close together.
+// bestMove returns the span of one upstream whose move to the other lowers the higher utilization of the two most,
+// and the move's score; the score is 0 if no move is worthwhile. Moving keys has a cost, so of two spans with the
+// same effect the narrower one wins, which favours hot keys that lie close together.
 func (planner *planner) bestMove(from, to string) (Move, float64) {
 	source, target := planner.candidates[from], planner.candidates[to]
 	balanced := (planner.loads[from] + planner.loads[to]) / (source.Capacity + target.Capacity)
@@ -69,7 +71,8 @@
 	return best, bestScore
 }
 
-// pieces are the parts of a span that could be taken: its start or end, its hottest key alone, or all of it.
+// movableSpans returns the parts of a span that could be moved: all of it, a prefix or suffix with the wanted load,
+// and its hottest key alone.
 func (planner *planner) movableSpans(i int, wanted float64, to string) []cherrykeel.KeySpan {
 	owned := planner.list[i]
 	span := owned.Span()
--- a/spans/plan.go
+++ b/spans/plan.go
@@ -10,15 +10,16 @@
 type Candidate struct {
 	ID      string
 	Address string
-	// StartedAt tells the upstream's lives apart.
+	// StartedAt distinguishes the upstream's incarnations: its process's start in Unix milliseconds on its own clock,
+	// or 0 if it is not reported.
 	StartedAt int64
-	// Capacity is what it can do in a second, in requests.
+	// Capacity is the load that the upstream can process, in requests a second.
 	Capacity float64
-	// Cold upstreams get no keys while others may have them.
+	// Cold upstreams get no more keys while any other candidate is not cold.
 	Cold bool
 }
 
-// Move gives one span to another upstream.
+// Move transfers one span to another upstream.
 type Move struct {
 	Span cherrykeel.KeySpan
 	From string
@@ -26,44 +27,47 @@
 }
 
 const (
-	// unevenness is by how much an upstream's use may exceed the mean before keys are taken from it, if so
-	// many requests are counted that chance does not bring more.
+	// maxImbalance is the utilization of an upstream, as a multiple of the mean, above which keys are moved from it,
+	// provided that enough requests are counted for random variation to be smaller.
 	maxImbalance = 1.2
-	// chanceShare is the part that counts of what chance brings the most used of n upstreams with c requests
-	// counted each: about the root of 2 ln(n) / c above the mean, and 2 ln(n) / 3c for the longer tail of low
-	// counts. It leaves 8 upstreams with 55 requests at unevenness, and lets 111 with 6 have 2.4 times the
-	// mean; with 1.2 there too, 20 tables a second were written in steady load.
+	// noiseFactor scales the excess over the mean that random variation alone causes at the most utilized of n
+	// upstreams with c counted requests each: about sqrt(2 ln(n) / c), plus 2 ln(n) / 3c for the longer tail of low
+	// counts. With this factor 8 upstreams with 55 requests each stay at maxImbalance, and 111 upstreams with 6 each
+	// may reach 2.4 times the mean. A limit of 1.2 for those too would write 20 tables a second under steady load.
 	noiseFactor = 0.72
-	// spareUse is the use of its capacity below which an upstream is left alone however uneven.
+	// minUtilization is the utilization below which no keys are moved from an upstream, however uneven the load is.
 	minUtilization = 0.35
-	// maxSpans bounds the spans of one upstream: each costs a grant at each renewal.
+	// maxSpansPerUpstream limits the spans of one upstream: each one costs a grant at every renewal.
 	maxSpansPerUpstream = 6
-	// overUse is the use at which an upstream is relieved whatever chance may have to do with it: its callers
-	// wait now.
+	// overloadUtilization is the utilization at which keys are moved from an upstream even if random variation may be
+	// the cause, since its callers already wait.
 	overloadUtilization = 1.2
-	// smallestGain is the least part of an upstream's use, or of all that it can do, that a move has to bring. A
-	// share of a use of 4 would leave everything else beside the key that is too hot.
+	// minGain is the smallest reduction of an upstream's utilization that justifies a move, as a share of that
+	// utilization or, above a utilization of 1, of its capacity. A share of a utilization of 4 would rule out every
+	// move of keys beside a key that is too hot.
 	minGain = 0.1
-	// widthPrice is what the move of all keys would cost, in use: keys that change hands have a price, and
-	// each has no owner while it moves.
+	// keyMoveCost is the cost of moving all keys, in utilization: a key has no owner while it is in transfer.
 	keyMoveCost = 0.3
-	// busyPrice is the same for the move of all load: while its keys move, the callers wait some 0.2 s. It
-	// keeps a key that is hot for every upstream from being handed round.
+	// loadMoveCost is the cost of moving all load, in utilization: callers wait some 0.2 s for keys in transfer. It
+	// keeps a key that is too hot for every upstream from being moved from one to the next.
 	loadMoveCost = 0.5
-	// dominant is the part of an upstream's load that, in one piece, only an upstream muchFaster than it may
-	// get: anywhere else it would be as much too hot, and the callers would wait for the move in vain.
+	// dominantShare is the share of an upstream's load above which a span moves only to an upstream with at least
+	// minCapacityRatio times the capacity. Any other upstream would be overloaded as much, and callers would wait for
+	// the transfer without any benefit.
 	dominantShare    = 0.6
 	minCapacityRatio = 1.3
-	// maxTakers bounds the upstreams that are considered as takers, the least used first, and fastTakers those
-	// besides that are considered for their capacity: a key that is hot for one upstream may be none for them.
+	// maxTargets limits the upstreams that are considered as targets of a move, lowest utilization first.
+	// maxFastTargets limits the others that are considered for their high capacity: a key that is too hot for one
+	// upstream may not be for them.
 	maxTargets     = 6
 	maxFastTargets = 3
-	// maxGivers bounds the upstreams that are considered for relief, the most used first. With one alone a key
-	// that is too hot for every upstream kept all others from being relieved for as long as it was hot.
+	// maxSources limits the upstreams from which a move is tried, highest utilization first. With only one, a key
+	// that is too hot for every upstream would keep all others from being relieved for as long as it is hot.
 	maxSources = 6
 )
 
-// Divide deals the whole key space to the candidates, in shares by capacity, weighing keys by their load.
+// Divide distributes the whole key space over the candidates in proportion to their capacity, weighing keys by their
+// load.
 func Divide(candidates []Candidate, demand *Demand) []Owned {
 	var list []Owned
 	total := 0.0
@@ -90,7 +94,8 @@
 	return list
 }
 
-// PlanMoves returns up to limit moves that take keys from the most used upstreams to the least used.
+// PlanMoves returns up to limit moves of spans from the upstreams with the highest utilization to those with the
+// lowest.
 func PlanMoves(list []Owned, candidates []Candidate, demand *Demand, limit int) []Move {
 	planner := newPlanner(list, candidates, demand)
 	var moves []Move
@@ -105,6 +110,7 @@
 	return moves
 }
 
+// planner plans moves between the upstreams in order, which is sorted by utilization.
 type planner struct {
 	list            []Owned
 	candidates      map[string]Candidate
@@ -144,7 +150,7 @@
 	return planner
 }
 
-// leaveOutCold takes the cold upstreams that own nothing out of those that could get keys.
+// excludeColdUpstreams removes cold upstreams that own no spans from those that could get keys.
 func (planner *planner) excludeColdUpstreams() {
 	var order []string
 	for _, id := range planner.order {
@@ -155,8 +161,8 @@
 	planner.order = order
 }
 
-// foresee counts what is moving where it will go: to the least used. Counted with its owner still, the same
-// load would be taken from there twice.
+// assignMovingLoad counts the load of each span in transfer at its likely new owner, the upstream with the lowest
+// utilization. Counted with the old owner, the same load would be moved away twice.
 func (planner *planner) assignMovingLoad() {
 	for _, owned := range planner.list {
 		if !owned.Moving || len(planner.order) == 0 {
@@ -178,7 +184,8 @@
 	return planner.utilizationWith(id, 0)
 }
 
-// useWith is an upstream's use with some more load.
+// utilizationWith returns an upstream's utilization with some more load. Utilization is the load divided by the
+// capacity.
 func (planner *planner) utilizationWith(id string, more float64) float64 {
 	capacity := planner.candidates[id].Capacity
 	if capacity <= 0 {
@@ -187,7 +194,8 @@
 	return (planner.loads[id] + more) / capacity
 }
 
-// next finds the move that helps the most used upstream most, or the next one if nothing helps that.
+// nextMove returns the best move away from the most utilized upstream, or from the next one if no move from that one
+// helps.
 func (planner *planner) nextMove() (Move, bool) {
 	if len(planner.order) < 2 {
 		return Move{}, false
@@ -211,7 +219,7 @@
 	return Move{}, false
 }
 
-// takers returns who may take keys from the upstream at a place in the order of use.
+// targets returns the upstreams that may take keys from the one at index source of the order by utilization.
 func (planner *planner) targets(source int) []string {
 	var warm []string
 	for _, id := range planner.order[:source] {
@@ -228,6 +236,7 @@
 	return append(targets, rest[:min(maxFastTargets, len(rest))]...)
 }
 
+// apply counts the load of a move at its target, so that the next move takes it into account.
 func (planner *planner) apply(move Move) {
 	load := planner.demand.Load(move.Span)
 	planner.loads[move.From] -= load
--- a/spans/table.go
+++ b/spans/table.go
@@ -9,43 +9,47 @@
 	"cherrykeel"
 )
 
-// Owned is one span of a table.
+// Owned is one span of a table with its owner.
 type Owned struct {
 	First int
 	Last  int
-	// Owner is an upstream's ID; empty means that nobody has held the span.
+	// Owner is an upstream's ID; it is empty only if the span was never granted.
 	Owner   string
 	Address string
-	// StartedAt tells the owner's life, if it says when it was born.
+	// StartedAt distinguishes the owner's incarnations: its process's start in Unix milliseconds on its own clock, or
+	// 0 if it is not reported.
 	StartedAt int64 `json:"Born,omitempty"`
-	// Fence is the offset of the record that gave the span to its owner, or of a later claim.
+	// Fence is the offset of the record that granted the span to its owner, or that raised the fence later: a
+	// keeper's claim or a merge with a neighbour.
 	Fence int64
-	// Moving spans get no new requests: their owner is asked to give them back.
+	// Moving spans get no new requests: their owner is asked to release them.
 	Moving bool `json:",omitempty"`
 }
 
-// Span returns the keys.
+// Span returns the keys of the span.
 func (owned Owned) Span() cherrykeel.KeySpan {
 	return cherrykeel.KeySpan{First: owned.First, Last: owned.Last}
 }
 
-// Table is the one record that says who keeps and who owns; each change replaces it whole.
+// Table is the stored record that names the keeper and the owner of each span. Each change replaces the whole record.
 type Table struct {
 	// Version is the record's own offset.
 	Version int64 `json:"-"`
 	// Term is the offset of the keeper's claim.
 	Term int64
-	// Keeper is a host's name and Life its process; an empty Life means that it resigned.
+	// Keeper is the keeper's host name and Incarnation identifies its process; an empty Incarnation means that the
+	// keeper has resigned.
 	Keeper      string
 	Incarnation string `json:"Life"`
-	// Services has the spans of each keyed service in order of their keys, without gaps.
+	// Services holds the spans of each keyed service in key order, without gaps.
 	Services map[string][]Owned
 }
 
-// ErrMalformedTable means that a record is no table of spans.
-var ErrMalformedTable = errors.New("the record is no table of spans")
+// ErrMalformedTable means that a record does not hold a valid table of spans.
+var ErrMalformedTable = errors.New("malformed table of spans")
 
-// Decode reads a record, which may be another writer's, or a change of a table.
+// Decode parses a stored table, or a change that Diff returned, and validates it, since another program may have
+// written the record. It returns an ErrMalformedTable.
 func Decode(value []byte, offset int64) (Table, error) {
 	table := Table{Version: offset, Term: -1}
 	err := json.Unmarshal(value, &table)
@@ -53,13 +57,13 @@
 		return table, errors.Wrap(ErrMalformedTable, err.Error())
 	}
 	if table.Term < 0 {
-		return table, errors.Wrapf(ErrMalformedTable, "term %d", table.Term)
+		return table, errors.Wrapf(ErrMalformedTable, "invalid term %d", table.Term)
 	}
 	for service, list := range table.Services {
 		next := 0
 		for _, owned := range list {
 			if owned.First < next || owned.Last < owned.First || owned.Last > cherrykeel.MaxKey || owned.Owner == "" {
-				return table, errors.Wrapf(ErrMalformedTable, "spans of %q", service)
+				return table, errors.Wrapf(ErrMalformedTable, "invalid spans of service %q", service)
 			}
 			next = owned.Last + 1
 		}
@@ -72,7 +76,7 @@
 	return json.Marshal(table)
 }
 
-// Find returns the span of a service that has the key.
+// Find returns the span of a service that contains the key.
 func (table Table) Find(service string, key int) (Owned, bool) {
 	list := table.Services[service]
 	i := sort.Search(len(list), func(i int) bool { return list[i].Last >= key })
@@ -82,7 +86,7 @@
 	return list[i], true
 }
 
-// HasSameOwner reports whether all of a span that another table names has the same owner in this one.
+// HasSameOwner reports whether every key of another table's span has the same owner in this table.
 func (table Table) HasSameOwner(service string, before Owned) bool {
 	for _, owned := range table.Services[service] {
 		if owned.Span().Overlaps(before.Span()) && owned.Owner != before.Owner {
@@ -92,7 +96,7 @@
 	return true
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable data.
 func (table Table) Clone() Table {
 	clone := table
 	clone.Services = map[string][]Owned{}
@@ -102,8 +106,8 @@
 	return clone
 }
 
-// ClaimedBy returns the table as a new keeper writes it at an offset: the same owners, all under the new
-// fence, so that grants of the keeper before are refused wherever the new one has been heard.
+// ClaimedBy returns the table that a new keeper writes at an offset to claim the role: the owners stay, and all spans
+// get the new fence, so that an upstream that has received the new grant refuses grants of the earlier keeper.
 func (table Table) ClaimedBy(keeper, incarnation string, offset int64) Table {
 	claimed := table.Clone()
 	claimed.Version = offset
@@ -119,7 +123,7 @@
 	return claimed
 }
 
-// Split cuts the spans of a service so that one of them is exactly the given one, if it lies within one span.
+// Split splits the spans of a service at the ends of the given span, so that no span of the service crosses them.
 func (table Table) Split(service string, span cherrykeel.KeySpan) {
 	var split []Owned
 	for _, owned := range table.Services[service] {
@@ -150,7 +154,7 @@
 	return parts
 }
 
-// Merge joins neighbours that have the same owner and fence.
+// Merge joins adjacent spans with the same owner and fence.
 func (table Table) Merge(service string) {
 	var merged []Owned
 	for _, owned := range table.Services[service] {
