--- a/spans/bench_test.go
+++ b/spans/bench_test.go
@@ -10,8 +10,8 @@
 	"cherrykeel/spans"
 )
 
-// BenchmarkNext is one look of a keeper at a service of 231 owners and 350 spans that is asked for 350 times a second,
-// which it takes 40 times a second; one in ten also plans moves.
+// BenchmarkNext computes the next spans of a service with 231 owners, 350 spans and 350 requests a second, as a
+// keeper does 40 times a second; one time in ten it also plans moves.
 func BenchmarkNext(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 2))
 	demand := steady(350, func() int { return random.IntN(cherrykeel.MaxKey + 1) })
--- a/spans/change_test.go
+++ b/spans/change_test.go
@@ -10,9 +10,9 @@
 	"cherrykeel/spans"
 )
 
-var _ = Describe("a change of the table", func() {
-	// shuffled cuts the keys into spans of random owners.
-	shuffled := func(random *rand.Rand) []spans.Owned {
+var _ = Describe("a difference between two tables", func() {
+	// randomSpans splits the keys into spans with random owners.
+	randomSpans := func(random *rand.Rand) []spans.Owned {
 		var list []spans.Owned
 		first := 0
 		for first <= cherrykeel.MaxKey {
@@ -23,10 +23,10 @@
 		return list
 	}
 
-	It("leads from any table to any other", func() {
+	It("turns the earlier table into the later one when it is applied", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 500 {
-			before := spans.Table{Version: 1, Term: 1, Keeper: "h1", Services: map[string][]spans.Owned{"keys": shuffled(random)}}
+			before := spans.Table{Version: 1, Term: 1, Keeper: "h1", Services: map[string][]spans.Owned{"keys": randomSpans(random)}}
 			after := before.Clone()
 			after.Version, after.Term, after.Keeper = 2, 2, "h2"
 			for range random.IntN(6) {
@@ -44,14 +44,14 @@
 		}
 	})
 
-	It("has only what differs", func() {
+	It("holds only the spans that differ", func() {
 		before := spans.Table{Services: map[string][]spans.Owned{"keys": {{First: 0, Last: 9, Owner: "a"}, {First: 10, Last: cherrykeel.MaxKey, Owner: "b"}}}}
 		after := before.Clone()
 		after.Services["keys"][0].Moving = true
 		Expect(after.Diff(before).Services["keys"]).To(Equal([]spans.Owned{{First: 0, Last: 9, Owner: "a", Moving: true}}))
 	})
 
-	It("takes in a service that is new", func() {
+	It("includes a new service", func() {
 		after := spans.Table{Version: 3, Services: map[string][]spans.Owned{"keys": {{Last: cherrykeel.MaxKey, Owner: "a"}}}}
 		before := spans.Table{Version: -1}
 		Expect(before.Apply(after.Diff(before))).To(Equal(after))
--- a/spans/drift_test.go
+++ b/spans/drift_test.go
@@ -10,14 +10,15 @@
 	"cherrykeel/spans"
 )
 
-var _ = Describe("the end of a hold", func() {
-	// An upstream's clock runs 2% slow: it shows 0.98 s when a second has passed, and 10 s when 10.204 s have. Counted
-	// as 10.2 s, the keys are free 4 ms before the upstream lets go of them.
-	It("is when the slowest clock has measured it", func() {
-		const hold = 10 * time.Second
-		ended := spans.LatestLeaseEnd(0, hold)
+var _ = Describe("the latest end of a lease", func() {
+	// Guards against a lease that counts as ended too early: an upstream's clock that runs 2% slow shows 0.98 s when
+	// a second has passed, and 10 s after 10.204 s. With 10.2 s for a lease of 10 s, the keys would be free 4 ms
+	// before the upstream stops using them.
+	It("allows for the slowest clock", func() {
+		const duration = 10 * time.Second
+		ended := spans.LatestLeaseEnd(0, duration)
 		measured := time.Duration(ended) * 98 / 100
-		Expect(measured).To(BeNumerically(">=", hold))
-		Expect(ended).To(BeNumerically("<", cherrykeel.Instant(hold+hold/40)))
+		Expect(measured).To(BeNumerically(">=", duration))
+		Expect(ended).To(BeNumerically("<", cherrykeel.Instant(duration+duration/40)))
 	})
 })
--- a/spans/hot_test.go
+++ b/spans/hot_test.go
@@ -12,10 +12,9 @@
 )
 
 var _ = Describe("keys that are hot for every upstream", func() {
-	// Callers come, or a new keeper begins, and an owner is overrun in the first half second. The counts are a
-	// fifth of what they would be in the end; taken for that, no owner seemed to have anything to give up before
-	// a second had passed.
-	It("knows rates from the first half second on", func() {
+	// Guards against an overloaded owner that is not relieved for a second: half a second after callers come, or a
+	// new keeper starts, the counts are a fifth of their final values, and uncorrected rates would show no overload.
+	It("have correct rates from the first half second on", func() {
 		demand := spans.NewDemand(0)
 		for tenth := range 5 {
 			demand.Decay(at(time.Hour + time.Duration(tenth)*100*time.Millisecond))
@@ -27,11 +26,10 @@
 		Expect(demand.Load(cherrykeel.KeySpan{First: 7, Last: 7})).To(BeNumerically("~", 100, 25))
 	})
 
-	// One key gets 400 requests a second, counted with its callers' repeats, from an owner that can do 150, as
-	// no other can do more; it stays where it is. Meanwhile a neighbourhood has become hot for another owner,
-	// whose callers wait. While only the most used upstream was considered nothing else moved for the 5 s
-	// that the key was hot.
-	It("relieves others while one key is too hot for every upstream", func() {
+	// Guards against a hot key that blocks all moves: u2 has one key with 400 requests a second, counted with
+	// repeats, and no upstream can process more than 150, so the key stays. If only the most utilized upstream were
+	// considered, the hot neighbourhood at u3 would not move either for the 5 s that the key is hot.
+	It("do not keep other upstreams from being relieved", func() {
 		random := rand.New(rand.NewPCG(9, 10))
 		all := candidates(82, 82, 150, 82, 150, 82)
 		list := []spans.Owned{
@@ -43,10 +41,10 @@
 			{First: 55000, Last: cherrykeel.MaxKey, Owner: "u5"},
 		}
 		demand := steady(900, func() int {
-			switch draw := random.Float64(); {
-			case draw < 0.45:
+			switch sample := random.Float64(); {
+			case sample < 0.45:
 				return 30000
-			case draw < 0.6:
+			case sample < 0.6:
 				return 32000 + random.IntN(100)
 			default:
 				return random.IntN(cherrykeel.MaxKey + 1)
@@ -60,10 +58,11 @@
 		Expect(moves[0].From).To(Equal("u3"))
 	})
 
-	// A span becomes free in which one key has most of the requests, 120 a second. Slow upstreams that can do
-	// 55 are idle, fast ones that can do 158 are half used. By their use before, the key went to an idle slow
-	// one with all its neighbours, and had to stay there for a second while two of three callers were refused.
-	It("gives a hot key of a free span to an upstream that can serve it, without its neighbours", func() {
+	// Guards against a hot key that goes to a slow upstream: one key of a free span gets 120 requests a second. The
+	// slow upstreams, with a capacity of 55, are idle; the fast ones, with 158, are half utilized. Chosen by its
+	// utilization before the transfer, an idle slow upstream would get the key with all its neighbours for a second,
+	// and two of three callers would be refused.
+	It("go from a free span to an upstream that can serve them, without their neighbours", func() {
 		random := rand.New(rand.NewPCG(11, 12))
 		all := candidates(55, 158, 55, 158)
 		list := []spans.Owned{
@@ -74,12 +73,12 @@
 			{First: 45001, Last: cherrykeel.MaxKey, Owner: "u3"},
 		}
 		demand := steady(300, func() int {
-			switch draw := random.Float64(); {
-			case draw < 0.4:
+			switch sample := random.Float64(); {
+			case sample < 0.4:
 				return 1973
-			case draw < 0.5:
+			case sample < 0.5:
 				return random.IntN(2037)
-			case draw < 0.75:
+			case sample < 0.75:
 				return 20001 + random.IntN(20000)
 			default:
 				return 45001 + random.IntN(20000)
@@ -92,7 +91,7 @@
 			IsSettled:     func(spans.Owned) bool { return true },
 		})
 		Expect(changed).To(BeTrue())
-		expectWhole(next)
+		expectComplete(next)
 		owned, _ := spans.Table{Services: map[string][]spans.Owned{service: next}}.Find(service, 1973)
 		Expect(owned.Owner).To(BeElementOf("u1", "u3"))
 		Expect(owned.First).To(Equal(1973))
--- a/spans/ledger_orders_test.go
+++ b/spans/ledger_orders_test.go
@@ -9,157 +9,157 @@
 	"cherrykeel/spans"
 )
 
-func (model *model) drawFate(limit time.Duration) modelFate {
-	fate := modelFate{travels: model.draw("travels", limit)}
-	switch rapid.IntRange(0, 4).Draw(model.t, "fate") {
+func (model *model) drawDelivery(limit time.Duration) modelDelivery {
+	delivery := modelDelivery{requestDelay: model.drawDuration("requestDelay", limit)}
+	switch rapid.IntRange(0, 4).Draw(model.t, "delivery") {
 	case 0:
-		fate.answered = true
-		fate.returns = model.draw("returns", limit-fate.travels)
+		delivery.answered = true
+		delivery.replyDelay = model.drawDuration("replyDelay", limit-delivery.requestDelay)
 	case 1, 2:
-		fate.late = model.draw("late", longestDelay)
+		delivery.applyDelay = model.drawDuration("applyDelay", maxApplyDelay)
 	case 3:
-		fate.lost = true
+		delivery.lost = true
 	case 4:
-		fate.unsent = true
+		delivery.unsent = true
 	}
-	return fate
+	return delivery
 }
 
-// grant sends a grant as the keeper's renewOne and send do.
+// grant sends a grant, as renewOne and send of the grants package do.
 func (model *model) grant(keeper *modelKeeper, owned spans.Owned) {
 	grant := modelGrant{modelOrder: modelOrder{owner: owned.Owner, span: owned.Span(), fence: owned.Fence}}
-	givenOn := keeper.writing && owned.Span() == keeper.given.Span()
-	if owned.Moving || givenOn || keeper.pending[grant.modelOrder] || model.now >= keeper.stopsAt {
+	isChanging := keeper.writing && owned.Span() == keeper.changed.Span()
+	if owned.Moving || isChanging || keeper.pending[grant.modelOrder] || model.now >= keeper.stopsAt {
 		return
 	}
 	if keeper.ledger.FreeAt(service, grant.owner, grant.span) > model.now {
 		return
 	}
-	grant.hold = rapid.SampledFrom([]time.Duration{shortestHold, longestHold}).Draw(model.t, "hold")
-	grant.call = keeper.ledger.RecordSent(grant.held(), spans.LatestLeaseEnd(model.now.Add(grantLimit), grant.hold))
+	grant.lease = rapid.SampledFrom([]time.Duration{shortLease, longLease}).Draw(model.t, "lease")
+	grant.call = keeper.ledger.RecordSent(grant.granted(), spans.LatestLeaseEnd(model.now.Add(grantLimit), grant.lease))
 	keeper.pending[grant.modelOrder] = true
-	fate := model.drawFate(grantLimit)
-	model.log("%s for %s is sent: %+v", grant, grant.hold, fate)
-	model.carryGrant(keeper, grant, fate)
+	delivery := model.drawDelivery(grantLimit)
+	model.log("%s for %s is sent: %+v", grant, grant.lease, delivery)
+	model.deliverGrant(keeper, grant, delivery)
 }
 
-func (model *model) carryGrant(keeper *modelKeeper, grant modelGrant, fate modelFate) {
+func (model *model) deliverGrant(keeper *modelKeeper, grant modelGrant, delivery modelDelivery) {
 	model.after(grantLimit, func() { delete(keeper.pending, grant.modelOrder) })
-	if fate.unsent {
-		model.after(fate.travels, func() { keeper.ledger.RecordAnswer(grant.call) })
+	if delivery.unsent {
+		model.after(delivery.requestDelay, func() { keeper.ledger.RecordAnswer(grant.call) })
 	}
-	if fate.unsent || fate.lost {
+	if delivery.unsent || delivery.lost {
 		return
 	}
-	model.after(fate.travels, func() {
+	model.after(delivery.requestDelay, func() {
 		upstream := model.upstream(grant.owner)
 		if upstream.dead {
 			return
 		}
-		born, arrived := upstream.born, model.now
-		model.after(fate.late, func() {
-			if upstream.born == born {
-				model.applyGrant(keeper, upstream, grant, arrived, fate)
+		incarnation, arrived := upstream.incarnation, model.now
+		model.after(delivery.applyDelay, func() {
+			if upstream.incarnation == incarnation {
+				model.applyGrant(keeper, upstream, grant, arrived, delivery)
 			}
 		})
 	})
 }
 
-func (model *model) applyGrant(keeper *modelKeeper, upstream *modelUpstream, grant modelGrant, arrived cherrykeel.Instant, fate modelFate) {
-	taken := !upstream.fenced(grant.modelOrder)
-	model.log("%s arrives, taken: %t", grant, taken)
-	if taken {
-		model.noteGrant(upstream, grant, arrived)
+func (model *model) applyGrant(keeper *modelKeeper, upstream *modelUpstream, grant modelGrant, arrived cherrykeel.Instant, delivery modelDelivery) {
+	applied := !upstream.hasHigherFence(grant.modelOrder)
+	model.log("%s arrives, applied: %t", grant, applied)
+	if applied {
+		model.countGrant(upstream, grant, arrived)
 		upstream.grant(grant, arrived)
 		model.checkFences(upstream, grant.modelOrder)
 	} else {
 		model.reached[reachedRefusal]++
 	}
-	if fate.answered {
-		model.after(fate.returns, func() { model.grantAnswered(keeper, grant, taken) })
+	if delivery.answered {
+		model.after(delivery.replyDelay, func() { model.onGrantAnswer(keeper, grant, applied) })
 	}
 }
 
-func (model *model) noteGrant(upstream *modelUpstream, grant modelGrant, arrived cherrykeel.Instant) {
-	until := arrived.Add(grant.hold)
+func (model *model) countGrant(upstream *modelUpstream, grant modelGrant, arrived cherrykeel.Instant) {
+	until := arrived.Add(grant.lease)
 	if arrived < model.now && until > model.now {
-		model.reached[reachedLate]++
+		model.reached[reachedLateGrant]++
 	}
-	if upstream.until[grant.span.First] > spans.LatestLeaseEnd(arrived, grant.hold) {
-		model.reached[reachedShorter]++
+	if upstream.until[grant.span.First] > spans.LatestLeaseEnd(arrived, grant.lease) {
+		model.reached[reachedShorterGrant]++
 	}
 }
 
-// grantAnswered counts as the keeper's granted does.
-func (model *model) grantAnswered(keeper *modelKeeper, grant modelGrant, taken bool) {
+// onGrantAnswer records an answer, as the grants package does.
+func (model *model) onGrantAnswer(keeper *modelKeeper, grant modelGrant, applied bool) {
 	model.log("%s is answered", grant)
 	delete(keeper.pending, grant.modelOrder)
 	for release := range keeper.released {
 		if release.overlaps(grant.modelOrder) && release.fence > grant.fence {
-			model.reached[reachedAfter]++
+			model.reached[reachedLateAnswer]++
 		}
 	}
 	keeper.ledger.RecordAnswer(grant.call)
-	if taken {
-		keeper.ledger.RecordLease(grant.held(), spans.LatestLeaseEnd(model.now, grant.hold))
+	if applied {
+		keeper.ledger.RecordLease(grant.granted(), spans.LatestLeaseEnd(model.now, grant.lease))
 	}
 }
 
-// release sends a release as the keeper's releaseOne does.
+// release sends a release, as the grants package does.
 func (model *model) release(owned spans.Owned) {
 	keeper := model.keeper
 	order := releaseOf(owned)
 	if !owned.Moving || keeper.pending[order] || keeper.released[order] {
 		return
 	}
-	limit := rapid.SampledFrom([]time.Duration{shortestHold, longestHold}).Draw(model.t, "releaseHold") + releaseMargin
-	fate := model.drawFate(limit)
-	model.log("%s is sent: %+v", order, fate)
-	model.noteRelease(keeper, order)
+	limit := rapid.SampledFrom([]time.Duration{shortLease, longLease}).Draw(model.t, "releaseLimit") + releaseMargin
+	delivery := model.drawDelivery(limit)
+	model.log("%s is sent: %+v", order, delivery)
+	model.countRelease(keeper, order)
 	keeper.pending[order] = true
 	ends := model.now.Add(limit)
 	model.after(limit, func() { delete(keeper.pending, order) })
-	if !fate.unsent && !fate.lost {
-		model.after(fate.travels, func() { model.carryRelease(keeper, order, fate, ends) })
+	if !delivery.unsent && !delivery.lost {
+		model.after(delivery.requestDelay, func() { model.deliverRelease(keeper, order, delivery, ends) })
 	}
 }
 
-func (model *model) noteRelease(keeper *modelKeeper, release modelOrder) {
+func (model *model) countRelease(keeper *modelKeeper, release modelOrder) {
 	for order := range keeper.pending {
 		if !order.release && order.overlaps(release) && order.span != release.span {
-			model.reached[reachedWhole]++
+			model.reached[reachedPartRelease]++
 		}
 	}
 }
 
-func (model *model) carryRelease(keeper *modelKeeper, order modelOrder, fate modelFate, ends cherrykeel.Instant) {
+func (model *model) deliverRelease(keeper *modelKeeper, order modelOrder, delivery modelDelivery, ends cherrykeel.Instant) {
 	upstream := model.upstream(order.owner)
 	if upstream.dead {
 		return
 	}
-	born := upstream.born
+	incarnation := upstream.incarnation
 	ended := upstream.release(order, model.now)
 	model.log("%s arrives, and work ends in %s", order, ended.Sub(model.now))
 	if ended > model.now {
-		model.reached[reachedWork]++
+		model.reached[reachedReleaseWait]++
 	}
 	model.after(ended.Sub(model.now), func() {
-		if upstream.born == born && fate.answered && model.now <= ends {
-			delay := min(fate.returns, ends.Sub(model.now))
-			model.after(delay, func() { model.releaseAnswered(keeper, order) })
+		if upstream.incarnation == incarnation && delivery.answered && model.now <= ends {
+			delay := min(delivery.replyDelay, ends.Sub(model.now))
+			model.after(delay, func() { model.onReleaseAnswer(keeper, order) })
 		}
 	})
 }
 
-// releaseAnswered counts as the keeper's released does.
-func (model *model) releaseAnswered(keeper *modelKeeper, order modelOrder) {
+// onReleaseAnswer records an answer, as the grants package does.
+func (model *model) onReleaseAnswer(keeper *modelKeeper, order modelOrder) {
 	model.log("%s is answered", order)
 	keeper.released[order] = true
-	if !keeper.awaits(order) {
-		model.reached[reachedStale]++
+	if !keeper.isWaitingFor(order) {
+		model.reached[reachedStaleAnswer]++
 	}
-	keeper.ledger.RecordRelease(order.held())
+	keeper.ledger.RecordRelease(order.granted())
 	if keeper == model.keeper && rapid.Bool().Draw(model.t, "atOnce") {
-		model.give()
+		model.transferFree()
 	}
 }
--- a/spans/ledger_site_test.go
+++ b/spans/ledger_site_test.go
@@ -11,31 +11,32 @@
 	"cherrykeel/spans"
 )
 
-// modelFate is what the network does with an order.
-type modelFate struct {
-	// unsent orders are known never to have left; of lost ones nothing arrives.
+// modelDelivery is what the network and the upstream do with an order.
+type modelDelivery struct {
+	// unsent orders are known not to have left the keeper; lost ones never arrive.
 	unsent bool
 	lost   bool
-	// travels and returns are the times to the upstream and back.
-	travels  time.Duration
-	returns  time.Duration
-	answered bool
-	// late is how long after its arrival a grant without an answer is applied.
-	late time.Duration
+	// requestDelay and replyDelay are the times to the upstream and back.
+	requestDelay time.Duration
+	replyDelay   time.Duration
+	answered     bool
+	// applyDelay is how long after its arrival a grant without an answer is applied.
+	applyDelay time.Duration
 }
 
-// modelKeeper is one term of a keeper, as far as it counts and orders.
+// modelKeeper is one term of a keeper, with the state that its orders depend on.
 type modelKeeper struct {
 	ledger   spans.Ledger
 	table    spans.Table
 	pending  map[modelOrder]bool
 	released map[modelOrder]bool
-	// writing says that the span given is being written as the next table has it; written, that the store has it.
+	// writing is true while changed, a span of the next table, is being written; written is true when the store has
+	// it.
 	writing bool
 	written bool
-	given   spans.Owned
-	// boundAt is when a successor knows that the keeper before granted nothing that goes on after bound; stopsAt is
-	// when a keeper has ended.
+	changed spans.Owned
+	// boundAt is when a successor knows that no lease of the earlier keeper ends after bound; stopsAt is when a
+	// keeper has stopped.
 	boundAt cherrykeel.Instant
 	bound   cherrykeel.Instant
 	stopsAt cherrykeel.Instant
@@ -47,17 +48,17 @@
 	}
 }
 
-// replace puts a span into the table.
-func replace(table spans.Table, given spans.Owned) {
+// replace replaces the span of a table that has the same keys.
+func replace(table spans.Table, changed spans.Owned) {
 	for i, owned := range table.Services[service] {
-		if owned.Span() == given.Span() {
-			table.Services[service][i] = given
+		if owned.Span() == changed.Span() {
+			table.Services[service][i] = changed
 		}
 	}
 }
 
-// awaits reports whether a release is of what the table has now.
-func (keeper *modelKeeper) awaits(release modelOrder) bool {
+// isWaitingFor reports whether the table still waits for a release.
+func (keeper *modelKeeper) isWaitingFor(release modelOrder) bool {
 	return slices.ContainsFunc(keeper.table.Services[service], func(owned spans.Owned) bool {
 		return owned.Moving && releaseOf(owned) == release
 	})
@@ -72,43 +73,43 @@
 	run func()
 }
 
-// model is a site in virtual time.
+// model simulates a keeper, its predecessor and upstreams in virtual time.
 type model struct {
-	t         *rapid.T
-	now       cherrykeel.Instant
-	events    []modelEvent
-	upstreams []*modelUpstream
-	keeper    *modelKeeper
-	before    *modelKeeper
-	offset    int64
-	// taken are the highest fences with which each upstream had a key.
-	taken   [modelKeys]map[string]int64
+	t           *rapid.T
+	now         cherrykeel.Instant
+	events      []modelEvent
+	upstreams   []*modelUpstream
+	keeper      *modelKeeper
+	predecessor *modelKeeper
+	offset      int64
+	// fences has for each key the highest fence under which each upstream held it.
+	fences  [modelKeys]map[string]int64
 	reached map[string]int
 }
 
 func newModel(t *rapid.T, reached map[string]int) *model {
 	model := &model{t: t, now: at(time.Hour), reached: reached}
 	for range modelUpstreams {
-		model.join()
+		model.addUpstream()
 	}
-	for key := range model.taken {
-		model.taken[key] = map[string]int64{}
+	for key := range model.fences {
+		model.fences[key] = map[string]int64{}
 	}
-	all := spans.Owned{First: 0, Last: modelKeys - 1, Owner: model.upstreams[0].id, Fence: model.next()}
+	all := spans.Owned{First: 0, Last: modelKeys - 1, Owner: model.upstreams[0].id, Fence: model.nextOffset()}
 	model.keeper = newModelKeeper(spans.Table{Services: map[string][]spans.Owned{service: {all}}})
 	return model
 }
 
-// join adds an upstream that has just started.
-func (model *model) join() {
+// addUpstream adds an upstream that has just started.
+func (model *model) addUpstream() {
 	model.upstreams = append(model.upstreams, &modelUpstream{
-		id:     fmt.Sprintf("u%d", len(model.upstreams)),
-		longer: rapid.Bool().Draw(model.t, "longer"),
-		slow:   rapid.SampledFrom([]int64{0, slowest}).Draw(model.t, "slow"),
+		id:          fmt.Sprintf("u%d", len(model.upstreams)),
+		keepsLonger: rapid.Bool().Draw(model.t, "longer"),
+		slow:        rapid.SampledFrom([]int64{0, slowest}).Draw(model.t, "slow"),
 	})
 }
 
-func (model *model) next() int64 {
+func (model *model) nextOffset() int64 {
 	model.offset++
 	return model.offset
 }
@@ -122,8 +123,8 @@
 	model.t.Logf("%d ms: %s", time.Duration(model.now-at(time.Hour)).Milliseconds(), fmt.Sprintf(format, values...))
 }
 
-// draw draws a time, often the shortest or the longest, since what goes wrong does so where ends meet.
-func (model *model) draw(label string, longest time.Duration) time.Duration {
+// drawDuration draws a duration. Zero and the longest value are likely, since most faults occur at the limits.
+func (model *model) drawDuration(label string, longest time.Duration) time.Duration {
 	milliseconds := rapid.OneOf(rapid.Just(int64(0)), rapid.Just(longest.Milliseconds()), rapid.Int64Range(0, longest.Milliseconds()))
 	return time.Duration(milliseconds.Draw(model.t, label)) * time.Millisecond
 }
@@ -132,11 +133,11 @@
 	return model.upstreams[rapid.IntRange(0, len(model.upstreams)-1).Draw(model.t, label)]
 }
 
-// drawOwned draws one of the spans that are fit, if there is one.
-func (model *model) drawOwned(table spans.Table, fit func(owned spans.Owned) bool) (spans.Owned, bool) {
+// drawOwned draws one of the spans that match, if there is one.
+func (model *model) drawOwned(table spans.Table, matches func(owned spans.Owned) bool) (spans.Owned, bool) {
 	var list []spans.Owned
 	for _, owned := range table.Services[service] {
-		if fit(owned) {
+		if matches(owned) {
 			list = append(list, owned)
 		}
 	}
@@ -146,22 +147,22 @@
 	return list[rapid.IntRange(0, len(list)-1).Draw(model.t, "span")], true
 }
 
-func stays(owned spans.Owned) bool { return !owned.Moving }
+func isStable(owned spans.Owned) bool { return !owned.Moving }
 
-func moves(owned spans.Owned) bool { return owned.Moving }
+func isMoving(owned spans.Owned) bool { return owned.Moving }
 
-// free reports whether the ledger says that nobody holds a span.
-func (model *model) free(owned spans.Owned) bool {
+// isFree reports whether no upstream can hold a span, by the ledger.
+func (model *model) isFree(owned spans.Owned) bool {
 	return model.keeper.ledger.FreeAt(service, "", owned.Span()) <= model.now
 }
 
-// ends reports whether the ledger knows when a span that is held will be free.
-func (model *model) ends(owned spans.Owned) bool {
-	return !model.free(owned) && model.keeper.ledger.FreeAt(service, "", owned.Span()) != spans.Never
+// hasKnownEnd reports whether a span is held until a time that the ledger knows.
+func (model *model) hasKnownEnd(owned spans.Owned) bool {
+	return !model.isFree(owned) && model.keeper.ledger.FreeAt(service, "", owned.Span()) != spans.Never
 }
 
-// passedOver reports whether a rare action is not to be done this time.
-func (model *model) passedOver() bool {
+// skipsRare reports whether a rare action is skipped this time.
+func (model *model) skipsRare() bool {
 	return rapid.IntRange(0, rarity).Draw(model.t, "rarity") < rarity
 }
 
@@ -169,9 +170,9 @@
 	model.events = append(model.events, modelEvent{at: model.now.Add(delay), run: run})
 }
 
-// advance lets time pass, and what happens in it happen in order.
+// advance runs all events until a time, in order.
 func (model *model) advance(until cherrykeel.Instant) {
-	for next := model.due(until); next >= 0; next = model.due(until) {
+	for next := model.nextEvent(until); next >= 0; next = model.nextEvent(until) {
 		event := model.events[next]
 		model.events = slices.Delete(model.events, next, next+1)
 		model.now = event.at
@@ -182,8 +183,8 @@
 	model.tick()
 }
 
-// due returns the first event until a time, or -1.
-func (model *model) due(until cherrykeel.Instant) int {
+// nextEvent returns the index of the first event until a time, or -1.
+func (model *model) nextEvent(until cherrykeel.Instant) int {
 	first := -1
 	for i, event := range model.events {
 		if event.at <= until && (first < 0 || event.at < model.events[first].at) {
@@ -193,7 +194,7 @@
 	return first
 }
 
-// tick does what a keeper does before each look at the table.
+// tick does what a keeper does before each decision on the table.
 func (model *model) tick() {
 	if model.now >= model.keeper.boundAt {
 		model.keeper.ledger.BoundUnknownLeases(model.keeper.bound)
@@ -201,34 +202,34 @@
 	model.keeper.ledger.RemoveExpired(model.now)
 }
 
-// check finds two upstreams on one key.
+// check fails if two upstreams hold or work on one key.
 func (model *model) check() {
 	for key := range modelKeys {
 		var busy []string
 		for _, upstream := range model.upstreams {
-			if upstream.busy(key, model.now) {
+			if upstream.isBusy(key, model.now) {
 				busy = append(busy, upstream.id)
 			}
 		}
 		if len(busy) > 1 {
-			model.log("key %d is with %v", key, busy)
+			model.log("key %d is held by %v", key, busy)
 			model.t.Fatalf("two upstreams hold one key")
 		}
 	}
 }
 
-// checkFences finds a key that is taken under a fence that another upstream has had.
+// checkFences fails if an upstream gets a key under a fence that is not higher than one of another upstream.
 func (model *model) checkFences(upstream *modelUpstream, order modelOrder) {
 	for key := order.span.First; key <= order.span.Last; key++ {
-		if !upstream.busy(key, model.now) {
+		if !upstream.isBusy(key, model.now) {
 			continue
 		}
-		for id, fence := range model.taken[key] {
+		for id, fence := range model.fences[key] {
 			if id != upstream.id && fence >= order.fence {
-				model.log("key %d goes to %s under %d, and %s has had %d", key, upstream.id, order.fence, id, fence)
-				model.t.Fatalf("a fence goes down")
+				model.log("key %d goes to %s under fence %d, but %s had it under %d", key, upstream.id, order.fence, id, fence)
+				model.t.Fatalf("a fence decreases")
 			}
 		}
-		model.taken[key][upstream.id] = max(model.taken[key][upstream.id], order.fence)
+		model.fences[key][upstream.id] = max(model.fences[key][upstream.id], order.fence)
 	}
 }
--- a/spans/ledger_stale_test.go
+++ b/spans/ledger_stale_test.go
@@ -9,14 +9,14 @@
 	"cherrykeel/spans"
 )
 
-var _ = Describe("an answer to a release that is late", func() {
-	// An owner is asked for its keys and works on until its hold has ended, at 2 s. They are free by then and go back to
-	// it under a higher fence, until 4.6 s; it takes that grant and works. Then comes its answer to the release, which
-	// frees what was granted after it: other upstreams get the keys at once, and two work on one key.
-	It("frees nothing that was granted after the release was sent", func() {
+var _ = Describe("a late answer to a release", func() {
+	// Guards against a late answer that frees a newer lease: an owner is asked to release its keys and works until
+	// its lease ends at 2 s. The keys are free, and the owner gets them back under a higher fence until 4.6 s. Then
+	// its answer to the release arrives; if that freed the new lease, two upstreams would work on one key.
+	It("does not free a grant that was sent after the release", func() {
 		var ledger spans.Ledger
-		ledger.RecordLease(held("a", span(0, 99)), at(2*time.Second))
-		// The release is sent here, which the ledger is not told of.
+		ledger.RecordLease(granted("a", span(0, 99)), at(2*time.Second))
+		// The release with fence 2 is sent here; the ledger records only answers to releases.
 		ledger.RemoveExpired(at(2 * time.Second))
 		again := spans.GrantedSpan{Service: service, Owner: "a", Span: span(0, 99), Fence: 5}
 		call := ledger.RecordSent(again, at(5*time.Second))
--- a/spans/ledger_steps_test.go
+++ b/spans/ledger_steps_test.go
@@ -13,27 +13,27 @@
 
 func (model *model) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"wait":      func(*rapid.T) { model.advance(model.now.Add(model.draw("wait", longestWait))) },
+		"wait":      func(*rapid.T) { model.advance(model.now.Add(model.drawDuration("wait", maxWait))) },
 		"pause":     func(*rapid.T) { model.advance(model.now.Add(grantLimit)) },
 		"renew":     func(*rapid.T) { model.renew(model.keeper) },
 		"renew all": func(*rapid.T) { model.renewAll() },
-		"renew old": func(*rapid.T) { model.renewOld() },
-		"move":      func(*rapid.T) { model.move() },
-		"release":   func(*rapid.T) { model.releaseAgain() },
-		"give":      func(*rapid.T) { model.give() },
-		"outwait":   func(*rapid.T) { model.outwait() },
+		"renew old": func(*rapid.T) { model.renewByPredecessor() },
+		"move":      func(*rapid.T) { model.startTransfer() },
+		"release":   func(*rapid.T) { model.repeatRelease() },
+		"give":      func(*rapid.T) { model.transferFree() },
+		"outwait":   func(*rapid.T) { model.waitForEnd() },
 		"merge":     func(*rapid.T) { model.merge() },
-		"work":      func(*rapid.T) { model.work() },
+		"work":      func(*rapid.T) { model.startWork() },
 		"claim":     func(*rapid.T) { model.claim() },
-		"end":       func(*rapid.T) { model.end() },
+		"end":       func(*rapid.T) { model.endProcess() },
 		"restart":   func(*rapid.T) { model.restart() },
-		"notice":    func(*rapid.T) { model.notice() },
+		"notice":    func(*rapid.T) { model.noticeEnds() },
 		"":          func(*rapid.T) { model.check() },
 	}
 }
 
 func (model *model) renew(keeper *modelKeeper) {
-	owned, found := model.drawOwned(keeper.table, stays)
+	owned, found := model.drawOwned(keeper.table, isStable)
 	if found {
 		model.grant(keeper, owned)
 	}
@@ -45,74 +45,75 @@
 	}
 }
 
-// renewOld lets a keeper that has a successor grant by its own table until its evidence has aged.
-func (model *model) renewOld() {
-	if model.before == nil || model.now >= model.before.stopsAt {
+// renewByPredecessor lets a keeper with a successor grant by its own table until it stops.
+func (model *model) renewByPredecessor() {
+	if model.predecessor == nil || model.now >= model.predecessor.stopsAt {
 		return
 	}
-	model.reached[reachedBeside]++
-	model.renew(model.before)
+	model.reached[reachedTwoKeepers]++
+	model.renew(model.predecessor)
 }
 
-func (model *model) releaseAgain() {
-	owned, found := model.drawOwned(model.keeper.table, moves)
+func (model *model) repeatRelease() {
+	owned, found := model.drawOwned(model.keeper.table, isMoving)
 	if found {
 		model.release(owned)
 	}
 }
 
-// move asks an owner for a part of its span, or all of it.
-func (model *model) move() {
-	owned, found := model.drawOwned(model.keeper.table, stays)
+// startTransfer asks an owner to release its span, or part of it.
+func (model *model) startTransfer() {
+	owned, found := model.drawOwned(model.keeper.table, isStable)
 	if !found || model.keeper.writing {
 		return
 	}
 	first := rapid.IntRange(owned.First, owned.Last).Draw(model.t, "first")
 	part := span(first, rapid.IntRange(first, owned.Last).Draw(model.t, "last"))
 	model.keeper.table.Split(service, part)
-	model.next()
+	model.nextOffset()
 	owned.First, owned.Last, owned.Moving = part.First, part.Last, true
 	replace(model.keeper.table, owned)
 	model.release(owned)
 }
 
-// give gives on a span that is free by the ledger.
-func (model *model) give() {
-	owned, found := model.drawOwned(model.keeper.table, model.free)
+// transferFree transfers a span that is free by the ledger.
+func (model *model) transferFree() {
+	owned, found := model.drawOwned(model.keeper.table, model.isFree)
 	if found {
-		model.giveOn(owned)
+		model.transfer(owned)
 	}
 }
 
-// giveOn gives a free span to an upstream, as spans.Table.Next does: one that moves, or one whose owner is not to
-// have it any more.
-func (model *model) giveOn(owned spans.Owned) {
+// transfer assigns a free span to an upstream, as Table.NextSpans does for a span in transfer, and for one whose
+// owner is no candidate any more.
+func (model *model) transfer(owned spans.Owned) {
 	if model.keeper.writing {
 		return
 	}
-	taker := model.drawUpstream("taker")
+	target := model.drawUpstream("target")
 	if rapid.Bool().Draw(model.t, "back") {
-		taker = model.upstream(owned.Owner)
+		target = model.upstream(owned.Owner)
 	}
-	if taker.dead {
+	if target.dead {
 		return
 	}
-	if owned.Owner == taker.id {
+	if owned.Owner == target.id {
 		model.reached[reachedReturn]++
 	}
-	model.log("%d-%d of %s is to be of %s", owned.First, owned.Last, owned.Owner, taker.id)
-	owned.Owner, owned.StartedAt, owned.Moving, owned.Fence = taker.id, taker.born, false, model.next()
+	model.log("%d-%d is transferred from %s to %s", owned.First, owned.Last, owned.Owner, target.id)
+	owned.Owner, owned.StartedAt, owned.Moving, owned.Fence = target.id, target.incarnation, false, model.nextOffset()
 	model.write(owned)
 }
 
-// write gives a span its place in the store's table, unless another keeper writes before, and then in the keeper's.
-func (model *model) write(given spans.Owned) {
+// write writes a changed span to the store's table, unless a successor claims before, and then applies it to the
+// keeper's table.
+func (model *model) write(changed spans.Owned) {
 	keeper := model.keeper
-	keeper.writing, keeper.written, keeper.given = true, false, given
+	keeper.writing, keeper.written, keeper.changed = true, false, changed
 	var stored, read time.Duration
 	if rapid.Bool().Draw(model.t, "slowWrite") {
-		stored = model.draw("write", longestWrite)
-		read = stored + model.draw("read", longestWrite-stored)
+		stored = model.drawDuration("write", maxWrite)
+		read = stored + model.drawDuration("read", maxWrite-stored)
 	}
 	model.after(stored, func() { keeper.written = model.keeper == keeper })
 	model.after(read, func() {
@@ -120,27 +121,27 @@
 		if !keeper.written {
 			return
 		}
-		replace(keeper.table, given)
-		model.log("%d-%d is of %s under %d", given.First, given.Last, given.Owner, given.Fence)
-		model.grant(keeper, given)
+		replace(keeper.table, changed)
+		model.log("%d-%d belongs to %s under fence %d", changed.First, changed.Last, changed.Owner, changed.Fence)
+		model.grant(keeper, changed)
 	})
 }
 
-// outwait lets time pass until a span is free by the ledger, and gives it on.
-func (model *model) outwait() {
-	owned, found := model.drawOwned(model.keeper.table, model.ends)
+// waitForEnd lets time pass until a span is free by the ledger, and transfers it.
+func (model *model) waitForEnd() {
+	owned, found := model.drawOwned(model.keeper.table, model.hasKnownEnd)
 	if !found {
 		return
 	}
-	model.reached[reachedOutwait]++
+	model.reached[reachedLeaseEnd]++
 	model.advance(model.keeper.ledger.FreeAt(service, "", owned.Span()))
 	owned, found = model.keeper.table.Find(service, owned.First)
-	if found && model.free(owned) {
-		model.giveOn(owned)
+	if found && model.isFree(owned) {
+		model.transfer(owned)
 	}
 }
 
-// merge joins neighbours of one owner, under a new fence if theirs differ, as spans.Table.Next does.
+// merge merges neighbours of one owner, under a new fence if theirs differ, as Table.NextSpans does.
 func (model *model) merge() {
 	list := model.keeper.table.Services[service]
 	i := rapid.IntRange(0, len(list)-1).Draw(model.t, "left")
@@ -152,123 +153,125 @@
 		return
 	}
 	if left.Fence != right.Fence {
-		left.Fence = model.next()
+		left.Fence = model.nextOffset()
 		right.Fence = left.Fence
 	}
 	model.keeper.table.Merge(service)
 	model.reached[reachedMerge]++
 }
 
-// work begins a request on a key that an upstream holds. It ends at the latest with the hold that was in force then.
-func (model *model) work() {
+// startWork starts a request for a key at the upstreams that hold it. It ends no later than the lease that was in
+// force at its start.
+func (model *model) startWork() {
 	key := rapid.IntRange(0, modelKeys-1).Draw(model.t, "key")
 	for _, upstream := range model.upstreams {
 		if upstream.until[key] > model.now {
-			until := min(model.now.Add(model.draw("work", longestWork)), upstream.until[key])
+			until := min(model.now.Add(model.drawDuration("work", maxWork)), upstream.until[key])
 			upstream.work = append(upstream.work, modelWork{key: key, until: until})
 			model.log("%s works on %d for %s", upstream.id, key, until.Sub(model.now))
 		}
 	}
 }
 
-// claim makes a successor. It is told when the holds of each owner end by a keeper that ended in good order, and
-// else counts from when the other hosts know its term.
+// claim starts a successor. After a graceful shutdown it gets the ends of the leases from its predecessor; otherwise
+// it counts from when the other hosts have learned its term.
 func (model *model) claim() {
-	if model.passedOver() {
+	if model.skipsRare() {
 		return
 	}
 	before := model.keeper
 	for order := range before.pending {
 		if order.release {
-			model.reached[reachedClaim]++
+			model.reached[reachedClaimInRelease]++
 		}
 	}
-	orderly := rapid.Bool().Draw(model.t, "orderly")
-	known := model.now.Add(model.draw("known", evidenceAge))
+	graceful := rapid.Bool().Draw(model.t, "graceful")
+	known := model.now.Add(model.drawDuration("known", evidenceAge))
 	before.stopsAt = known.Add(evidenceAge)
-	if orderly {
+	if graceful {
 		before.stopsAt = model.now
 	}
 	table := before.table.Clone()
 	if before.writing && before.written {
-		replace(table, before.given)
+		replace(table, before.changed)
 	}
-	model.before = before
-	model.keeper = newModelKeeper(table.ClaimedBy("host", "life", model.next()))
+	model.predecessor = before
+	model.keeper = newModelKeeper(table.ClaimedBy("host", "life", model.nextOffset()))
 	model.keeper.boundAt = known
-	model.keeper.bound = spans.LatestLeaseEnd(known.Add(evidenceAge+grantLimit), longestHold)
-	model.inherit(before, orderly)
-	if !orderly {
-		model.after(before.stopsAt.Sub(model.now)-1, model.renewOld)
+	model.keeper.bound = spans.LatestLeaseEnd(known.Add(evidenceAge+grantLimit), longLease)
+	model.inherit(before, graceful)
+	if !graceful {
+		model.after(before.stopsAt.Sub(model.now)-1, model.renewByPredecessor)
 	}
-	model.log("a successor claims under %d, in good order: %t", model.offset, orderly)
+	model.log("a successor claims under fence %d, after a graceful shutdown: %t", model.offset, graceful)
 }
 
-// inherit counts as the keeper's inherit does.
-func (model *model) inherit(before *modelKeeper, orderly bool) {
+// inherit records the leases of the earlier keeper, as the grants package does.
+func (model *model) inherit(before *modelKeeper, graceful bool) {
 	for _, owned := range model.keeper.table.Services[service] {
 		until := spans.Never
 		held := before.ledger.HeldUntil(owned.Owner)
-		if orderly && held != spans.Never {
+		if graceful && held != spans.Never {
 			until = max(held, model.now)
 		}
 		model.keeper.ledger.RecordLease(spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}, until)
 	}
 }
 
-// end lets a process end for good; another one starts.
-func (model *model) end() {
+// endProcess ends a process that does not restart, and starts another one.
+func (model *model) endProcess() {
 	upstream := model.drawUpstream("ended")
-	if model.passedOver() || upstream.dead || len(model.upstreams) == 2*modelUpstreams {
+	if model.skipsRare() || upstream.dead || len(model.upstreams) == 2*modelUpstreams {
 		return
 	}
 	upstream.stop()
 	upstream.gone = true
 	model.log("%s ends", upstream.id)
-	model.join()
+	model.addUpstream()
 }
 
-// restart lets a process end and start again under its ID.
+// restart ends a process that restarts under its ID.
 func (model *model) restart() {
 	upstream := model.drawUpstream("restarted")
-	if model.passedOver() || upstream.dead {
+	if model.skipsRare() || upstream.dead {
 		return
 	}
 	upstream.stop()
-	start := shortestStart + model.draw("start", longestStart)
-	model.log("%s ends and starts again in %s", upstream.id, start)
+	start := minRestart + model.drawDuration("start", maxRestart)
+	model.log("%s ends and restarts in %s", upstream.id, start)
 	model.after(start, func() { upstream.dead = false })
 }
 
-// notice tells the keeper of processes that have ended, and of the next lives of others.
-func (model *model) notice() {
+// noticeEnds lets the keeper notice processes that have ended, and new incarnations of others.
+func (model *model) noticeEnds() {
 	for _, upstream := range model.upstreams {
 		if upstream.gone && model.keeper.ledger.HeldUntil(upstream.id) > model.now {
 			model.keeper.ledger.RecordProcessEnd(upstream.id)
-			model.reached[reachedEnd]++
+			model.reached[reachedProcessEnd]++
 		}
 	}
 	if model.keeper.writing {
 		return
 	}
-	fence := model.next()
+	fence := model.nextOffset()
 	for i := range model.keeper.table.Services[service] {
-		model.revive(&model.keeper.table.Services[service][i], fence)
+		model.grantToNewIncarnation(&model.keeper.table.Services[service][i], fence)
 	}
 }
 
-// revive gives a span to the next life of its owner under a higher fence, as spans.Table.Next does.
-func (model *model) revive(owned *spans.Owned, fence int64) {
+// grantToNewIncarnation assigns a span to a new incarnation of its owner under a higher fence, as Table.NextSpans
+// does.
+func (model *model) grantToNewIncarnation(owned *spans.Owned, fence int64) {
 	upstream := model.upstream(owned.Owner)
-	if upstream.dead || upstream.born == owned.StartedAt {
+	if upstream.dead || upstream.incarnation == owned.StartedAt {
 		return
 	}
-	owned.StartedAt, owned.Moving, owned.Fence = upstream.born, false, fence
-	model.reached[reachedLife]++
-	model.log("%d-%d is of the next life of %s under %d", owned.First, owned.Last, owned.Owner, fence)
+	owned.StartedAt, owned.Moving, owned.Fence = upstream.incarnation, false, fence
+	model.reached[reachedNewIncarnation]++
+	model.log("%d-%d belongs to the new incarnation of %s under fence %d", owned.First, owned.Last, owned.Owner, fence)
 }
 
-// setDefault sets a flag of rapid unless it was given by hand.
+// setDefault sets a flag of rapid unless it was set on the command line.
 func setDefault(name, value string) {
 	given := false
 	flag.Visit(func(set *flag.Flag) { given = given || set.Name == name })
@@ -277,11 +280,12 @@
 	}
 }
 
-// Whatever is lost, late, split, moved or succeeded, no two upstreams hold or work on one key, and no fence goes down.
+// Guards against two owners of one key: whatever is lost, late, split, moved or claimed, no two upstreams hold or
+// work on a key, and no fence decreases.
 //
-// More by hand: go test ./spans -ginkgo.focus "any site" -ginkgo.v -rapid.checks 100000 -rapid.seed 0
+// To run more cases: go test ./spans -ginkgo.focus "any site" -ginkgo.v -rapid.checks 100000 -rapid.seed 0
 var _ = Describe("the ledger of any site", func() {
-	It("lets no two upstreams have a key, as the keeper counts and orders", func() {
+	It("never lets two upstreams hold one key", func() {
 		setDefault("rapid.seed", "1")
 		setDefault("rapid.checks", "6000")
 		setDefault("rapid.steps", "80")
@@ -292,9 +296,9 @@
 		})
 		GinkgoWriter.Println(reached)
 		Expect(reached).To(And(
-			HaveKey(reachedRefusal), HaveKey(reachedWhole), HaveKey(reachedAfter), HaveKey(reachedShorter), HaveKey(reachedReturn),
-			HaveKey(reachedStale), HaveKey(reachedClaim), HaveKey(reachedBeside), HaveKey(reachedOutwait), HaveKey(reachedLate),
-			HaveKey(reachedWork), HaveKey(reachedMerge), HaveKey(reachedEnd), HaveKey(reachedLife),
+			HaveKey(reachedRefusal), HaveKey(reachedPartRelease), HaveKey(reachedLateAnswer), HaveKey(reachedShorterGrant), HaveKey(reachedReturn),
+			HaveKey(reachedStaleAnswer), HaveKey(reachedClaimInRelease), HaveKey(reachedTwoKeepers), HaveKey(reachedLeaseEnd), HaveKey(reachedLateGrant),
+			HaveKey(reachedReleaseWait), HaveKey(reachedMerge), HaveKey(reachedProcessEnd), HaveKey(reachedNewIncarnation),
 		))
 	})
 })
--- a/spans/lives_test.go
+++ b/spans/lives_test.go
@@ -8,10 +8,11 @@
 	"cherrykeel/spans"
 )
 
-var _ = Describe("an owner that has started again under its ID", func() {
-	// The upstream crashed and knows nothing of its keys. Nobody else may have them before the hold of its earlier
-	// life has passed; the new life itself may, at once, under a fence that the earlier one never had.
-	It("gets its keys anew under a higher fence, while they are not free for others", func() {
+var _ = Describe("an owner that restarted under its ID", func() {
+	// Guards against keys that stay without an owner after a crash: the restarted upstream has lost its keys. Other
+	// upstreams must wait until the lease of the old process has ended; the new process may have them at once, under
+	// a fence that the old one never had.
+	It("gets its keys again under a higher fence, while they are not free for others", func() {
 		all := candidates(1, 1)
 		all[0].StartedAt = 200
 		all[1].StartedAt = 50
@@ -30,7 +31,7 @@
 		}))
 	})
 
-	It("keeps its life in what is told of the table", func() {
+	It("keeps its incarnation in the encoded table", func() {
 		table := spans.Table{Term: 1, Services: map[string][]spans.Owned{service: {{First: 0, Last: cherrykeel.MaxKey, Owner: "u0", StartedAt: 7, Fence: 3}}}}
 		value, err := table.Encode()
 		Expect(err).NotTo(HaveOccurred())
--- a/spans/plan_test.go
+++ b/spans/plan_test.go
@@ -20,20 +20,20 @@
 	return list
 }
 
-// uses returns each candidate's load over its capacity.
-func uses(list []spans.Owned, candidates []spans.Candidate, demand *spans.Demand) map[string]float64 {
-	uses := map[string]float64{}
+// utilizations returns each candidate's load divided by its capacity.
+func utilizations(list []spans.Owned, candidates []spans.Candidate, demand *spans.Demand) map[string]float64 {
+	utilizations := map[string]float64{}
 	for _, candidate := range candidates {
 		for _, owned := range list {
 			if owned.Owner == candidate.ID {
-				uses[candidate.ID] += demand.Load(owned.Span()) / candidate.Capacity
+				utilizations[candidate.ID] += demand.Load(owned.Span()) / candidate.Capacity
 			}
 		}
 	}
-	return uses
+	return utilizations
 }
 
-// steady counts what comes in of a rate over some seconds, for keys drawn by pick.
+// steady returns the demand after 6 s of a steady rate, in requests a second, for keys returned by pick.
 func steady(rate int, pick func() int) *spans.Demand {
 	demand := spans.NewDemand(0)
 	for tenth := range 60 {
@@ -45,14 +45,14 @@
 	return demand
 }
 
-// settle applies plans and gives as the keeper does, until nothing changes.
+// settle applies the next spans until nothing changes, as the keeper does; spans in transfer are free at once.
 func settle(table spans.Table, all []spans.Candidate, demand *spans.Demand) []spans.Owned {
 	list := table.Services[service]
 	for offset := int64(100); offset < 140; offset++ {
 		next, changed := spans.Table{Services: map[string][]spans.Owned{service: list}}.NextSpans(service, spans.Input{
 			Offset: offset, Candidates: all, Demand: demand, MaxMoves: 4,
 			IsUnavailable: func(string) bool { return false },
-			IsFree:        func(span cherrykeel.KeySpan) bool { return moving(list, span) },
+			IsFree:        func(span cherrykeel.KeySpan) bool { return isInTransfer(list, span) },
 			IsSettled:     func(spans.Owned) bool { return true },
 		})
 		if !changed {
@@ -63,7 +63,7 @@
 	return list
 }
 
-func moving(list []spans.Owned, span cherrykeel.KeySpan) bool {
+func isInTransfer(list []spans.Owned, span cherrykeel.KeySpan) bool {
 	for _, owned := range list {
 		if owned.Span() == span {
 			return owned.Moving
@@ -72,7 +72,8 @@
 	return false
 }
 
-func expectWhole(list []spans.Owned) {
+// expectComplete checks that the spans have owners and cover all keys without gaps.
+func expectComplete(list []spans.Owned) {
 	GinkgoHelper()
 	next := 0
 	for _, owned := range list {
@@ -84,15 +85,14 @@
 }
 
 var _ = Describe("dividing and moving keys", func() {
-	It("deals all keys by capacity", func() {
+	It("divides all keys in proportion to capacity", func() {
 		list := spans.Divide(candidates(1, 2, 1), spans.NewDemand(0))
-		expectWhole(list)
+		expectComplete(list)
 		Expect(list[1].Last - list[1].First).To(BeNumerically("~", 32767, 2))
 	})
 
-	// In wedding season a third of all requests ask for 200 halls whose keys are neighbours, at an upstream
-	// with 3 slots of 60 ms that can serve 50 a second. Callers there wait until they leave unless the
-	// neighbourhood is spread. 280 requests a second over 8 upstreams is the load of Hanbit's busiest day.
+	// Guards against a hot neighbourhood that overloads one upstream: of 280 requests a second to 8 upstreams, 39% ask
+	// for 200 neighbouring keys, whose owner, with 3 slots and 60 ms a request, can serve 50 a second.
 	It("spreads a hot neighbourhood over the upstreams", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		demand := steady(280, func() int {
@@ -103,25 +103,24 @@
 		})
 		all := candidates(50, 50, 33, 100, 50, 50, 33, 100)
 		table := spans.Table{Services: map[string][]spans.Owned{service: spans.Divide(all, spans.NewDemand(0))}}
-		before := uses(table.Services[service], all, demand)
+		before := utilizations(table.Services[service], all, demand)
 		list := settle(table, all, demand)
-		expectWhole(list)
+		expectComplete(list)
 		worst := 0.0
-		for _, use := range uses(list, all, demand) {
-			worst = max(worst, use)
+		for _, utilization := range utilizations(list, all, demand) {
+			worst = max(worst, utilization)
 		}
 		Expect(before).To(ContainElement(BeNumerically(">", 1)), "one upstream gets more than it can do")
 		Expect(worst).To(BeNumerically("<", 0.9))
 		Expect(len(list)).To(BeNumerically("<", 40))
 	})
 
-	// A neighbourhood of 200 keys becomes hot with a third of 315 requests a second, over 111 upstreams of
-	// 3 slots that take 0.7 s a request: the figures of Hanbit's archive after it has grown. It needs 26
-	// upstreams. A move ends when the work on its keys has ended: mostly three of the keeper's rounds of
-	// 250 ms later, but one in five takes 3 s, and the others must not wait for it. Hot times last some 5 s,
-	// 20 rounds.
+	// Guards against moves that wait for one another: 200 neighbouring keys get 35% of 315 requests a second, at 111
+	// upstreams with 3 slots that take 0.7 s a request, and need the capacity of 26 upstreams. A move ends when the
+	// work on its keys has ended: mostly after three of the keeper's rounds of 250 ms, but after 3 s for one in five.
+	// Keys are hot for some 5 s, 20 rounds.
 	It("spreads a neighbourhood over many upstreams before it has cooled down", func() {
-		takes := func(span cherrykeel.KeySpan) int {
+		transferRounds := func(span cherrykeel.KeySpan) int {
 			if span.First%5 == 0 {
 				return 12
 			}
@@ -144,8 +143,8 @@
 		rounds := 0
 		for ; rounds < 100; rounds++ {
 			worst := 0.0
-			for _, use := range uses(list, all, demand) {
-				worst = max(worst, use)
+			for _, utilization := range utilizations(list, all, demand) {
+				worst = max(worst, utilization)
 			}
 			if worst < 1.2 {
 				break
@@ -153,8 +152,10 @@
 			list, _ = spans.Table{Services: map[string][]spans.Owned{service: list}}.NextSpans(service, spans.Input{
 				Offset: int64(rounds + 1), Candidates: all, Demand: demand, MaxMoves: len(all) / 16,
 				IsUnavailable: func(string) bool { return false },
-				IsFree:        func(span cherrykeel.KeySpan) bool { return moving(list, span) && rounds-since[span] >= takes(span) },
-				IsSettled:     func(spans.Owned) bool { return true },
+				IsFree: func(span cherrykeel.KeySpan) bool {
+					return isInTransfer(list, span) && rounds-since[span] >= transferRounds(span)
+				},
+				IsSettled: func(spans.Owned) bool { return true },
 			})
 			for _, owned := range list {
 				_, known := since[owned.Span()]
@@ -163,14 +164,14 @@
 				}
 			}
 		}
-		expectWhole(list)
+		expectComplete(list)
 		Expect(rounds).To(BeNumerically("<=", 20))
 	})
 
-	// The same archive in a steady hour: 315 requests a second for keys from everywhere, 2.8 for each upstream.
-	// The counts of the last seconds differ by chance, and each move that follows them costs a key an owner for
-	// a while, two records, and a message to each host.
-	It("moves nothing for what chance brings many upstreams", func() {
+	// Guards against moves that follow random variation: with 315 requests a second for uniformly distributed keys,
+	// each of 111 upstreams gets 2.8 a second, and recent counts differ a lot. Every move leaves keys without an
+	// owner for a while, and costs two records and a message to each host.
+	It("does not move keys for random variation at many upstreams", func() {
 		random := rand.New(rand.NewPCG(9, 10))
 		var capacities []float64
 		for range 111 {
@@ -186,9 +187,9 @@
 		Expect(moves).To(BeNumerically("<=", 30))
 	})
 
-	// One licence is contested: 33 lookups a second ask for a single key whose owner, with 6 slots of 0.22 s
-	// at its usual speed, can do 27. No cut of the span helps; the key has to go alone to the fastest upstream,
-	// which can do 41, and that one's other keys to the rest. The figures are Huon's on a quiet day.
+	// Guards against a hot key that stays at an overloaded owner: 33 lookups a second ask for a single key, whose
+	// owner, with 6 slots of 0.22 s, can process 27. No division of the span helps; the key has to go alone to the
+	// fastest upstream, which can process 41, and that one's other keys to the rest.
 	It("gives a key that is too hot for its owner to the fastest upstream, alone", func() {
 		random := rand.New(rand.NewPCG(5, 6))
 		demand := steady(155, func() int {
@@ -200,24 +201,24 @@
 		all := candidates(27, 27, 14, 41, 27, 27, 14, 41, 27, 27, 27)
 		table := spans.Table{Services: map[string][]spans.Owned{service: spans.Divide(all, spans.NewDemand(0))}}
 		list := settle(table, all, demand)
-		expectWhole(list)
+		expectComplete(list)
 		owned, _ := spans.Table{Services: map[string][]spans.Owned{service: list}}.Find(service, 48000)
 		Expect(owned.Owner).To(BeElementOf("u3", "u7"))
 		worst := 0.0
-		for _, use := range uses(list, all, demand) {
-			worst = max(worst, use)
+		for _, utilization := range utilizations(list, all, demand) {
+			worst = max(worst, utilization)
 		}
 		Expect(worst).To(BeNumerically("<", 0.95))
 	})
 
-	// The keeper divides the keys when the first server has registered, seconds before callers come. The
-	// servers that register after it have to get their share then, not when the first one is overrun.
-	It("spreads the keys over upstreams that join before anybody asks", func() {
+	// Guards against one upstream that owns all keys when the callers come: the keeper divides the keys when the
+	// first upstream registers, and those that register later have to get their share before there is any load.
+	It("spreads the keys over upstreams that join before any request arrives", func() {
 		all := candidates(50, 50, 50, 50, 50, 50, 50, 50)
 		demand := spans.NewDemand(0)
 		table := spans.Table{Services: map[string][]spans.Owned{service: spans.Divide(all[:1], demand)}}
 		list := settle(table, all, demand)
-		expectWhole(list)
+		expectComplete(list)
 		widths := map[string]int{}
 		for _, owned := range list {
 			widths[owned.Owner] += owned.Last - owned.First + 1
@@ -228,14 +229,14 @@
 		}
 	})
 
-	// An upstream joins while the load is even and low. Nothing is uneven enough to move for, so without
-	// keys of its own it would stay idle while its neighbours work.
+	// Guards against an upstream that joins and stays idle: while the load is even and low, no imbalance is large
+	// enough to move keys for.
 	It("gives keys to an upstream that has none", func() {
 		demand := steady(50, func() int { return rand.IntN(cherrykeel.MaxKey + 1) })
 		table := spans.Table{Services: map[string][]spans.Owned{service: spans.Divide(candidates(50, 50, 50), demand)}}
 		list := settle(table, candidates(50, 50, 50, 50), demand)
-		expectWhole(list)
-		Expect(uses(list, candidates(50, 50, 50, 50), demand)["u3"]).To(BeNumerically(">", 0.05))
+		expectComplete(list)
+		Expect(utilizations(list, candidates(50, 50, 50, 50), demand)["u3"]).To(BeNumerically(">", 0.05))
 	})
 
 	It("leaves an even division alone", func() {
@@ -245,36 +246,36 @@
 		Expect(spans.PlanMoves(spans.Divide(all, demand), all, demand, 4)).To(BeEmpty())
 	})
 
-	// An upstream leaves. Its keys may go to another only once it has given them back, or cannot hold
-	// them any more; given sooner, two servers would hold one key.
-	It("asks an owner that leaves, and gives its keys on only when they are free", func() {
+	// Guards against two owners of a key: the keys of an upstream that leaves may go to another one only after they
+	// have been released, or after its lease has ended.
+	It("asks an owner that leaves to release its keys, and transfers them only when they are free", func() {
 		all := candidates(50, 50)
 		demand := spans.NewDemand(0)
 		table := spans.Table{Services: map[string][]spans.Owned{service: spans.Divide(all, demand)}}
-		facts := spans.Input{
+		input := spans.Input{
 			Offset: 9, Candidates: all[:1], Demand: demand,
 			IsUnavailable: func(string) bool { return false }, IsFree: func(cherrykeel.KeySpan) bool { return false },
 			IsSettled: func(spans.Owned) bool { return true },
 		}
-		asked, changed := table.NextSpans(service, facts)
+		marked, changed := table.NextSpans(service, input)
 		Expect(changed).To(BeTrue())
-		Expect(asked[1].Moving).To(BeTrue())
-		Expect(asked[1].Owner).To(Equal("u1"))
-		table.Services[service] = asked
-		_, changed = table.NextSpans(service, facts)
+		Expect(marked[1].Moving).To(BeTrue())
+		Expect(marked[1].Owner).To(Equal("u1"))
+		table.Services[service] = marked
+		_, changed = table.NextSpans(service, input)
 		Expect(changed).To(BeFalse())
-		facts.Offset = 10
-		facts.IsFree = func(span cherrykeel.KeySpan) bool { return span == asked[1].Span() }
-		given, changed := table.NextSpans(service, facts)
+		input.Offset = 10
+		input.IsFree = func(span cherrykeel.KeySpan) bool { return span == marked[1].Span() }
+		next, changed := table.NextSpans(service, input)
 		Expect(changed).To(BeTrue())
-		expectWhole(given)
-		for _, owned := range given {
+		expectComplete(next)
+		for _, owned := range next {
 			Expect(owned.Owner).To(Equal("u0"))
 		}
-		Expect(given[len(given)-1].Fence).To(Equal(int64(10)))
+		Expect(next[len(next)-1].Fence).To(Equal(int64(10)))
 	})
 
-	It("waits for a lost owner's hold without asking it", func() {
+	It("waits for the lease of an unavailable owner without asking for a release", func() {
 		all := candidates(50, 50)
 		demand := spans.NewDemand(0)
 		table := spans.Table{Services: map[string][]spans.Owned{service: spans.Divide(all, demand)}}
@@ -304,7 +305,7 @@
 		Expect(decoded).To(Equal(claimed))
 	})
 
-	It("finds the owner of every key and none beyond", func() {
+	It("finds the owner of every valid key and no other", func() {
 		table := spans.Table{Services: map[string][]spans.Owned{service: spans.Divide(candidates(1, 1, 1), spans.NewDemand(0))}}
 		for key := 0; key <= cherrykeel.MaxKey; key += 997 {
 			owned, found := table.Find(service, key)
@@ -330,8 +331,8 @@
 		return demand
 	}
 
-	// Guards against keys that move to an upstream which a request too many ends.
-	It("are given no keys for balance, and none that are free", func() {
+	// Guards against keys that move to a cold upstream, which a single request too many can crash.
+	It("get no keys for balance, and no free keys", func() {
 		list := []spans.Owned{{First: 0, Last: 199, Owner: "a"}, {First: 200, Last: 399, Owner: "a"}, {First: 400, Last: cherrykeel.MaxKey, Owner: "b"}}
 		for _, move := range spans.PlanMoves(list, candidates, hot(), 8) {
 			Expect(move.To).To(Equal("b"))
@@ -348,7 +349,7 @@
 		}
 	})
 
-	It("are given keys if there are no others", func() {
+	It("get keys if all candidates are cold", func() {
 		table := spans.Table{Services: map[string][]spans.Owned{service: {{First: 0, Last: cherrykeel.MaxKey, Owner: "gone"}}}}
 		next, _ := table.NextSpans(service, spans.Input{
 			Offset: 9, Candidates: candidates[2:], Demand: hot(),
--- a/spans/spread_test.go
+++ b/spans/spread_test.go
@@ -12,10 +12,10 @@
 	"cherrykeel/spans"
 )
 
-// spread plays a keeper's rounds of 250 ms from the moment at which 200 neighbouring keys get two fifths of 350
-// requests a second, among 231 owners that can do 2.3 each, and returns the worst use after each. Keys that are taken
-// are free after the given rounds, since work runs on them.
-func spread(rounds, busy int) []float64 {
+// spread simulates a keeper's rounds of 250 ms from the moment at which 200 neighbouring keys get two fifths of 350
+// requests a second, among 231 owners with a capacity of 2.3 each, and returns the highest utilization after each
+// round. Keys in transfer become free after transferRounds rounds, when the work on them has ended.
+func spread(rounds, transferRounds int) []float64 {
 	random := rand.New(rand.NewPCG(7, 8))
 	demand := steady(350, func() int { return random.IntN(cherrykeel.MaxKey + 1) })
 	var all []spans.Candidate
@@ -23,8 +23,8 @@
 		all = append(all, spans.Candidate{ID: fmt.Sprintf("u%03d", i), Address: "10.0.0.1:80", Capacity: 2.3})
 	}
 	list := spans.Divide(all, demand)
-	movingSince := map[cherrykeel.KeySpan]int{}
-	takenSince := map[cherrykeel.KeySpan]int{}
+	transferSince := map[cherrykeel.KeySpan]int{}
+	ownedSince := map[cherrykeel.KeySpan]int{}
 	var worst []float64
 	for round := range rounds {
 		for tenth := range 5 {
@@ -41,39 +41,40 @@
 			Offset: int64(round), Candidates: all, Demand: demand, MaxMoves: 14,
 			IsUnavailable: func(string) bool { return false },
 			IsFree: func(span cherrykeel.KeySpan) bool {
-				since, moving := movingSince[span]
-				return moving && round-since >= busy
+				since, inTransfer := transferSince[span]
+				return inTransfer && round-since >= transferRounds
 			},
 			IsSettled: func(owned spans.Owned) bool {
-				since, known := takenSince[owned.Span()]
+				since, known := ownedSince[owned.Span()]
 				return !known || round-since >= 4
 			},
 		})
 		list = next
 		for _, owned := range list {
-			if _, known := movingSince[owned.Span()]; owned.Moving && !known {
-				movingSince[owned.Span()] = round
+			if _, known := transferSince[owned.Span()]; owned.Moving && !known {
+				transferSince[owned.Span()] = round
 			}
 			if !owned.Moving {
-				delete(movingSince, owned.Span())
+				delete(transferSince, owned.Span())
 			}
 			if owned.Fence == int64(round) {
-				takenSince[owned.Span()] = round
+				ownedSince[owned.Span()] = round
 			}
 		}
-		most := 0.0
-		for _, use := range uses(list, all, demand) {
-			most = max(most, use)
+		highest := 0.0
+		for _, utilization := range utilizations(list, all, demand) {
+			highest = max(highest, utilization)
 		}
-		worst = append(worst, most)
+		worst = append(worst, highest)
 	}
 	return worst
 }
 
 var _ = Describe("a hot neighbourhood among 231 owners of few slots", func() {
-	// 200 halls whose keys are neighbours get two fifths of all requests, 60 times what their owner can do. When what
-	// is taken is free after 250 ms, no owner has more than 2.5 times what it can do from the second round on; when
-	// work of a second has to end first, it is the first release that the callers wait for.
+	// Guards against a hot neighbourhood that is spread too slowly: 200 neighbouring keys get two fifths of all
+	// requests, 60 times their owner's capacity. When keys in transfer are free after 250 ms, no utilization exceeds
+	// 2.5 from the second round on; when work of a second has to end first, the first transfer determines how long
+	// callers wait.
 	It("is spread as soon as its keys are free", func() {
 		worst := spread(32, 1)
 		Expect(worst[2:]).To(HaveEach(BeNumerically("<", 2.5)))
