--- a/lease/allowed.go
+++ b/lease/allowed.go
@@ -5,31 +5,31 @@
 )
 
 // target is what a lessee should hold in the end.
-func (ledger *Ledger) target(name string) Assignment {
-	if ledger.toHosts {
-		return ledger.wanted
+func (ledger *Ledger) targetFor(name string) Assignment {
+	if ledger.leaseToHosts {
+		return ledger.target
 	}
-	return ledger.wanted.ForUpstream(name, ledger.partitionOf)
+	return ledger.target.ForUpstream(name, ledger.partitionOf)
 }
 
 // allowed is the part of the target that no other lessee may still hold for another upstream.
-func (ledger *Ledger) allowed(name string, lessee *lessee) Assignment {
-	target := ledger.target(name)
-	held := lessee.held()
-	unknown := ledger.anybodyUnknown()
+func (ledger *Ledger) allowedAssignment(name string, lessee *lessee) Assignment {
+	target := ledger.targetFor(name)
+	held := lessee.lastAssignment()
+	unknown := ledger.hasUnknownLease()
 	next := NewAssignment()
 	for upstream, wanted := range target.Partitions {
 		// What a lessee says it holds may be what it only works on, since before its lease ended. So that
 		// word lets it keep what somebody unknown may hold, but not what another is known to hold.
-		free := wanted.Difference(ledger.blocked(upstream))
+		available := wanted.Difference(ledger.blockedPartitions(upstream))
 		if unknown {
-			free = free.Intersection(held.partitions(upstream))
+			available = available.Intersection(held.partitionsOf(upstream))
 		}
-		next.Partitions[upstream] = free
+		next.Partitions[upstream] = available
 	}
 	for key, owner := range target.HotKeys {
 		kept := !unknown || held.HotKeys[key] == owner
-		if kept && !ledger.keyHeldElsewhere(owner, key) {
+		if kept && !ledger.isKeyHeldElsewhere(owner, key) {
 			next.HotKeys[key] = owner
 		}
 	}
@@ -46,10 +46,10 @@
 	return next
 }
 
-func (ledger *Ledger) anybodyUnknown() bool {
+func (ledger *Ledger) hasUnknownLease() bool {
 	for _, lessee := range ledger.lessees {
-		for _, possession := range lessee.possible {
-			if possession.anything {
+		for _, possibleLease := range lessee.possibleLeases {
+			if possibleLease.unknown {
 				return true
 			}
 		}
@@ -58,11 +58,11 @@
 }
 
 // blocked returns the partitions that somebody may hold for an upstream other than this one.
-func (ledger *Ledger) blocked(upstream string) *bitset.BitSet {
+func (ledger *Ledger) blockedPartitions(upstream string) *bitset.BitSet {
 	blocked := &bitset.BitSet{}
 	for _, lessee := range ledger.lessees {
-		for _, possession := range lessee.possible {
-			for other, set := range possession.tenure.Partitions {
+		for _, possibleLease := range lessee.possibleLeases {
+			for other, set := range possibleLease.assignment.Partitions {
 				if other != upstream {
 					blocked.InPlaceUnion(set)
 				}
@@ -72,11 +72,11 @@
 	return blocked
 }
 
-func (ledger *Ledger) keyHeldElsewhere(owner, key string) bool {
+func (ledger *Ledger) isKeyHeldElsewhere(owner, key string) bool {
 	partition := ledger.partitionOf(key)
 	for _, lessee := range ledger.lessees {
-		for _, possession := range lessee.possible {
-			if possession.tenure.keyElsewhere(owner, key, partition) {
+		for _, possibleLease := range lessee.possibleLeases {
+			if possibleLease.assignment.hasKeyElsewhere(owner, key, partition) {
 				return true
 			}
 		}
@@ -84,15 +84,15 @@
 	return false
 }
 
-func (tenure Assignment) keyElsewhere(owner, key string, partition int) bool {
-	if hot, held := tenure.HotKeys[key]; held && hot != owner {
+func (assignment Assignment) hasKeyElsewhere(owner, key string, partition int) bool {
+	if hot, held := assignment.HotKeys[key]; held && hot != owner {
 		return true
 	}
-	if tenure.ExceptKeys[key] {
+	if assignment.ExceptKeys[key] {
 		return false
 	}
-	for upstream := range tenure.Partitions {
-		if upstream != owner && tenure.has(upstream, partition) {
+	for upstream := range assignment.Partitions {
+		if upstream != owner && assignment.hasPartition(upstream, partition) {
 			return true
 		}
 	}
@@ -102,9 +102,9 @@
 // exceptCoolingKeys leaves out keys that go back to their partitions but may still be held alone by another upstream.
 func (ledger *Ledger) exceptCoolingKeys(next Assignment) {
 	for _, lessee := range ledger.lessees {
-		for _, possession := range lessee.possible {
-			for key, owner := range possession.tenure.HotKeys {
-				if next.givesTo(owner, ledger.partitionOf(key)) {
+		for _, possibleLease := range lessee.possibleLeases {
+			for key, owner := range possibleLease.assignment.HotKeys {
+				if next.hasNoOtherOwner(owner, ledger.partitionOf(key)) {
 					continue
 				}
 				next.ExceptKeys[key] = true
@@ -114,9 +114,9 @@
 }
 
 // givesTo reports whether the partition is the owner's or nobody's in the tenure.
-func (tenure Assignment) givesTo(owner string, partition int) bool {
-	for upstream := range tenure.Partitions {
-		if upstream != owner && tenure.has(upstream, partition) {
+func (assignment Assignment) hasNoOtherOwner(owner string, partition int) bool {
+	for upstream := range assignment.Partitions {
+		if upstream != owner && assignment.hasPartition(upstream, partition) {
 			return false
 		}
 	}
--- a/lease/ledger.go
+++ b/lease/ledger.go
@@ -22,55 +22,55 @@
 }
 
 // possession is what a lessee holds if it took the grant with that sequence.
-type possession struct {
-	sequence int64
-	tenure   Assignment
+type possibleLease struct {
+	sequence   int64
+	assignment Assignment
 	// anything stands for a grant that extended what the lessee held, before it said what that was.
-	anything bool
+	unknown bool
 }
 
 // lessee is an upstream, or an entry host, that holds a lease.
 type lessee struct {
-	boot string
+	incarnation string
 	// replaced are the processes that were at the address before, whose answers count no more.
-	replaced map[string]bool
+	replacedIncarnations map[string]bool
 	// clock is the lessee's own time in its last answer, which arrived at readAt.
-	clock  time.Duration
-	readAt cherrykeel.Instant
-	known  bool
+	clock      time.Duration
+	answeredAt cherrykeel.Instant
+	clockKnown bool
 	// fenced means that it took a grant of this term, so that it refuses older ones.
 	fenced bool
 	// possible lists what it may hold: first what it last said, then the grants that it has not answered.
-	possible []possession
+	possibleLeases []possibleLease
 	// bound is the latest end of any lease that was sent to it, on the ledger's clock.
-	bound cherrykeel.Instant
+	leaseEnd cherrykeel.Instant
 	// outstanding is the serial of the order that waits for an answer, or 0.
-	outstanding int64
-	addedAt     cherrykeel.Instant
-	removed     bool
+	outstandingOrder int64
+	addedAt          cherrykeel.Instant
+	removed          bool
 }
 
 // Ledger gives out the leases of one service in one term.
 type Ledger struct {
-	service     string
-	term        int64
-	sequence    int64
-	length      time.Duration
-	drift       float64
-	partitionOf func(string) int
-	toHosts     bool
+	service       string
+	term          int64
+	sequence      int64
+	leaseDuration time.Duration
+	maxDrift      float64
+	partitionOf   func(string) int
+	leaseToHosts  bool
 	// timeout bounds the requests that hosts send under their leases.
 	timeout time.Duration
 	// linger is how long upstreams may work on what hosts sent before their leases ended.
-	linger time.Duration
-	serial int64
+	processingTime time.Duration
+	serial         int64
 	// freeAt is when every lease of earlier terms has ended; nobody gains anything before.
 	freeAt  cherrykeel.Instant
-	wanted  Assignment
+	target  Assignment
 	lessees map[string]*lessee
 	// ghosts counts the processes that were kept when they ceased to be lessees.
-	ghosts  int
-	deposed bool
+	formerProcesses int
+	deposed         bool
 }
 
 // transitTime is how long a request may be on its way; its upstream counts the time for it from its arrival.
@@ -93,7 +93,7 @@
 // WithDrift sets the bound on the drift between clocks, as a share.
 func WithDrift(drift float64) Option {
 	return func(ledger *Ledger) {
-		ledger.drift = drift
+		ledger.maxDrift = drift
 	}
 }
 
@@ -101,23 +101,23 @@
 // a request for up to timeout after it was sent, also when the host that sent it has lost its lease.
 func LeaseToHosts(timeout time.Duration) Option {
 	return func(ledger *Ledger) {
-		ledger.toHosts = true
+		ledger.leaseToHosts = true
 		ledger.timeout = timeout
-		ledger.linger = MaxElapsed(MaxProcessingTime(timeout))
+		ledger.processingTime = MaxElapsed(MaxProcessingTime(timeout))
 	}
 }
 
 // NewLedger returns the ledger of a term that has just begun; length is that of its leases.
-func NewLedger(service string, term int64, length time.Duration, partitionOf func(string) int, options ...Option) *Ledger {
+func NewLedger(service string, term int64, leaseDuration time.Duration, partitionOf func(string) int, options ...Option) *Ledger {
 	ledger := &Ledger{
-		service:     service,
-		term:        term,
-		length:      length,
-		drift:       DefaultDrift,
-		partitionOf: partitionOf,
-		freeAt:      Never,
-		wanted:      NewAssignment(),
-		lessees:     map[string]*lessee{},
+		service:       service,
+		term:          term,
+		leaseDuration: leaseDuration,
+		maxDrift:      DefaultDrift,
+		partitionOf:   partitionOf,
+		freeAt:        Never,
+		target:        NewAssignment(),
+		lessees:       map[string]*lessee{},
 	}
 	for _, option := range options {
 		option(ledger)
@@ -126,8 +126,8 @@
 }
 
 // SetFreeAt tells when the leases of all earlier terms have ended.
-func (ledger *Ledger) SetFreeAt(at cherrykeel.Instant) {
-	ledger.freeAt = at
+func (ledger *Ledger) SetFreeAt(freeAt cherrykeel.Instant) {
+	ledger.freeAt = freeAt
 }
 
 // FreeAt returns when the leases of all earlier terms have ended, or Never while that is not known.
@@ -137,7 +137,7 @@
 
 // SetTarget sets what the upstreams should own; the ledger gets there safely.
 func (ledger *Ledger) SetTarget(placement cherrykeel.Placement) {
-	ledger.wanted = AssignmentOf(placement)
+	ledger.target = AssignmentOf(placement)
 }
 
 // SetLessees sets who gets leases; one that is left out is not renewed and is forgotten when its lease has ended.
@@ -146,12 +146,12 @@
 		lessee.removed = true
 	}
 	for _, name := range names {
-		known, exists := ledger.lessees[name]
+		entry, exists := ledger.lessees[name]
 		if !exists {
-			known = &lessee{}
-			ledger.lessees[name] = known
+			entry = &lessee{}
+			ledger.lessees[name] = entry
 		}
-		known.removed = false
+		entry.removed = false
 	}
 }
 
@@ -162,11 +162,11 @@
 
 // LatestLeaseEnd returns the latest end of any lease given in this term.
 func (ledger *Ledger) LatestLeaseEnd() cherrykeel.Instant {
-	bound := cherrykeel.Instant(0)
+	latest := cherrykeel.Instant(0)
 	for _, lessee := range ledger.lessees {
-		bound = max(bound, lessee.bound)
+		latest = max(latest, lessee.leaseEnd)
 	}
-	return bound
+	return latest
 }
 
 // IsUnavailable reports whether a lessee has not answered for longer than a lease, so that its lease has ended.
@@ -175,8 +175,8 @@
 	if !exists || lessee.addedAt == 0 {
 		return false
 	}
-	heard := max(lessee.readAt, lessee.addedAt)
-	return now >= heard.Add(ledger.length) && now >= lessee.bound
+	lastAnswer := max(lessee.answeredAt, lessee.addedAt)
+	return now >= lastAnswer.Add(ledger.leaseDuration) && now >= lessee.leaseEnd
 }
 
 // LastAnswerAt returns when a lessee last answered, or 0.
@@ -185,15 +185,15 @@
 	if !exists {
 		return 0
 	}
-	return lessee.readAt
+	return lessee.answeredAt
 }
 
 // HeldAssignments returns, for each lessee that has answered and whose lease runs, what it said it holds.
 func (ledger *Ledger) HeldAssignments(now cherrykeel.Instant) map[string]Assignment {
 	holders := map[string]Assignment{}
 	for name, lessee := range ledger.lessees {
-		if lessee.fenced && now < lessee.bound && len(lessee.possible) > 0 {
-			holders[name] = lessee.possible[0].tenure
+		if lessee.fenced && now < lessee.leaseEnd && len(lessee.possibleLeases) > 0 {
+			holders[name] = lessee.possibleLeases[0].assignment
 		}
 	}
 	return holders
@@ -205,17 +205,17 @@
 		return false
 	}
 	for name, lessee := range ledger.lessees {
-		if !ledger.settled(name, lessee, now) {
+		if !ledger.isLesseeSettled(name, lessee, now) {
 			return false
 		}
 	}
 	return true
 }
 
-func (ledger *Ledger) settled(name string, lessee *lessee, now cherrykeel.Instant) bool {
-	target := ledger.target(name)
-	if now >= lessee.bound || lessee.removed {
-		return ledger.toHosts || target.empty()
+func (ledger *Ledger) isLesseeSettled(name string, lessee *lessee, now cherrykeel.Instant) bool {
+	target := ledger.targetFor(name)
+	if now >= lessee.leaseEnd || lessee.removed {
+		return ledger.leaseToHosts || target.isEmpty()
 	}
-	return len(lessee.possible) == 1 && !lessee.possible[0].anything && lessee.possible[0].tenure.equal(target)
+	return len(lessee.possibleLeases) == 1 && !lessee.possibleLeases[0].unknown && lessee.possibleLeases[0].assignment.equals(target)
 }
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -13,28 +13,28 @@
 	if ledger.deposed {
 		return nil
 	}
-	ledger.expire(min(now, confirmed))
+	ledger.expireLeases(min(now, confirmed))
 	var orders []Order
-	for _, name := range ledger.names() {
+	for _, name := range ledger.lesseeNames() {
 		lessee := ledger.lessees[name]
 		if lessee.addedAt == 0 {
 			lessee.addedAt = now
 		}
-		if lessee.outstanding != 0 || lessee.removed {
+		if lessee.outstandingOrder != 0 || lessee.removed {
 			continue
 		}
-		order, due := ledger.order(name, lessee, now, confirmed)
+		order, due := ledger.nextOrder(name, lessee, now, confirmed)
 		if due {
 			ledger.serial++
 			order.serial = ledger.serial
-			lessee.outstanding = order.serial
+			lessee.outstandingOrder = order.serial
 			orders = append(orders, order)
 		}
 	}
 	return orders
 }
 
-func (ledger *Ledger) names() []string {
+func (ledger *Ledger) lesseeNames() []string {
 	names := make([]string, 0, len(ledger.lessees))
 	for name := range ledger.lessees {
 		names = append(names, name)
@@ -48,23 +48,23 @@
 // lease meanwhile, and this one would give the keys to a second owner. A newer keeper extends
 // only after a majority of witnesses has learned its term, so a confirmation that was asked
 // for after the lease's end shows that nobody extended it in time.
-func (ledger *Ledger) expire(confirmed cherrykeel.Instant) {
+func (ledger *Ledger) expireLeases(confirmed cherrykeel.Instant) {
 	for name, lessee := range ledger.lessees {
-		if confirmed < lessee.bound.Add(ledger.linger) {
+		if confirmed < lessee.leaseEnd.Add(ledger.processingTime) {
 			continue
 		}
-		lessee.possible = nil
+		lessee.possibleLeases = nil
 		if lessee.removed {
 			delete(ledger.lessees, name)
 		}
 	}
 }
 
-func (ledger *Ledger) order(name string, lessee *lessee, now, confirmed cherrykeel.Instant) (Order, bool) {
-	if !lessee.known || now >= lessee.readAt.Add(ledger.length) {
+func (ledger *Ledger) nextOrder(name string, lessee *lessee, now, confirmed cherrykeel.Instant) (Order, bool) {
+	if !lessee.clockKnown || now >= lessee.answeredAt.Add(ledger.leaseDuration) {
 		return Order{Lessee: name, Query: true}, true
 	}
-	end := min(confirmed, lessee.readAt).Add(ledger.length)
+	end := min(confirmed, lessee.answeredAt).Add(ledger.leaseDuration)
 	if end <= now || ledger.freeAt == Never {
 		// Before the witnesses of earlier terms have learned of this one, an earlier
 		// keeper may still give away what this one would extend.
@@ -74,49 +74,49 @@
 	// The lease's end is put on the lessee's own clock, counted from its last answer.
 	// A grant that is delivered late, or by a keeper that was paused after this
 	// line, therefore ends when it would have ended anyway: it extends nothing.
-	left := time.Duration(float64(end.Sub(lessee.readAt)) / (1 + ledger.drift))
+	remaining := time.Duration(float64(end.Sub(lessee.answeredAt)) / (1 + ledger.maxDrift))
 	ledger.sequence++
 	order.Grant = cherrykeel.Grant{
 		Service:     ledger.service,
 		Fence:       cherrykeel.Fence{Term: ledger.term, Sequence: ledger.sequence},
-		Incarnation: lessee.boot,
-		Until:       lessee.clock + left,
+		Incarnation: lessee.incarnation,
+		Until:       lessee.clock + remaining,
 		Timeout:     ledger.timeout,
 	}
-	ledger.fill(name, lessee, now, &order)
-	lessee.bound = max(lessee.bound, end)
+	ledger.fillGrant(name, lessee, now, &order)
+	lessee.leaseEnd = max(lessee.leaseEnd, end)
 	return order, true
 }
 
 // fill decides what the order gives: the same again, or a new tenure.
-func (ledger *Ledger) fill(name string, lessee *lessee, now cherrykeel.Instant, order *Order) {
-	if now < ledger.freeAt || !lessee.fenced && len(lessee.possible) > 0 {
+func (ledger *Ledger) fillGrant(name string, lessee *lessee, now cherrykeel.Instant, order *Order) {
+	if now < ledger.freeAt || !lessee.fenced && len(lessee.possibleLeases) > 0 {
 		// The first grant of a term keeps what earlier terms gave, so that a change of
 		// keeper interrupts nobody; until the answer tells what that is, it may be anything.
 		order.Grant.Partial = true
-		kept := possession{sequence: ledger.sequence, anything: !lessee.fenced}
+		kept := possibleLease{sequence: ledger.sequence, unknown: !lessee.fenced}
 		if lessee.fenced {
-			kept.tenure = lessee.held()
+			kept.assignment = lessee.lastAssignment()
 		}
-		lessee.possible = append(lessee.possible, kept)
+		lessee.possibleLeases = append(lessee.possibleLeases, kept)
 		return
 	}
-	next := ledger.allowed(name, lessee)
-	order.Grant.Partial = lessee.holdsJust(next)
+	next := ledger.allowedAssignment(name, lessee)
+	order.Grant.Partial = lessee.holdsExactly(next)
 	if !order.Grant.Partial {
-		next.fill(&order.Grant, name, ledger.toHosts)
+		next.writeTo(&order.Grant, name, ledger.leaseToHosts)
 	}
-	lessee.possible = append(lessee.possible, possession{sequence: ledger.sequence, tenure: next})
+	lessee.possibleLeases = append(lessee.possibleLeases, possibleLease{sequence: ledger.sequence, assignment: next})
 }
 
 // held is what a lessee last said it holds, or nothing if that has lapsed.
-func (lessee *lessee) held() Assignment {
-	if len(lessee.possible) == 0 || lessee.possible[0].anything {
+func (lessee *lessee) lastAssignment() Assignment {
+	if len(lessee.possibleLeases) == 0 || lessee.possibleLeases[0].unknown {
 		return NewAssignment()
 	}
-	return lessee.possible[0].tenure
+	return lessee.possibleLeases[0].assignment
 }
 
-func (lessee *lessee) holdsJust(tenure Assignment) bool {
-	return lessee.fenced && len(lessee.possible) == 1 && !lessee.possible[0].anything && lessee.possible[0].tenure.equal(tenure)
+func (lessee *lessee) holdsExactly(assignment Assignment) bool {
+	return lessee.fenced && len(lessee.possibleLeases) == 1 && !lessee.possibleLeases[0].unknown && lessee.possibleLeases[0].assignment.equals(assignment)
 }
--- a/lease/tenure.go
+++ b/lease/tenure.go
@@ -27,45 +27,45 @@
 
 // AssignmentOf returns what a placement gives to all upstreams together.
 func AssignmentOf(placement cherrykeel.Placement) Assignment {
-	tenure := NewAssignment()
+	assignment := NewAssignment()
 	for partition, owner := range placement.Owners {
 		if owner != "" {
-			tenure.add(owner, partition)
+			assignment.add(owner, partition)
 		}
 	}
 	for key, owner := range placement.HotKeys {
-		tenure.HotKeys[key] = owner
-		tenure.ExceptKeys[key] = true
+		assignment.HotKeys[key] = owner
+		assignment.ExceptKeys[key] = true
 	}
-	return tenure
+	return assignment
 }
 
 // ForUpstream returns the part that belongs to one upstream.
-func (tenure Assignment) ForUpstream(upstream string, partitionOf func(string) int) Assignment {
-	part := NewAssignment()
-	own, exists := tenure.Partitions[upstream]
+func (assignment Assignment) ForUpstream(upstream string, partitionOf func(string) int) Assignment {
+	own := NewAssignment()
+	partitions, exists := assignment.Partitions[upstream]
 	if exists {
-		part.Partitions[upstream] = own.Clone()
+		own.Partitions[upstream] = partitions.Clone()
 	}
-	for key, owner := range tenure.HotKeys {
+	for key, owner := range assignment.HotKeys {
 		if owner == upstream {
-			part.HotKeys[key] = owner
+			own.HotKeys[key] = owner
 		}
 	}
-	for key := range tenure.ExceptKeys {
-		if exists && own.Test(uint(partitionOf(key))) {
-			part.ExceptKeys[key] = true
+	for key := range assignment.ExceptKeys {
+		if exists && partitions.Test(uint(partitionOf(key))) {
+			own.ExceptKeys[key] = true
 		}
 	}
-	return part
+	return own
 }
 
 // renamed returns the tenure with another name in the place of an upstream's.
-func (tenure Assignment) renamed(upstream, name string) Assignment {
+func (assignment Assignment) withRenamedUpstream(upstream, name string) Assignment {
 	renamed := Assignment{
-		Partitions: maps.Clone(tenure.Partitions),
-		HotKeys:    maps.Clone(tenure.HotKeys),
-		ExceptKeys: tenure.ExceptKeys,
+		Partitions: maps.Clone(assignment.Partitions),
+		HotKeys:    maps.Clone(assignment.HotKeys),
+		ExceptKeys: assignment.ExceptKeys,
 	}
 	if set, exists := renamed.Partitions[upstream]; exists {
 		delete(renamed.Partitions, upstream)
@@ -79,52 +79,52 @@
 	return renamed
 }
 
-func (tenure Assignment) add(upstream string, partition int) {
-	set, exists := tenure.Partitions[upstream]
+func (assignment Assignment) add(upstream string, partition int) {
+	set, exists := assignment.Partitions[upstream]
 	if !exists {
 		set = &bitset.BitSet{}
-		tenure.Partitions[upstream] = set
+		assignment.Partitions[upstream] = set
 	}
 	set.Set(uint(partition))
 }
 
-func (tenure Assignment) partitions(upstream string) *bitset.BitSet {
-	set, exists := tenure.Partitions[upstream]
+func (assignment Assignment) partitionsOf(upstream string) *bitset.BitSet {
+	set, exists := assignment.Partitions[upstream]
 	if !exists {
 		return &bitset.BitSet{}
 	}
 	return set
 }
 
-func (tenure Assignment) has(upstream string, partition int) bool {
-	set, exists := tenure.Partitions[upstream]
+func (assignment Assignment) hasPartition(upstream string, partition int) bool {
+	set, exists := assignment.Partitions[upstream]
 	return exists && set.Test(uint(partition))
 }
 
-func (tenure Assignment) empty() bool {
-	return tenure.equal(NewAssignment())
+func (assignment Assignment) isEmpty() bool {
+	return assignment.equals(NewAssignment())
 }
 
-func (tenure Assignment) equal(other Assignment) bool {
-	if len(tenure.HotKeys) != len(other.HotKeys) || len(tenure.ExceptKeys) != len(other.ExceptKeys) {
+func (assignment Assignment) equals(other Assignment) bool {
+	if len(assignment.HotKeys) != len(other.HotKeys) || len(assignment.ExceptKeys) != len(other.ExceptKeys) {
 		return false
 	}
-	for key, owner := range tenure.HotKeys {
+	for key, owner := range assignment.HotKeys {
 		if other.HotKeys[key] != owner {
 			return false
 		}
 	}
-	for key := range tenure.ExceptKeys {
+	for key := range assignment.ExceptKeys {
 		if !other.ExceptKeys[key] {
 			return false
 		}
 	}
-	return tenure.covers(other) && other.covers(tenure)
+	return assignment.covers(other) && other.covers(assignment)
 }
 
-func (tenure Assignment) covers(other Assignment) bool {
+func (assignment Assignment) covers(other Assignment) bool {
 	for upstream, set := range other.Partitions {
-		own, exists := tenure.Partitions[upstream]
+		own, exists := assignment.Partitions[upstream]
 		if set.None() {
 			continue
 		}
@@ -136,29 +136,29 @@
 }
 
 // fill writes the tenure into a grant; to an upstream only its own part has partitions.
-func (tenure Assignment) fill(grant *cherrykeel.Grant, lessee string, toHost bool) {
-	for key, owner := range tenure.HotKeys {
+func (assignment Assignment) writeTo(grant *cherrykeel.Grant, lessee string, toHost bool) {
+	for key, owner := range assignment.HotKeys {
 		if toHost {
 			key = owner + " " + key
 		}
 		grant.HotKeys = append(grant.HotKeys, key)
 	}
-	for key := range tenure.ExceptKeys {
+	for key := range assignment.ExceptKeys {
 		grant.ExceptKeys = append(grant.ExceptKeys, key)
 	}
 	sort.Strings(grant.HotKeys)
 	sort.Strings(grant.ExceptKeys)
 	if !toHost {
-		grant.Partitions = list(tenure.Partitions[lessee])
+		grant.Partitions = partitionList(assignment.Partitions[lessee])
 		return
 	}
 	grant.Owners = map[string][]int{}
-	for upstream, set := range tenure.Partitions {
-		grant.Owners[upstream] = list(set)
+	for upstream, set := range assignment.Partitions {
+		grant.Owners[upstream] = partitionList(set)
 	}
 }
 
-func list(set *bitset.BitSet) []int {
+func partitionList(set *bitset.BitSet) []int {
 	partitions := []int{}
 	if set == nil {
 		return partitions
@@ -170,24 +170,24 @@
 }
 
 // tenureOfHolding reads what a lessee says it holds.
-func tenureOfHolding(lessee string, holding cherrykeel.Holding) Assignment {
-	tenure := NewAssignment()
+func assignmentOfHolding(lessee string, holding cherrykeel.Holding) Assignment {
+	assignment := NewAssignment()
 	for _, partition := range holding.Partitions {
-		tenure.add(lessee, partition)
+		assignment.add(lessee, partition)
 	}
 	for upstream, partitions := range holding.Owners {
 		for _, partition := range partitions {
-			tenure.add(upstream, partition)
+			assignment.add(upstream, partition)
 		}
 	}
 	for _, key := range holding.HotKeys {
 		owner, name := splitHotKey(lessee, key, len(holding.Owners) > 0)
-		tenure.HotKeys[name] = owner
+		assignment.HotKeys[name] = owner
 	}
 	for _, key := range holding.ExceptKeys {
-		tenure.ExceptKeys[key] = true
+		assignment.ExceptKeys[key] = true
 	}
-	return tenure
+	return assignment
 }
 
 func splitHotKey(lessee, key string, fromHost bool) (owner, name string) {
--- a/lease/witness.go
+++ b/lease/witness.go
@@ -9,15 +9,15 @@
 // Witness remembers, in memory only, the newest term of each service that its host has
 // heard of. It lets a keeper go on without the log, and stops one that has been replaced.
 type Witness struct {
-	started cherrykeel.Instant
-	lastRan cherrykeel.Instant
-	ready   bool
-	terms   map[string]int64
-	asked   map[string]cherrykeel.Instant
+	started     cherrykeel.Instant
+	lastRunAt   cherrykeel.Instant
+	ready       bool
+	terms       map[string]int64
+	requestedAt map[string]cherrykeel.Instant
 }
 
 // maxPause is how long a witness may stand still and still be relied on by a keeper's successor.
-const maxPause = time.Second
+const maxSuspension = time.Second
 
 // NewWitness returns a witness that abstains until it has caught up with the log.
 // It may have promised, before its host was replaced, to stop a keeper; the claim
@@ -25,26 +25,26 @@
 // up for what it has forgotten.
 func NewWitness(now cherrykeel.Instant) *Witness {
 	return &Witness{
-		started: now,
-		lastRan: now,
-		terms:   map[string]int64{},
-		asked:   map[string]cherrykeel.Instant{},
+		started:     now,
+		lastRunAt:   now,
+		terms:       map[string]int64{},
+		requestedAt: map[string]cherrykeel.Instant{},
 	}
 }
 
 // RecordRunning records that the host is running, not paused; it is called many times a second.
 // After a long pause the witness abstains again: a successor may have counted it as gone.
 func (witness *Witness) RecordRunning(now cherrykeel.Instant) {
-	if now.Sub(witness.lastRan) > maxPause {
+	if now.Sub(witness.lastRunAt) > maxSuspension {
 		witness.ready = false
 		witness.started = now
 	}
-	witness.lastRan = now
+	witness.lastRunAt = now
 }
 
 // RecordCaughtUp records that a read of the log, begun at an instant, found nothing that was not learned.
-func (witness *Witness) RecordCaughtUp(begun cherrykeel.Instant) {
-	if begun >= witness.started {
+func (witness *Witness) RecordCaughtUp(startedAt cherrykeel.Instant) {
+	if startedAt >= witness.started {
 		witness.ready = true
 	}
 }
@@ -62,16 +62,16 @@
 // Confirm answers a keeper that asks whether its term is the newest.
 func (witness *Witness) Confirm(service string, term int64, now cherrykeel.Instant) bool {
 	witness.RecordRunning(now)
-	known := witness.terms[service]
-	if term >= known {
-		witness.asked[service] = now
+	newest := witness.terms[service]
+	if term >= newest {
+		witness.requestedAt[service] = now
 	}
-	return witness.ready && known == term
+	return witness.ready && newest == term
 }
 
 // LastRequestAt returns when the keeper of a service last asked, or the witness's start.
 func (witness *Witness) LastRequestAt(service string) cherrykeel.Instant {
-	return max(witness.asked[service], witness.started)
+	return max(witness.requestedAt[service], witness.started)
 }
 
 // Quorum collects the confirmations of a keeper's term.
@@ -90,7 +90,7 @@
 
 // RecordConfirmation records that a witness answered a question that was sent at an instant.
 func (quorum *Quorum) RecordConfirmation(witness string, sent cherrykeel.Instant) {
-	if last, named := quorum.confirmed[witness]; named {
+	if last, isWitness := quorum.confirmed[witness]; isWitness {
 		quorum.confirmed[witness] = max(last, sent)
 	}
 }
