--- a/lease/allowed.go
+++ b/lease/allowed.go
@@ -4,7 +4,7 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// target is what a lessee should hold in the end.
+// targetFor returns what a lessee should hold in the end.
 func (ledger *Ledger) targetFor(name string) Assignment {
 	if ledger.leaseToHosts {
 		return ledger.target
@@ -12,15 +12,16 @@
 	return ledger.target.ForUpstream(name, ledger.partitionOf)
 }
 
-// allowed is the part of the target that no other lessee may still hold for another upstream.
+// allowedAssignment returns the part of a lessee's target that no other lessee can still hold for another upstream.
 func (ledger *Ledger) allowedAssignment(name string, lessee *lessee) Assignment {
 	target := ledger.targetFor(name)
 	held := lessee.lastAssignment()
 	unknown := ledger.hasUnknownLease()
 	next := NewAssignment()
 	for upstream, wanted := range target.Partitions {
-		// What a lessee says it holds may be what it only works on, since before its lease ended. So that
-		// word lets it keep what somebody unknown may hold, but not what another is known to hold.
+		// What a lessee reports may include partitions that it only still works on after its lease has ended. It may
+		// keep those that a lessee with unknown holdings might have, but not those that another lessee is known to
+		// hold.
 		available := wanted.Difference(ledger.blockedPartitions(upstream))
 		if unknown {
 			available = available.Intersection(held.partitionsOf(upstream))
@@ -38,7 +39,7 @@
 	}
 	ledger.exceptCoolingKeys(next)
 	if unknown {
-		// A key that was held alone may still be, by a lessee that has not said what it holds.
+		// A lessee with unknown holdings may still own such a key apart from its partition.
 		for key := range held.ExceptKeys {
 			next.ExceptKeys[key] = true
 		}
@@ -46,6 +47,7 @@
 	return next
 }
 
+// hasUnknownLease reports whether it is unknown what any lessee may hold.
 func (ledger *Ledger) hasUnknownLease() bool {
 	for _, lessee := range ledger.lessees {
 		for _, possibleLease := range lessee.possibleLeases {
@@ -57,7 +59,7 @@
 	return false
 }
 
-// blocked returns the partitions that somebody may hold for an upstream other than this one.
+// blockedPartitions returns the partitions that a lessee may hold for another upstream than the given one.
 func (ledger *Ledger) blockedPartitions(upstream string) *bitset.BitSet {
 	blocked := &bitset.BitSet{}
 	for _, lessee := range ledger.lessees {
@@ -72,6 +74,7 @@
 	return blocked
 }
 
+// isKeyHeldElsewhere reports whether any lessee may hold a key for another upstream than the given owner.
 func (ledger *Ledger) isKeyHeldElsewhere(owner, key string) bool {
 	partition := ledger.partitionOf(key)
 	for _, lessee := range ledger.lessees {
@@ -99,7 +102,8 @@
 	return false
 }
 
-// exceptCoolingKeys leaves out keys that go back to their partitions but may still be held alone by another upstream.
+// exceptCoolingKeys excludes keys that go back to their partitions while another upstream may still own them
+// separately.
 func (ledger *Ledger) exceptCoolingKeys(next Assignment) {
 	for _, lessee := range ledger.lessees {
 		for _, possibleLease := range lessee.possibleLeases {
@@ -113,7 +117,7 @@
 	}
 }
 
-// givesTo reports whether the partition is the owner's or nobody's in the tenure.
+// hasNoOtherOwner reports whether the partition belongs to the given owner or to no upstream.
 func (assignment Assignment) hasNoOtherOwner(owner string, partition int) bool {
 	for upstream := range assignment.Partitions {
 		if upstream != owner && assignment.hasPartition(upstream, partition) {
--- a/lease/answers.go
+++ b/lease/answers.go
@@ -7,7 +7,7 @@
 	"cherrykeel"
 )
 
-// RecordAnswer takes in a lessee's answer to an order; an answer that comes after Failed is passed over.
+// RecordAnswer records a lessee's answer to an order. An answer that arrives after RecordFailure is ignored.
 func (ledger *Ledger) RecordAnswer(order Order, holding cherrykeel.Holding, received cherrykeel.Instant) {
 	lessee, exists := ledger.lessees[order.Lessee]
 	if !exists || lessee.outstandingOrder != order.serial {
@@ -15,8 +15,8 @@
 	}
 	lessee.outstandingOrder = 0
 	if holding.Service != ledger.service || lessee.replacedIncarnations[holding.Incarnation] {
-		// A connection can bring the answer to another call: one for another service, or one that the lessee's
-		// last process gave. Taken for this one, it would make the ledger forget what the lessee holds.
+		// A connection can deliver the answer to another call: one for another service, or one of the lessee's
+		// previous process. If it counted, the ledger would no longer know what the lessee holds.
 		return
 	}
 	if holding.Fence.Term > ledger.term {
@@ -31,16 +31,16 @@
 		lessee.answeredAt = received
 		lessee.clockKnown = true
 	}
-	// A lessee that accepts a grant has that grant's fence; with another one, it accepted another grant, and
-	// may take this one later.
+	// A lessee that accepts a grant answers with its fence. With another fence it has accepted another grant, and may
+	// still accept this one later.
 	if !order.Query && holding.Accepted && holding.Fence == order.Grant.Fence {
 		lessee.recordAcceptance(order, assignmentOfHolding(order.Lessee, holding))
 	}
 }
 
-// restarted forgets the process that was at the address before; its leases went with it.
-// What it sent to an upstream that does not check fences may still be worked on, so
-// its possessions stay under a name of their own until that has ended.
+// recordRestart removes the leases of the previous process at the address, which ended with it. An upstream that does
+// not check fences may still work on requests that the process sent, so its possible leases are kept under another
+// name until that work has ended.
 func (ledger *Ledger) recordRestart(lessee *lessee, incarnation string) {
 	if ledger.processingTime > 0 {
 		ledger.keepFormerProcess(*lessee)
@@ -52,9 +52,9 @@
 	lessee.possibleLeases = nil
 }
 
-// RecordAddressChange forgets a lessee that is at another address now, and so is another process. Unlike one that has
-// started anew, that proves nothing of the process before: what it may hold stays its own, under a name that
-// no upstream has, until its lease has ended.
+// RecordAddressChange removes a lessee that has another address now, and so is another process. Unlike a restart,
+// this does not prove that the previous process has ended: its possible leases are kept, under a name that no
+// upstream has, until they have ended.
 func (ledger *Ledger) RecordAddressChange(name string) {
 	moved, exists := ledger.lessees[name]
 	if !exists {
@@ -70,7 +70,7 @@
 	ledger.keepFormerProcess(former)
 }
 
-// keep goes on counting what a process may hold that is no lessee any more, until its lease has ended.
+// keepFormerProcess keeps the possible leases of a process that is no lessee any more until they have ended.
 func (ledger *Ledger) keepFormerProcess(former lessee) {
 	if len(former.possibleLeases) == 0 {
 		return
@@ -80,12 +80,12 @@
 	ledger.formerProcesses++
 }
 
-// ghostName is the name of the next process that is kept; names of upstreams and hosts have no spaces.
+// formerName returns a name for the next process that is kept; names of upstreams and hosts contain no spaces.
 func (ledger *Ledger) formerName() string {
-	return "ghost " + strconv.Itoa(ledger.formerProcesses)
+	return "former " + strconv.Itoa(ledger.formerProcesses)
 }
 
-// replace notes that another process has taken the place of the one known so far.
+// setProcess records that the lessee is a new process now.
 func (lessee *lessee) setProcess(incarnation string) {
 	earlier := map[string]bool{lessee.incarnation: true}
 	maps.Copy(earlier, lessee.replacedIncarnations)
@@ -93,7 +93,7 @@
 	lessee.incarnation = incarnation
 }
 
-// accept drops the possessions that the accepted grant has replaced.
+// recordAcceptance drops the possible leases that the accepted grant has replaced.
 func (lessee *lessee) recordAcceptance(order Order, reported Assignment) {
 	kept := []possibleLease{{sequence: order.Grant.Fence.Sequence, assignment: reported}}
 	for _, possibleLease := range lessee.possibleLeases {
@@ -105,7 +105,7 @@
 	lessee.fenced = true
 }
 
-// RecordFailure takes in that no answer came to an order; the lessee may have taken it all the same.
+// RecordFailure records that an order was not answered; the lessee may have accepted it nevertheless.
 func (ledger *Ledger) RecordFailure(order Order) {
 	lessee, exists := ledger.lessees[order.Lessee]
 	if exists && lessee.outstandingOrder == order.serial {
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -7,8 +7,8 @@
 	"cherrykeel"
 )
 
-// NextOrders returns what to send now. Leases run for the ledger's length from the older of
-// confirmed, when a majority of witnesses knew of no newer term, and the lessee's last answer.
+// NextOrders returns the orders to send now. A lease runs for the ledger's lease duration from confirmed, the time at
+// which a majority of witnesses knew of no newer term, or from the lessee's last answer if that is older.
 func (ledger *Ledger) NextOrders(now, confirmed cherrykeel.Instant) []Order {
 	if ledger.deposed {
 		return nil
@@ -43,11 +43,10 @@
 	return names
 }
 
-// expire forgets what lessees held whose leases had ended when the witnesses last confirmed the term.
-// That the time has passed is not enough: the keeper of a newer term may have extended the
-// lease meanwhile, and this one would give the keys to a second owner. A newer keeper extends
-// only after a majority of witnesses has learned its term, so a confirmation that was asked
-// for after the lease's end shows that nobody extended it in time.
+// expireLeases drops the leases that had ended when the witnesses last confirmed the term. It is not enough that the
+// time has passed: the keeper of a newer term may have extended the lease meanwhile, and this one would grant the
+// keys to a second owner. A newer keeper extends a lease only after a majority of witnesses has learned its term, so
+// a confirmation that was requested after the lease's end shows that no keeper extended it in time.
 func (ledger *Ledger) expireLeases(confirmed cherrykeel.Instant) {
 	for name, lessee := range ledger.lessees {
 		if confirmed < lessee.leaseEnd.Add(ledger.processingTime) {
@@ -60,20 +59,21 @@
 	}
 }
 
+// nextOrder returns the next order for a lessee, and whether one is due.
 func (ledger *Ledger) nextOrder(name string, lessee *lessee, now, confirmed cherrykeel.Instant) (Order, bool) {
 	if !lessee.clockKnown || now >= lessee.answeredAt.Add(ledger.leaseDuration) {
 		return Order{Lessee: name, Query: true}, true
 	}
 	end := min(confirmed, lessee.answeredAt).Add(ledger.leaseDuration)
 	if end <= now || ledger.freeAt == Never {
-		// Before the witnesses of earlier terms have learned of this one, an earlier
-		// keeper may still give away what this one would extend.
+		// Before the witnesses of earlier terms have learned of this one, an earlier keeper may still grant to others
+		// what this one would extend.
 		return Order{}, false
 	}
 	order := Order{Lessee: name}
-	// The lease's end is put on the lessee's own clock, counted from its last answer.
-	// A grant that is delivered late, or by a keeper that was paused after this
-	// line, therefore ends when it would have ended anyway: it extends nothing.
+	// The lease's end is on the lessee's own clock, counted from its last answer. A grant that arrives late, or that
+	// is sent by a keeper that was suspended after this line, still ends when it would have ended anyway: it extends
+	// nothing.
 	remaining := time.Duration(float64(end.Sub(lessee.answeredAt)) / (1 + ledger.maxDrift))
 	ledger.sequence++
 	order.Grant = cherrykeel.Grant{
@@ -88,11 +88,11 @@
 	return order, true
 }
 
-// fill decides what the order gives: the same again, or a new tenure.
+// fillGrant sets what the order grants: what the lessee holds already, or a new assignment.
 func (ledger *Ledger) fillGrant(name string, lessee *lessee, now cherrykeel.Instant, order *Order) {
 	if now < ledger.freeAt || !lessee.fenced && len(lessee.possibleLeases) > 0 {
-		// The first grant of a term keeps what earlier terms gave, so that a change of
-		// keeper interrupts nobody; until the answer tells what that is, it may be anything.
+		// The first grant of a term keeps what earlier terms granted, so that a change of keeper does not interrupt
+		// any owner. It is unknown what that is until the lessee answers.
 		order.Grant.Partial = true
 		kept := possibleLease{sequence: ledger.sequence, unknown: !lessee.fenced}
 		if lessee.fenced {
@@ -109,7 +109,8 @@
 	lessee.possibleLeases = append(lessee.possibleLeases, possibleLease{sequence: ledger.sequence, assignment: next})
 }
 
-// held is what a lessee last said it holds, or nothing if that has lapsed.
+// lastAssignment returns what a lessee last reported that it holds, or nothing if that is unknown or its lease has
+// ended.
 func (lessee *lessee) lastAssignment() Assignment {
 	if len(lessee.possibleLeases) == 0 || lessee.possibleLeases[0].unknown {
 		return NewAssignment()
@@ -117,6 +118,7 @@
 	return lessee.possibleLeases[0].assignment
 }
 
+// holdsExactly reports whether the lessee is known to hold the assignment and nothing else.
 func (lessee *lessee) holdsExactly(assignment Assignment) bool {
 	return lessee.fenced && len(lessee.possibleLeases) == 1 && !lessee.possibleLeases[0].unknown && lessee.possibleLeases[0].assignment.equals(assignment)
 }
--- a/lease/tenure.go
+++ b/lease/tenure.go
@@ -9,23 +9,22 @@
 	"cherrykeel"
 )
 
-// Assignment says which upstream may act for which partitions and hot keys.
-// A grant to an upstream names only itself; a grant to an entry host, for
-// upstreams that do not check fences, names all of them.
+// Assignment maps partitions and hot keys to the upstreams that may serve them. A grant to an upstream contains only
+// its own; a grant to an entry host, for upstreams that do not check fences, contains all of them.
 type Assignment struct {
 	Partitions map[string]*bitset.BitSet
-	// HotKeys maps keys that are held apart from their partitions to upstreams.
+	// HotKeys maps keys that are assigned apart from their partitions to upstreams.
 	HotKeys map[string]string
-	// ExceptKeys hash to the partitions but do not go with them.
+	// ExceptKeys are keys that hash to the partitions but are not assigned with them.
 	ExceptKeys map[string]bool
 }
 
-// NewAssignment returns a tenure of nothing.
+// NewAssignment returns an empty assignment.
 func NewAssignment() Assignment {
 	return Assignment{Partitions: map[string]*bitset.BitSet{}, HotKeys: map[string]string{}, ExceptKeys: map[string]bool{}}
 }
 
-// AssignmentOf returns what a placement gives to all upstreams together.
+// AssignmentOf returns the assignment of all upstreams under a placement.
 func AssignmentOf(placement cherrykeel.Placement) Assignment {
 	assignment := NewAssignment()
 	for partition, owner := range placement.Owners {
@@ -40,7 +39,7 @@
 	return assignment
 }
 
-// ForUpstream returns the part that belongs to one upstream.
+// ForUpstream returns the part of the assignment that belongs to one upstream.
 func (assignment Assignment) ForUpstream(upstream string, partitionOf func(string) int) Assignment {
 	own := NewAssignment()
 	partitions, exists := assignment.Partitions[upstream]
@@ -60,7 +59,7 @@
 	return own
 }
 
-// renamed returns the tenure with another name in the place of an upstream's.
+// withRenamedUpstream returns the assignment with an upstream's name replaced by another name.
 func (assignment Assignment) withRenamedUpstream(upstream, name string) Assignment {
 	renamed := Assignment{
 		Partitions: maps.Clone(assignment.Partitions),
@@ -135,7 +134,7 @@
 	return true
 }
 
-// fill writes the tenure into a grant; to an upstream only its own part has partitions.
+// writeTo writes the assignment into a grant. A grant to an upstream gets only the partitions of that upstream.
 func (assignment Assignment) writeTo(grant *cherrykeel.Grant, lessee string, toHost bool) {
 	for key, owner := range assignment.HotKeys {
 		if toHost {
@@ -169,7 +168,7 @@
 	return partitions
 }
 
-// tenureOfHolding reads what a lessee says it holds.
+// assignmentOfHolding returns what a lessee reports that it holds.
 func assignmentOfHolding(lessee string, holding cherrykeel.Holding) Assignment {
 	assignment := NewAssignment()
 	for _, partition := range holding.Partitions {
@@ -190,6 +189,7 @@
 	return assignment
 }
 
+// splitHotKey splits a hot key into its owner and its name. Only holdings of entry hosts contain the owner.
 func splitHotKey(lessee, key string, fromHost bool) (owner, name string) {
 	if !fromHost {
 		return lessee, key
--- a/lease/witness.go
+++ b/lease/witness.go
@@ -6,8 +6,8 @@
 	"cherrykeel"
 )
 
-// Witness remembers, in memory only, the newest term of each service that its host has
-// heard of. It lets a keeper go on without the log, and stops one that has been replaced.
+// Witness records, in memory only, the newest term of each service that its host knows. It lets a keeper continue
+// while the log is unavailable, and stops one that has been replaced.
 type Witness struct {
 	started     cherrykeel.Instant
 	lastRunAt   cherrykeel.Instant
@@ -16,13 +16,13 @@
 	requestedAt map[string]cherrykeel.Instant
 }
 
-// maxPause is how long a witness may stand still and still be relied on by a keeper's successor.
+// maxSuspension is how long a witness may be suspended before it abstains again, since a successor of the keeper may
+// have counted it as gone.
 const maxSuspension = time.Second
 
-// NewWitness returns a witness that abstains until it has caught up with the log.
-// It may have promised, before its host was replaced, to stop a keeper; the claim
-// that it promised to obey was in the log by then, so having read the log makes
-// up for what it has forgotten.
+// NewWitness returns a witness that abstains until it has caught up with the log. An earlier process of the host may
+// have learned a term, and so promised not to confirm older ones; the claim of that term was in the log by then, so
+// reading the log restores the promise.
 func NewWitness(now cherrykeel.Instant) *Witness {
 	return &Witness{
 		started:     now,
@@ -32,8 +32,8 @@
 	}
 }
 
-// RecordRunning records that the host is running, not paused; it is called many times a second.
-// After a long pause the witness abstains again: a successor may have counted it as gone.
+// RecordRunning records that the host is not suspended; it is called many times a second. After a long suspension the
+// witness abstains again, since a successor may have counted it as gone.
 func (witness *Witness) RecordRunning(now cherrykeel.Instant) {
 	if now.Sub(witness.lastRunAt) > maxSuspension {
 		witness.ready = false
@@ -42,7 +42,8 @@
 	witness.lastRunAt = now
 }
 
-// RecordCaughtUp records that a read of the log, begun at an instant, found nothing that was not learned.
+// RecordCaughtUp records that a read of the log that started at startedAt found no records that the witness had not
+// learned.
 func (witness *Witness) RecordCaughtUp(startedAt cherrykeel.Instant) {
 	if startedAt >= witness.started {
 		witness.ready = true
@@ -54,12 +55,12 @@
 	return witness.ready
 }
 
-// RecordTerm records a term; a lower one is never confirmed again.
+// RecordTerm records a term; lower ones are never confirmed again.
 func (witness *Witness) RecordTerm(service string, term int64) {
 	witness.terms[service] = max(witness.terms[service], term)
 }
 
-// Confirm answers a keeper that asks whether its term is the newest.
+// Confirm answers a keeper's request to confirm that its term is the newest.
 func (witness *Witness) Confirm(service string, term int64, now cherrykeel.Instant) bool {
 	witness.RecordRunning(now)
 	newest := witness.terms[service]
@@ -69,12 +70,13 @@
 	return witness.ready && newest == term
 }
 
-// LastRequestAt returns when the keeper of a service last asked, or the witness's start.
+// LastRequestAt returns when the keeper of a service last requested a confirmation, or when the witness started if
+// that is later.
 func (witness *Witness) LastRequestAt(service string) cherrykeel.Instant {
 	return max(witness.requestedAt[service], witness.started)
 }
 
-// Quorum collects the confirmations of a keeper's term.
+// Quorum collects the confirmations of a keeper's term by its witnesses.
 type Quorum struct {
 	confirmed map[string]cherrykeel.Instant
 }
@@ -88,18 +90,19 @@
 	return quorum
 }
 
-// RecordConfirmation records that a witness answered a question that was sent at an instant.
+// RecordConfirmation records that a witness confirmed the term in answer to a request that was sent at an instant.
 func (quorum *Quorum) RecordConfirmation(witness string, sent cherrykeel.Instant) {
 	if last, isWitness := quorum.confirmed[witness]; isWitness {
 		quorum.confirmed[witness] = max(last, sent)
 	}
 }
 
-// ConfirmedAt returns the latest instant at which a majority had confirmed, or 0.
+// ConfirmedAt returns the latest instant at which a majority had confirmed the term, or 0.
 func (quorum *Quorum) ConfirmedAt() cherrykeel.Instant {
 	return majorityInstant(quorum.confirmed)
 }
 
+// majorityInstant returns the latest instant that a majority of the given ones have reached, or 0.
 func majorityInstant(instants map[string]cherrykeel.Instant) cherrykeel.Instant {
 	best := cherrykeel.Instant(0)
 	for _, candidate := range instants {
