--- a/place/load.go
+++ b/place/load.go
@@ -31,8 +31,8 @@
 	mean := total / float64(len(plan.candidates))
 	for _, key := range byLoad(plan.demand.HotKeys, last.HotKeys) {
 		load := plan.demand.HotKeys[key]
-		previous, wasHot := last.HotKeys[key]
-		if load < coolShare*mean || !wasHot && load < hotShare*mean {
+		previous, wasPlaced := last.HotKeys[key]
+		if load < coolKeyShare*mean || !wasPlaced && load < hotKeyShare*mean {
 			plan.weights[route.Partition(key, len(plan.weights))] += load
 			continue
 		}
@@ -43,12 +43,12 @@
 // placeHotKeys leaves hot keys where they are while their upstreams live, and gives the others to the least loaded.
 func (plan *plan) placeHotKeys(last cherrykeel.Placement) {
 	for _, key := range byLoad(plan.demand.HotKeys, last.HotKeys) {
-		previous, hot := plan.hotKeys[key]
-		if !hot {
+		previous, isHot := plan.hotKeys[key]
+		if !isHot {
 			continue
 		}
-		owner, live := plan.index[previous]
-		if !live {
+		owner, isCandidate := plan.index[previous]
+		if !isCandidate {
 			owner = plan.leastLoaded()
 		}
 		plan.hotKeys[key] = plan.candidates[owner].Name
@@ -97,13 +97,13 @@
 }
 
 // evenLoad moves work from the most to the least loaded until the target is met or nothing helps.
-func (plan *plan) evenLoad() {
+func (plan *plan) balanceLoad() {
 	mean := plan.meanLoad()
 	if mean == 0 || plan.load[plan.mostLoaded()] < imbalanceTrigger*mean {
 		return
 	}
 	for plan.budget > 0 && plan.load[plan.mostLoaded()] > imbalanceTarget*mean {
-		if !plan.relieve(plan.mostLoaded(), plan.leastLoaded()) {
+		if !plan.moveLoad(plan.mostLoaded(), plan.leastLoaded()) {
 			return
 		}
 		plan.budget--
@@ -111,18 +111,18 @@
 }
 
 // relieve moves or swaps one partition, or moves a hot key, so that the gap between two upstreams shrinks.
-func (plan *plan) relieve(from, to int) bool {
+func (plan *plan) moveLoad(from, to int) bool {
 	gap := plan.load[from] - plan.load[to]
 	if plan.moveHotKey(from, to, gap) {
 		return true
 	}
-	heavy := plan.bestBelow(from, gap)
+	heavy := plan.heaviestMovable(from, gap)
 	if heavy < 0 {
 		return false
 	}
 	mean := float64(len(plan.owners)) / float64(len(plan.candidates))
-	if float64(plan.count[to]+1) <= mean*mostCount {
-		plan.give(heavy, to)
+	if float64(plan.count[to]+1) <= mean*maxCountRatio {
+		plan.assign(heavy, to)
 		return true
 	}
 	return plan.swap(heavy, from, to)
@@ -151,7 +151,7 @@
 }
 
 // bestBelow returns the heaviest partition of the owner that is at most half the gap, or -1.
-func (plan *plan) bestBelow(owner int, gap float64) int {
+func (plan *plan) heaviestMovable(owner int, gap float64) int {
 	name := plan.candidates[owner].Name
 	best := -1
 	for partition, holder := range plan.owners {
@@ -178,7 +178,7 @@
 	if light < 0 || plan.weights[light] >= plan.weights[heavy] {
 		return false
 	}
-	plan.give(heavy, to)
-	plan.give(light, from)
+	plan.assign(heavy, to)
+	plan.assign(light, from)
 	return true
 }
--- a/place/place.go
+++ b/place/place.go
@@ -13,12 +13,12 @@
 	imbalanceTarget = 1.10
 	// mostCount and leastCount bound an upstream's count of partitions, over the mean: outside
 	// them partitions move for the count's sake, inside them load may make counts differ.
-	mostCount  = 1.06
-	leastCount = 0.90
+	maxCountRatio = 1.06
+	minCountRatio = 0.90
 	// hotShare is the load of a key, as a share of an upstream's mean load, from which it is placed alone.
-	hotShare = 0.10
+	hotKeyShare = 0.10
 	// coolShare is where a hot key goes back to its partition.
-	coolShare = 0.03
+	coolKeyShare = 0.03
 )
 
 type placer struct{}
@@ -50,11 +50,11 @@
 	plan := newPlan(last, partitions, candidates, demand, budget)
 	plan.placeOrphans(last)
 	plan.placeHotKeys(last)
-	plan.evenCounts()
-	plan.evenLoad()
+	plan.balanceCounts()
+	plan.balanceLoad()
 	return cherrykeel.Placement{
 		Owners:     plan.owners,
-		Successors: successors(plan.owners, last.Successors, plan.candidates),
+		Successors: chooseSuccessors(plan.owners, last.Successors, plan.candidates),
 		HotKeys:    plan.hotKeys,
 	}
 }
@@ -81,14 +81,14 @@
 	}
 	plan.chooseHotKeys(last)
 	for partition := 0; partition < partitions && partition < len(last.Owners); partition++ {
-		if owner, live := plan.index[last.Owners[partition]]; live {
-			plan.give(partition, owner)
+		if owner, isCandidate := plan.index[last.Owners[partition]]; isCandidate {
+			plan.assign(partition, owner)
 		}
 	}
 	return plan
 }
 
-func (plan *plan) give(partition, owner int) {
+func (plan *plan) assign(partition, owner int) {
 	if previous, owned := plan.index[plan.owners[partition]]; owned {
 		plan.count[previous]--
 		plan.load[previous] -= plan.weights[partition]
@@ -98,7 +98,7 @@
 	plan.load[owner] += plan.weights[partition]
 }
 
-func (plan *plan) most() int {
+func (plan *plan) fairCount() int {
 	return (len(plan.owners) + len(plan.candidates) - 1) / len(plan.candidates)
 }
 
@@ -108,18 +108,18 @@
 		if owner != "" {
 			continue
 		}
-		heir := plan.fewest()
+		target := plan.withFewest()
 		if partition < len(last.Successors) {
-			named, live := plan.index[last.Successors[partition]]
-			if live && plan.count[named] < plan.most() {
-				heir = named
+			successor, isCandidate := plan.index[last.Successors[partition]]
+			if isCandidate && plan.count[successor] < plan.fairCount() {
+				target = successor
 			}
 		}
-		plan.give(partition, heir)
+		plan.assign(partition, target)
 	}
 }
 
-func (plan *plan) fewest() int {
+func (plan *plan) withFewest() int {
 	best := 0
 	for i := range plan.candidates {
 		fewer := plan.count[i] < plan.count[best]
@@ -133,20 +133,20 @@
 
 // evenCounts moves partitions from the fullest to the emptiest until their counts are within
 // bounds; upstreams that join fill up by the budget, round by round.
-func (plan *plan) evenCounts() {
+func (plan *plan) balanceCounts() {
 	mean := float64(len(plan.owners)) / float64(len(plan.candidates))
 	for plan.budget > 0 {
-		full, empty := plan.fullest(), plan.fewest()
-		within := float64(plan.count[full]) <= mean*mostCount && float64(plan.count[empty]) >= mean*leastCount
+		full, empty := plan.withMost(), plan.withFewest()
+		within := float64(plan.count[full]) <= mean*maxCountRatio && float64(plan.count[empty]) >= mean*minCountRatio
 		if within || plan.count[full]-plan.count[empty] <= 1 {
 			return
 		}
-		plan.give(plan.lightest(full), empty)
+		plan.assign(plan.partitionNearMean(full), empty)
 		plan.budget--
 	}
 }
 
-func (plan *plan) fullest() int {
+func (plan *plan) withMost() int {
 	best := 0
 	for i := range plan.candidates {
 		if plan.count[i] > plan.count[best] {
@@ -157,7 +157,7 @@
 }
 
 // lightest returns a partition of the owner whose load is nearest to the owner's mean, so that counts and load even out together.
-func (plan *plan) lightest(owner int) int {
+func (plan *plan) partitionNearMean(owner int) int {
 	name := plan.candidates[owner].Name
 	mean := plan.load[owner] / float64(max(1, plan.count[owner]))
 	best := -1
