--- a/place/doc.go
+++ b/place/doc.go
@@ -1,4 +1,4 @@
-// Package place decides which upstream owns each partition and hot key of a
-// service: few moves, even counts, even load, successors in other availability
-// zones. It is pure; docs/design/placement.md gives the reasons.
+// Package place decides which upstream owns each partition and hot key of a service. It keeps the number of moves
+// low, balances partition counts and load, and chooses successors in other availability zones. All decisions are
+// pure; docs/design/placement.md gives the reasons.
 package place
--- a/place/heirs.go
+++ b/place/heirs.go
@@ -4,9 +4,9 @@
 	"cherrykeel"
 )
 
-// successors names, for each partition, who takes over when its owner is lost:
-// in another availability zone where there is one, and spread so that no single
-// upstream inherits much. Last round's successors are kept where they still fit.
+// chooseSuccessors returns for each partition the upstream that takes over when the owner is unavailable. It is in
+// another availability zone if there is one, and the successors of one owner are spread so that none of them gets
+// much. Previous successors are kept where they still qualify.
 func chooseSuccessors(owners, last []string, candidates []cherrykeel.Candidate) []string {
 	zones := map[string]string{}
 	for _, candidate := range candidates {
@@ -36,10 +36,11 @@
 	return successors
 }
 
+// successorLimit limits the successors of one owner.
 type successorLimit struct {
-	// each is how many partitions of one owner one heir may get.
+	// perSuccessor is how many partitions of one owner one successor may get.
 	perSuccessor int
-	// sameZone allows heirs in the owner's own zone, for want of another.
+	// sameZone allows successors in the owner's own zone, since there are no others.
 	sameZone bool
 }
 
@@ -66,6 +67,7 @@
 	return limits
 }
 
+// nextSuccessor returns the allowed candidate that succeeds the owner for the fewest partitions, and counts it.
 func nextSuccessor(owner string, candidates []cherrykeel.Candidate, zones map[string]string, limit successorLimit, counts map[[2]string]int) string {
 	best := ""
 	for _, candidate := range candidates {
--- a/place/load.go
+++ b/place/load.go
@@ -7,6 +7,7 @@
 	"cherrykeel/route"
 )
 
+// meanLoad returns the mean load of the upstreams.
 func (plan *plan) meanLoad() float64 {
 	total := 0.0
 	for _, weight := range plan.weights {
@@ -18,8 +19,8 @@
 	return total / float64(len(plan.candidates))
 }
 
-// chooseHotKeys decides which keys are placed alone; the load of the others goes to their partitions,
-// since Demand.Partitions does not count the keys in Demand.HotKeys.
+// chooseHotKeys selects the keys that are placed apart from their partitions. The load of the others is added to
+// their partitions, since Demand.Partitions does not include the keys in Demand.HotKeys.
 func (plan *plan) chooseHotKeys(last cherrykeel.Placement) {
 	total := 0.0
 	for _, weight := range plan.weights {
@@ -40,7 +41,8 @@
 	}
 }
 
-// placeHotKeys leaves hot keys where they are while their upstreams live, and gives the others to the least loaded.
+// placeHotKeys leaves hot keys at their upstreams while those are candidates, and assigns the others to the least
+// loaded.
 func (plan *plan) placeHotKeys(last cherrykeel.Placement) {
 	for _, key := range byLoad(plan.demand.HotKeys, last.HotKeys) {
 		previous, isHot := plan.hotKeys[key]
@@ -56,7 +58,7 @@
 	}
 }
 
-// byLoad returns the keys of both sets, the heaviest first.
+// byLoad returns the keys of both maps, highest load first.
 func byLoad(loads map[string]float64, placed map[string]string) []string {
 	keys := make([]string, 0, len(loads)+len(placed))
 	for key := range loads {
@@ -76,6 +78,7 @@
 	return keys
 }
 
+// leastLoaded returns the index of the upstream with the lowest load.
 func (plan *plan) leastLoaded() int {
 	best := 0
 	for i := range plan.candidates {
@@ -86,6 +89,7 @@
 	return best
 }
 
+// mostLoaded returns the index of the upstream with the highest load.
 func (plan *plan) mostLoaded() int {
 	best := 0
 	for i := range plan.candidates {
@@ -96,7 +100,8 @@
 	return best
 }
 
-// evenLoad moves work from the most to the least loaded until the target is met or nothing helps.
+// balanceLoad moves load from the most to the least loaded upstream until the imbalance is below its target, no move
+// helps, or the budget is spent.
 func (plan *plan) balanceLoad() {
 	mean := plan.meanLoad()
 	if mean == 0 || plan.load[plan.mostLoaded()] < imbalanceTrigger*mean {
@@ -110,7 +115,8 @@
 	}
 }
 
-// relieve moves or swaps one partition, or moves a hot key, so that the gap between two upstreams shrinks.
+// moveLoad moves a hot key or a partition, or swaps two partitions, so that the gap between the loads of two
+// upstreams shrinks. It reports whether it did.
 func (plan *plan) moveLoad(from, to int) bool {
 	gap := plan.load[from] - plan.load[to]
 	if plan.moveHotKey(from, to, gap) {
@@ -128,7 +134,8 @@
 	return plan.swap(heavy, from, to)
 }
 
-// moveHotKey moves the heaviest hot key that more than halves nothing: its load must be less than the gap.
+// moveHotKey moves the hot key with the highest load up to half the gap, if that is at least an eighth of the gap, so
+// that the gap shrinks noticeably without being reversed. It reports whether it did.
 func (plan *plan) moveHotKey(from, to int, gap float64) bool {
 	best := ""
 	for _, key := range byLoad(plan.demand.HotKeys, nil) {
@@ -150,7 +157,7 @@
 	return true
 }
 
-// bestBelow returns the heaviest partition of the owner that is at most half the gap, or -1.
+// heaviestMovable returns the partition of the owner with the highest load up to half the gap, or -1.
 func (plan *plan) heaviestMovable(owner int, gap float64) int {
 	name := plan.candidates[owner].Name
 	best := -1
@@ -166,7 +173,8 @@
 	return best
 }
 
-// swap exchanges a heavy partition for the lightest of the other upstream, which keeps the counts.
+// swap exchanges a heavy partition for the lightest one of the other upstream, so that partition counts stay the
+// same. It reports whether it did.
 func (plan *plan) swap(heavy, from, to int) bool {
 	name := plan.candidates[to].Name
 	light := -1
--- a/place/place.go
+++ b/place/place.go
@@ -7,20 +7,24 @@
 )
 
 const (
-	// imbalanceTrigger is the load, over the mean, from which partitions move for load's sake.
+	// imbalanceTrigger is the load of the most loaded upstream, as a multiple of the mean, from which partitions move
+	// to balance load.
 	imbalanceTrigger = 1.20
-	// imbalanceTarget is where such moves stop; the gap to the trigger keeps noisy reports from moving anything.
+	// imbalanceTarget is the multiple at which such moves stop. The gap to the trigger keeps noisy load reports from
+	// causing moves.
 	imbalanceTarget = 1.10
-	// mostCount and leastCount bound an upstream's count of partitions, over the mean: outside
-	// them partitions move for the count's sake, inside them load may make counts differ.
+	// maxCountRatio and minCountRatio are the limits of an upstream's partition count, as multiples of the mean.
+	// Beyond them partitions move to balance counts; within them counts may differ in order to balance load.
 	maxCountRatio = 1.06
 	minCountRatio = 0.90
-	// hotShare is the load of a key, as a share of an upstream's mean load, from which it is placed alone.
+	// hotKeyShare is the load of a key, as a share of an upstream's mean load, from which it is placed apart from its
+	// partition.
 	hotKeyShare = 0.10
-	// coolShare is where a hot key goes back to its partition.
+	// coolKeyShare is the load, as the same share, below which a hot key goes back to its partition.
 	coolKeyShare = 0.03
 )
 
+// placer is the default Placer.
 type placer struct{}
 
 // New returns the default Placer.
@@ -28,12 +32,12 @@
 	return placer{}
 }
 
-// plan is a placement under construction.
+// plan is a placement under construction. Its upstreams are named by their index in candidates.
 type plan struct {
 	candidates []cherrykeel.Candidate
 	index      map[string]int
 	owners     []string
-	// weights are the partitions' loads, with those of keys that are not placed alone.
+	// weights are the loads of the partitions, including those of keys that are not placed apart.
 	weights []float64
 	demand  cherrykeel.Demand
 	hotKeys map[string]string
@@ -88,6 +92,7 @@
 	return plan
 }
 
+// assign makes an upstream the owner of a partition.
 func (plan *plan) assign(partition, owner int) {
 	if previous, owned := plan.index[plan.owners[partition]]; owned {
 		plan.count[previous]--
@@ -98,11 +103,13 @@
 	plan.load[owner] += plan.weights[partition]
 }
 
+// fairCount returns the mean partition count, rounded up.
 func (plan *plan) fairCount() int {
 	return (len(plan.owners) + len(plan.candidates) - 1) / len(plan.candidates)
 }
 
-// placeOrphans gives partitions without a live owner to their successor if it has room, else to the least filled.
+// placeOrphans assigns each partition whose owner is no candidate to its successor, if that one has less than its
+// fair count, and otherwise to the candidate with the fewest partitions.
 func (plan *plan) placeOrphans(last cherrykeel.Placement) {
 	for partition, owner := range plan.owners {
 		if owner != "" {
@@ -119,6 +126,7 @@
 	}
 }
 
+// withFewest returns the upstream with the fewest partitions, and with the lowest load among equals.
 func (plan *plan) withFewest() int {
 	best := 0
 	for i := range plan.candidates {
@@ -131,8 +139,8 @@
 	return best
 }
 
-// evenCounts moves partitions from the fullest to the emptiest until their counts are within
-// bounds; upstreams that join fill up by the budget, round by round.
+// balanceCounts moves partitions from the upstream with the most to the one with the fewest until all counts are
+// within their limits. Upstreams that join fill up over several rounds, each limited by the budget.
 func (plan *plan) balanceCounts() {
 	mean := float64(len(plan.owners)) / float64(len(plan.candidates))
 	for plan.budget > 0 {
@@ -146,6 +154,7 @@
 	}
 }
 
+// withMost returns the upstream with the most partitions.
 func (plan *plan) withMost() int {
 	best := 0
 	for i := range plan.candidates {
@@ -156,7 +165,8 @@
 	return best
 }
 
-// lightest returns a partition of the owner whose load is nearest to the owner's mean, so that counts and load even out together.
+// partitionNearMean returns the partition of the owner whose load is nearest to the owner's mean, so that moving it
+// balances counts and load together.
 func (plan *plan) partitionNearMean(owner int) int {
 	name := plan.candidates[owner].Name
 	mean := plan.load[owner] / float64(max(1, plan.count[owner]))
