--- a/place/place_test.go
+++ b/place/place_test.go
@@ -36,7 +36,8 @@
 	return demand
 }
 
-func changed(before, after cherrykeel.Placement) int {
+// countChanged returns the number of partitions with another owner.
+func countChanged(before, after cherrykeel.Placement) int {
 	count := 0
 	for partition, owner := range after.Owners {
 		if partition < len(before.Owners) && before.Owners[partition] != owner {
@@ -47,7 +48,9 @@
 }
 
 var _ = Describe("placement", func() {
-	It("gives everything to candidates, moves no more by choice than its budget, and settles", func() {
+	// Guards against partitions without an owner, needless moves, and a placement that never becomes stable, by random
+	// changes of candidates and load.
+	It("assigns everything to candidates, moves no more than its budget without need, and becomes stable", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			partitions := rapid.IntRange(8, 96).Draw(t, "partitions")
 			placer := place.New()
@@ -64,40 +67,41 @@
 			}
 			orphans := 0
 			for partition, owner := range next.Owners {
-				if _, there := live[owner]; !there {
-					t.Fatalf("partition %d went to %q", partition, owner)
+				if _, isCandidate := live[owner]; !isCandidate {
+					t.Fatalf("partition %d was assigned to %q", partition, owner)
 				}
-				if _, there := live[first.Owners[partition]]; !there {
+				if _, isCandidate := live[first.Owners[partition]]; !isCandidate {
 					orphans++
 				}
-				heir := next.Successors[partition]
-				if len(after) > 1 && (heir == owner || heir == "") {
-					t.Fatalf("partition %d of %s has successor %q", partition, owner, heir)
+				successor := next.Successors[partition]
+				if len(after) > 1 && (successor == owner || successor == "") {
+					t.Fatalf("partition %d of %s has successor %q", partition, owner, successor)
 				}
-				if len(after) > 2 && live[heir] == live[owner] {
+				if len(after) > 2 && live[successor] == live[owner] {
 					t.Fatalf("partition %d has owner and successor in %s", partition, live[owner])
 				}
 			}
 			for key, owner := range next.HotKeys {
-				if _, there := live[owner]; !there {
-					t.Fatalf("%s went to %q", key, owner)
+				if _, isCandidate := live[owner]; !isCandidate {
+					t.Fatalf("key %s was assigned to %q", key, owner)
 				}
 			}
 			// A swap moves two partitions for one step of the budget.
-			if moved := changed(first, next); moved > orphans+2*budget {
+			if moved := countChanged(first, next); moved > orphans+2*budget {
 				t.Fatalf("moved %d, orphans %d, budget %d", moved, orphans, budget)
 			}
 			for range 200 {
 				last := next
 				next = placer.Place(last, partitions, after, load, 8)
-				if changed(last, next) == 0 && fmt.Sprint(last.HotKeys) == fmt.Sprint(next.HotKeys) {
+				if countChanged(last, next) == 0 && fmt.Sprint(last.HotKeys) == fmt.Sprint(next.HotKeys) {
 					return
 				}
 			}
-			t.Fatalf("the placement does not settle")
+			t.Fatalf("the placement does not become stable")
 		})
 	})
 
+	// Guards against moves that only follow the noise of load reports.
 	It("moves nothing when load reports are noisy", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			placer := place.New()
@@ -112,7 +116,7 @@
 					noisy.Partitions = append(noisy.Partitions, 10*rapid.Float64Range(0.7, 1.3).Draw(t, "noise"))
 				}
 				next := placer.Place(last, 256, upstreams, noisy, 8)
-				if moved := changed(last, next); moved != 0 {
+				if moved := countChanged(last, next); moved != 0 {
 					t.Fatalf("moved %d", moved)
 				}
 				last = next
