--- a/keeper/bid.go
+++ b/keeper/bid.go
@@ -14,138 +14,138 @@
 const (
 	maxWitnesses = 5
 	// bidStep is the time between the claims of hosts that follow one another in rank.
-	bidStep = 80 * time.Millisecond
+	claimDelayPerRank = 80 * time.Millisecond
 	// bidAgain is how long a host waits for the outcome of its claim.
-	bidAgain = time.Second
+	claimRetryAfter = time.Second
 	// silenceShare is the share of a lease after which a keeper that asks nothing is suspected.
 	silenceShare = 0.4
 	// voteAge is how long another witness's word on the keeper's silence counts.
-	voteAge = 500 * time.Millisecond
+	maxReportAge = 500 * time.Millisecond
 	// listPatience is how long a keeper must be off the list before that alone makes others claim.
-	listPatience = 3 * time.Second
+	unlistedTimeout = 3 * time.Second
 )
 
 // bidder decides when a host claims a service's term.
-type bidder struct {
-	self      string
-	service   string
-	votes     map[string]cherrykeel.Instant
-	goneSince cherrykeel.Instant
-	offSince  cherrykeel.Instant
-	bidAt     cherrykeel.Instant
-	askedAt   cherrykeel.Instant
+type claimer struct {
+	self           string
+	service        string
+	silenceReports map[string]cherrykeel.Instant
+	vacantSince    cherrykeel.Instant
+	unlistedSince  cherrykeel.Instant
+	claimedAt      cherrykeel.Instant
+	requestedAt    cherrykeel.Instant
 }
 
 // decide returns a claim if this host should take the role now.
-func (bidder *bidder) decide(input Input, witness *lease.Witness, actions *Actions) {
-	vacant, silent := bidder.vacant(input, witness, actions)
-	if !vacant {
-		bidder.goneSince = 0
+func (claimer *claimer) decide(input Input, witness *lease.Witness, actions *Actions) {
+	isVacant, silent := claimer.vacancy(input, witness, actions)
+	if !isVacant {
+		claimer.vacantSince = 0
 		return
 	}
-	if bidder.goneSince == 0 {
-		bidder.goneSince = input.Now
+	if claimer.vacantSince == 0 {
+		claimer.vacantSince = input.Now
 	}
-	rank := bidder.rank(input, silent)
-	waited := input.Now.Sub(bidder.goneSince)
-	recent := bidder.bidAt != 0 && input.Now.Sub(bidder.bidAt) < bidAgain
-	if input.Leaving || rank < 0 || recent || waited < time.Duration(rank)*bidStep {
+	rank := claimer.rank(input, silent)
+	waited := input.Now.Sub(claimer.vacantSince)
+	recent := claimer.claimedAt != 0 && input.Now.Sub(claimer.claimedAt) < claimRetryAfter
+	if input.Leaving || rank < 0 || recent || waited < time.Duration(rank)*claimDelayPerRank {
 		return
 	}
-	bidder.bidAt = input.Now
-	actions.Claim = bidder.claim(input)
+	claimer.claimedAt = input.Now
+	actions.Claim = claimer.claim(input)
 }
 
-func (bidder *bidder) claim(input Input) *fold.Claim {
+func (claimer *claimer) claim(input Input) *fold.Claim {
 	return &fold.Claim{
-		Service:     bidder.service,
+		Service:     claimer.service,
 		Term:        input.Block.Term,
 		LeaseLength: input.Service.LeaseLength,
-		Timeout:     timeoutOf(input.Service),
-		Witnesses:   ChooseWitnesses(bidder.service, bidder.self, input.Hosts),
+		Timeout:     configuredTimeout(input.Service),
+		Witnesses:   ChooseWitnesses(claimer.service, claimer.self, input.Hosts),
 	}
 }
 
 // vacant reports whether the service needs another keeper, and whether only its witnesses know.
-func (bidder *bidder) vacant(input Input, witness *lease.Witness, actions *Actions) (vacant, silent bool) {
+func (claimer *claimer) vacancy(input Input, witness *lease.Witness, actions *Actions) (vacant, silent bool) {
 	block := input.Block
 	if block.Term == 0 {
 		return true, false
 	}
-	if block.Keeper == bidder.self {
+	if block.Keeper == claimer.self {
 		// A process that was started anew under its old name does not know what leases it gave.
 		return input.ClaimedTerm != block.Term, false
 	}
-	if bidder.listed(input) {
+	if claimer.hasKeeperLeft(input) {
 		return true, false
 	}
-	silent = bidder.silent(input, witness, actions)
+	silent = claimer.isKeeperSilent(input, witness, actions)
 	return silent, silent
 }
 
 // listed reports whether the platform's list shows the keeper as leaving, or has not shown it for long.
-func (bidder *bidder) listed(input Input) bool {
+func (claimer *claimer) hasKeeperLeft(input Input) bool {
 	for _, host := range input.Hosts {
 		if host.Name == input.Block.Keeper {
-			bidder.offSince = 0
+			claimer.unlistedSince = 0
 			return host.Leaving
 		}
 	}
-	if bidder.offSince == 0 {
-		bidder.offSince = input.Now
+	if claimer.unlistedSince == 0 {
+		claimer.unlistedSince = input.Now
 	}
-	return input.Now.Sub(bidder.offSince) >= listPatience
+	return input.Now.Sub(claimer.unlistedSince) >= unlistedTimeout
 }
 
 // silent reports whether a majority of the keeper's witnesses have not been asked for a while.
 // The view of one host moves nothing: it may itself be the one that is cut off.
-func (bidder *bidder) silent(input Input, witness *lease.Witness, actions *Actions) bool {
+func (claimer *claimer) isKeeperSilent(input Input, witness *lease.Witness, actions *Actions) bool {
 	limit := time.Duration(silenceShare * float64(input.Block.LeaseLength))
-	named := false
+	isWitness := false
 	for _, name := range input.Block.Witnesses {
-		named = named || name == bidder.self
+		isWitness = isWitness || name == claimer.self
 	}
-	if !named || input.Now.Sub(witness.LastRequestAt(bidder.service)) < limit {
+	if !isWitness || input.Now.Sub(witness.LastRequestAt(claimer.service)) < limit {
 		return false
 	}
-	votes := 1
+	count := 1
 	for _, name := range input.Block.Witnesses {
-		at, voted := bidder.votes[name]
-		if name != bidder.self && voted && input.Now.Sub(at) < voteAge {
-			votes++
+		reportedAt, reported := claimer.silenceReports[name]
+		if name != claimer.self && reported && input.Now.Sub(reportedAt) < maxReportAge {
+			count++
 		}
 	}
-	if input.Now.Sub(bidder.askedAt) >= bidStep {
-		bidder.askedAt = input.Now
-		actions.RequestSilence = without(input.Block.Witnesses, bidder.self)
+	if input.Now.Sub(claimer.requestedAt) >= claimDelayPerRank {
+		claimer.requestedAt = input.Now
+		actions.RequestSilence = exclude(input.Block.Witnesses, claimer.self)
 	}
-	return 2*votes > len(input.Block.Witnesses)
+	return 2*count > len(input.Block.Witnesses)
 }
 
 // heardSilence records what another witness says of the keeper's silence.
-func (bidder *bidder) heardSilence(host string, silence, leaseLength time.Duration, now cherrykeel.Instant) {
-	delete(bidder.votes, host)
+func (claimer *claimer) recordSilence(host string, silence, leaseLength time.Duration, now cherrykeel.Instant) {
+	delete(claimer.silenceReports, host)
 	if silence >= time.Duration(silenceShare*float64(leaseLength)) {
-		bidder.votes[host] = now
+		claimer.silenceReports[host] = now
 	}
 }
 
 // rank returns this host's place among those that may claim, or -1: among the witnesses
 // where only they know that the keeper is silent, else among all hosts.
-func (bidder *bidder) rank(input Input, silent bool) int {
+func (claimer *claimer) rank(input Input, silent bool) int {
 	witnesses := map[string]bool{}
 	for _, name := range input.Block.Witnesses {
 		witnesses[name] = true
 	}
 	var names []string
 	for _, host := range input.Hosts {
-		knows := !silent || witnesses[host.Name]
-		if knows && !host.Leaving && host.Name != input.Block.Keeper || host.Name == bidder.self {
+		canTell := !silent || witnesses[host.Name]
+		if canTell && !host.Leaving && host.Name != input.Block.Keeper || host.Name == claimer.self {
 			names = append(names, host.Name)
 		}
 	}
-	for i, name := range RankByHash(bidder.service, names) {
-		if name == bidder.self {
+	for i, name := range RankByHash(claimer.service, names) {
+		if name == claimer.self {
 			return i
 		}
 	}
@@ -195,10 +195,10 @@
 	return chosen
 }
 
-func without(names []string, left string) []string {
+func exclude(names []string, excluded string) []string {
 	var kept []string
 	for _, name := range names {
-		if name != left {
+		if name != excluded {
 			kept = append(kept, name)
 		}
 	}
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -15,7 +15,7 @@
 	service string
 	placer  cherrykeel.Placer
 	witness *lease.Witness
-	bidder  *bidder
+	claimer *claimer
 	term    *term
 }
 
@@ -26,7 +26,7 @@
 		service: service,
 		placer:  placer,
 		witness: witness,
-		bidder:  &bidder{self: self, service: service, votes: map[string]cherrykeel.Instant{}},
+		claimer: &claimer{self: self, service: service, silenceReports: map[string]cherrykeel.Instant{}},
 	}
 }
 
@@ -34,10 +34,10 @@
 func (keeper *Keeper) Tick(input Input) Actions {
 	var actions Actions
 	keeper.witness.RecordTerm(keeper.service, input.Block.Term)
-	mine := input.Block.Keeper == keeper.self && input.ClaimedTerm == input.Block.Term && input.ClaimedTerm != 0
-	if !mine {
+	holdsRole := input.Block.Keeper == keeper.self && input.ClaimedTerm == input.Block.Term && input.ClaimedTerm != 0
+	if !holdsRole {
 		keeper.term = nil
-		keeper.bidder.decide(input, keeper.witness, &actions)
+		keeper.claimer.decide(input, keeper.witness, &actions)
 		return actions
 	}
 	if keeper.term == nil || keeper.term.number != input.Block.Term {
@@ -54,15 +54,15 @@
 
 // RecordAnswer takes in a lessee's answer to an order of a term.
 func (keeper *Keeper) RecordAnswer(order lease.Order, holding cherrykeel.Holding, received cherrykeel.Instant) {
-	if keeper.term != nil && keeper.term.issued(order) {
+	if keeper.term != nil && keeper.term.hasIssued(order) {
 		keeper.term.ledger.RecordAnswer(order, holding, received)
 	}
 }
 
 // RecordFailure takes in that an order got no answer.
 func (keeper *Keeper) RecordFailure(order lease.Order) {
-	if keeper.term != nil && keeper.term.issued(order) {
-		keeper.term.failed(order)
+	if keeper.term != nil && keeper.term.hasIssued(order) {
+		keeper.term.recordFailure(order)
 	}
 }
 
@@ -74,15 +74,15 @@
 }
 
 // RecordTermLearned takes in that a witness has learned the term.
-func (keeper *Keeper) RecordTermLearned(teaching TermNotice, now cherrykeel.Instant) {
-	if keeper.term != nil && keeper.term.number == teaching.Term {
-		keeper.term.taught(teaching, now)
+func (keeper *Keeper) RecordTermLearned(notice TermNotice, now cherrykeel.Instant) {
+	if keeper.term != nil && keeper.term.number == notice.Term {
+		keeper.term.recordTermLearned(notice, now)
 	}
 }
 
 // RecordSilence takes in how long another witness has not been asked by the keeper.
 func (keeper *Keeper) RecordSilence(host string, silence, leaseLength time.Duration, now cherrykeel.Instant) {
-	keeper.bidder.heardSilence(host, silence, leaseLength, now)
+	keeper.claimer.recordSilence(host, silence, leaseLength, now)
 }
 
 // ShouldRelay reports whether an order should go through another host, since the direct way has failed.
--- a/keeper/place.go
+++ b/keeper/place.go
@@ -9,24 +9,24 @@
 )
 
 // watchUpstreams notes which upstreams are lost, and takes back those that have answered for long enough.
-func (term *term) watchUpstreams(input Input) {
-	for _, server := range input.Service.Upstreams {
-		if term.down(server.Name, input) {
-			if _, known := term.lost[server.Name]; !known {
-				term.losses[server.Name]++
+func (term *term) updateUnavailable(input Input) {
+	for _, upstream := range input.Service.Upstreams {
+		if term.isUnavailable(upstream.Name, input) {
+			if _, exists := term.unavailable[upstream.Name]; !exists {
+				term.unavailableCounts[upstream.Name]++
 			}
-			term.lost[server.Name] = input.Now
+			term.unavailable[upstream.Name] = input.Now
 			continue
 		}
-		since, lost := term.lost[server.Name]
+		since, unavailable := term.unavailable[upstream.Name]
 		// Each loss doubles the wait, so that an upstream that comes and goes moves nothing.
-		if lost && input.Now.Sub(since) >= term.patience(server.Name) {
-			delete(term.lost, server.Name)
+		if unavailable && input.Now.Sub(since) >= term.returnDelayOf(upstream.Name) {
+			delete(term.unavailable, upstream.Name)
 		}
 	}
 }
 
-func (term *term) down(upstream string, input Input) bool {
+func (term *term) isUnavailable(upstream string, input Input) bool {
 	if input.Refusing[upstream] {
 		// It is still owner, but sends its requests away; it is treated as lost, so that each
 		// time it takes work back and refuses again lengthens the wait for the next.
@@ -38,27 +38,27 @@
 	return term.ledger.IsUnavailable(upstream, input.Now)
 }
 
-func (term *term) patience(upstream string) time.Duration {
-	patience := returnPatience
-	for loss := 1; loss < term.losses[upstream] && patience < maxReturnPatience; loss++ {
-		patience *= 2
+func (term *term) returnDelayOf(upstream string) time.Duration {
+	delay := returnDelay
+	for loss := 1; loss < term.unavailableCounts[upstream] && delay < maxReturnDelay; loss++ {
+		delay *= 2
 	}
-	return min(patience, maxReturnPatience)
+	return min(delay, maxReturnDelay)
 }
 
 func (term *term) candidates(input Input) []cherrykeel.Candidate {
 	var candidates []cherrykeel.Candidate
-	for _, server := range input.Service.Upstreams {
-		_, lost := term.lost[server.Name]
-		if !lost && !input.Draining[server.Name] {
-			candidates = append(candidates, cherrykeel.Candidate{Name: server.Name, Zone: server.Zone})
+	for _, upstream := range input.Service.Upstreams {
+		_, unavailable := term.unavailable[upstream.Name]
+		if !unavailable && !input.Draining[upstream.Name] {
+			candidates = append(candidates, cherrykeel.Candidate{Name: upstream.Name, Zone: upstream.Zone})
 		}
 	}
 	return candidates
 }
 
 // place keeps the placement in the log in step with the upstreams that are there, and the ledger in step with the log.
-func (term *term) place(input Input, actions *Actions) {
+func (term *term) updatePlacement(input Input, actions *Actions) {
 	if term.sequence != input.Block.Sequence {
 		// The log has answered: the proposal is in force, or another one is.
 		term.sequence = input.Block.Sequence
@@ -69,59 +69,59 @@
 		// Until the leases of earlier terms have ended, nothing can change hands anyway.
 		return
 	}
-	term.adopt(input)
-	defer func() { term.promoted = moved(input.Block.Placement, term.current(input)) }()
+	term.adoptHeldAssignments(input)
+	defer func() { term.promoted = countMoved(input.Block.Placement, term.currentPlacement(input)) }()
 	candidates := term.candidates(input)
-	current := term.current(input)
+	current := term.currentPlacement(input)
 	term.ledger.SetTarget(current)
 	if len(candidates) == 0 {
 		return
 	}
 	if term.proposed != nil {
-		term.await(input, candidates, actions)
+		term.awaitLog(input, candidates, actions)
 		return
 	}
-	next, needed := term.next(input, current, candidates)
+	next, needed := term.nextPlacement(input, current, candidates)
 	settling := len(input.Block.Earlier) > 0 && term.ledger.IsSettled(input.Now)
 	if !needed && !settling && term.overlay == nil {
 		return
 	}
-	term.propose(input, next, settling, actions)
+	term.proposePlacement(input, next, settling, actions)
 }
 
 // adopt takes over what an earlier keeper promoted without the log: upstreams that
 // hold partitions which the log gives to others keep them, and it is recorded.
-func (term *term) adopt(input Input) {
+func (term *term) adoptHeldAssignments(input Input) {
 	if term.adopted {
 		return
 	}
 	term.adopted = true
-	found := cherrykeel.Placement{
+	adopted := cherrykeel.Placement{
 		Owners:     append([]string(nil), input.Block.Placement.Owners...),
 		Successors: input.Block.Placement.Successors,
 		HotKeys:    input.Block.Placement.HotKeys,
 	}
-	for _, tenure := range term.ledger.HeldAssignments(input.Now) {
-		for upstream, set := range tenure.Partitions {
+	for _, assignment := range term.ledger.HeldAssignments(input.Now) {
+		for upstream, set := range assignment.Partitions {
 			if _, listed := term.addresses[upstream]; !listed {
 				// A process that is no upstream any more loses what it holds when its lease ends.
 				continue
 			}
 			for partition := range set.EachSet() {
-				if int(partition) < len(found.Owners) {
-					found.Owners[partition] = upstream
+				if int(partition) < len(adopted.Owners) {
+					adopted.Owners[partition] = upstream
 				}
 			}
 		}
 	}
-	if !samePlacement(found, input.Block.Placement) {
-		term.overlay = &found
+	if !samePlacement(adopted, input.Block.Placement) {
+		term.overlay = &adopted
 		term.overlayAt = 0
 	}
 }
 
 // current is the placement in force: the log's, or what was promoted without it.
-func (term *term) current(input Input) cherrykeel.Placement {
+func (term *term) currentPlacement(input Input) cherrykeel.Placement {
 	if term.overlay != nil {
 		return *term.overlay
 	}
@@ -129,14 +129,14 @@
 }
 
 // next returns the placement that should follow, and whether it differs.
-func (term *term) next(input Input, current cherrykeel.Placement, candidates []cherrykeel.Candidate) (cherrykeel.Placement, bool) {
+func (term *term) nextPlacement(input Input, current cherrykeel.Placement, candidates []cherrykeel.Candidate) (cherrykeel.Placement, bool) {
 	budget := 0
-	balancing := input.Now.Sub(term.balancedAt) >= balanceEvery && term.ledger.IsSettled(input.Now)
+	balancing := input.Now.Sub(term.balancedAt) >= balanceInterval && term.ledger.IsSettled(input.Now)
 	if balancing || term.balancedAt == 0 {
 		term.balancedAt = input.Now
-		budget = max(1, int(moveShare*float64(input.Service.Partitions)))
+		budget = max(1, int(maxMoveShare*float64(input.Service.Partitions)))
 	}
-	if budget == 0 && !orphaned(current, input.Service.Partitions, candidates) {
+	if budget == 0 && !hasOrphans(current, input.Service.Partitions, candidates) {
 		return current, false
 	}
 	next := term.placer.Place(current, input.Service.Partitions, candidates, input.Demand, budget)
@@ -144,7 +144,7 @@
 }
 
 // moved counts the partitions that two placements give to different upstreams.
-func moved(one, other cherrykeel.Placement) int {
+func countMoved(one, other cherrykeel.Placement) int {
 	count := 0
 	for partition, owner := range other.Owners {
 		if partition >= len(one.Owners) || one.Owners[partition] != owner {
@@ -154,7 +154,7 @@
 	return count
 }
 
-func orphaned(placement cherrykeel.Placement, partitions int, candidates []cherrykeel.Candidate) bool {
+func hasOrphans(placement cherrykeel.Placement, partitions int, candidates []cherrykeel.Candidate) bool {
 	if len(placement.Owners) != partitions {
 		return true
 	}
@@ -182,7 +182,7 @@
 	return reflect.DeepEqual(one, other)
 }
 
-func (term *term) propose(input Input, next cherrykeel.Placement, settled bool, actions *Actions) {
+func (term *term) proposePlacement(input Input, next cherrykeel.Placement, settled bool, actions *Actions) {
 	assign := fold.Difference(term.service, input.Block.Placement, next)
 	assign.Term = term.number
 	assign.Base = input.Block.Sequence
@@ -194,22 +194,22 @@
 
 // await goes on while the log has not answered: a lost owner's successors, which the
 // log names already, take over without it; everything else waits.
-func (term *term) await(input Input, candidates []cherrykeel.Candidate, actions *Actions) {
+func (term *term) awaitLog(input Input, candidates []cherrykeel.Candidate, actions *Actions) {
 	waited := input.Now.Sub(term.proposedAt)
-	if waited >= assignAgain {
+	if waited >= assignRetryAfter {
 		// The append may still take effect; then the block's sequence refuses the next one.
 		term.proposed = nil
 	}
-	if waited < assignPatience {
+	if waited < assignTimeout {
 		return
 	}
-	promoted := promote(term.current(input), candidates)
-	if !samePlacement(promoted, term.current(input)) {
+	promoted := promoteSuccessors(term.currentPlacement(input), candidates)
+	if !samePlacement(promoted, term.currentPlacement(input)) {
 		term.overlay = &promoted
 		term.overlayAt = 0
 		term.ledger.SetTarget(promoted)
 	}
-	due := term.overlayAt == 0 || input.Now.Sub(term.overlayAt) >= overlayAgain
+	due := term.overlayAt == 0 || input.Now.Sub(term.overlayAt) >= overlayResendAfter
 	if term.overlay != nil && due {
 		term.overlayAt = input.Now
 		actions.Overlay = &Overlay{Service: term.service, Term: term.number, Base: input.Block.Sequence, Placement: *term.overlay}
@@ -217,7 +217,7 @@
 }
 
 // promote gives what lost upstreams owned to the successors that the log names.
-func promote(placement cherrykeel.Placement, candidates []cherrykeel.Candidate) cherrykeel.Placement {
+func promoteSuccessors(placement cherrykeel.Placement, candidates []cherrykeel.Candidate) cherrykeel.Placement {
 	live := map[string]bool{}
 	for _, candidate := range candidates {
 		live[candidate.Name] = true
--- a/keeper/term.go
+++ b/keeper/term.go
@@ -11,108 +11,108 @@
 
 const (
 	// renewShare is the share of a lease after which it is renewed.
-	renewShare = 0.25
-	teachAgain = 150 * time.Millisecond
+	renewShare         = 0.25
+	announceRetryAfter = 150 * time.Millisecond
 	// assignPatience is how long the log may take before a lost upstream's successors are promoted without it.
-	assignPatience = 200 * time.Millisecond
-	assignAgain    = time.Second
-	overlayAgain   = 500 * time.Millisecond
+	assignTimeout      = 200 * time.Millisecond
+	assignRetryAfter   = time.Second
+	overlayResendAfter = 500 * time.Millisecond
 	// balanceEvery is the time between rounds that move work for the sake of balance.
-	balanceEvery = 2 * time.Second
+	balanceInterval = 2 * time.Second
 	// moveShare is the share of partitions that one round may move by choice.
-	moveShare = 1.0 / 32
+	maxMoveShare = 1.0 / 32
 	// returnPatience is how long a lost upstream must answer before it gets work again; it doubles with each loss.
-	returnPatience    = 3 * time.Second
-	maxReturnPatience = 5 * time.Minute
+	returnDelay    = 3 * time.Second
+	maxReturnDelay = 5 * time.Minute
 )
 
 // term is what a keeper knows while its term lasts.
 type term struct {
-	number    int64
-	service   string
-	self      string
-	placer    cherrykeel.Placer
-	ledger    *lease.Ledger
-	quorum    *lease.Quorum
-	earlier   []*earlier
-	failures  map[string]int
-	addresses map[string]string
-	lost      map[string]cherrykeel.Instant
-	losses    map[string]int
-	renewedAt cherrykeel.Instant
-	taughtAt  cherrykeel.Instant
+	number            int64
+	service           string
+	self              string
+	placer            cherrykeel.Placer
+	ledger            *lease.Ledger
+	quorum            *lease.Quorum
+	earlierTerms      []*earlierTerm
+	failures          map[string]int
+	addresses         map[string]string
+	unavailable       map[string]cherrykeel.Instant
+	unavailableCounts map[string]int
+	renewedAt         cherrykeel.Instant
+	announcedAt       cherrykeel.Instant
 
 	// sequence is the block's at which proposed was computed.
-	sequence   int64
-	proposed   *cherrykeel.Placement
-	proposedAt cherrykeel.Instant
-	overlay    *cherrykeel.Placement
-	overlayAt  cherrykeel.Instant
-	balancedAt cherrykeel.Instant
-	reclaimAt  cherrykeel.Instant
-	adopted    bool
-	promoted   int
+	sequence    int64
+	proposed    *cherrykeel.Placement
+	proposedAt  cherrykeel.Instant
+	overlay     *cherrykeel.Placement
+	overlayAt   cherrykeel.Instant
+	balancedAt  cherrykeel.Instant
+	reclaimedAt cherrykeel.Instant
+	adopted     bool
+	promoted    int
 }
 
 // earlier is a term whose witnesses must learn of the new one.
-type earlier struct {
+type earlierTerm struct {
 	fold.EarlierTerm
-	taught map[string]cherrykeel.Instant
+	learnedAt map[string]cherrykeel.Instant
 }
 
 func newTerm(keeper *Keeper, input Input) *term {
 	service := input.Service
 	options := []lease.Option{}
 	if !service.ChecksFences {
-		options = append(options, lease.LeaseToHosts(boundOf(input.Block.Timeout, service)))
+		options = append(options, lease.LeaseToHosts(requestTimeout(input.Block.Timeout, service)))
 	}
 	term := &term{
-		number:    input.Block.Term,
-		service:   keeper.service,
-		self:      keeper.self,
-		placer:    keeper.placer,
-		ledger:    lease.NewLedger(keeper.service, input.Block.Term, input.Block.LeaseLength, partitionOf(service.Partitions), options...),
-		quorum:    lease.NewQuorum(input.Block.Witnesses),
-		failures:  map[string]int{},
-		addresses: map[string]string{},
-		lost:      map[string]cherrykeel.Instant{},
-		losses:    map[string]int{},
+		number:            input.Block.Term,
+		service:           keeper.service,
+		self:              keeper.self,
+		placer:            keeper.placer,
+		ledger:            lease.NewLedger(keeper.service, input.Block.Term, input.Block.LeaseLength, partitionOf(service.Partitions), options...),
+		quorum:            lease.NewQuorum(input.Block.Witnesses),
+		failures:          map[string]int{},
+		addresses:         map[string]string{},
+		unavailable:       map[string]cherrykeel.Instant{},
+		unavailableCounts: map[string]int{},
 	}
 	for _, replaced := range input.Block.Earlier {
-		term.earlier = append(term.earlier, &earlier{EarlierTerm: replaced, taught: map[string]cherrykeel.Instant{}})
+		term.earlierTerms = append(term.earlierTerms, &earlierTerm{EarlierTerm: replaced, learnedAt: map[string]cherrykeel.Instant{}})
 	}
 	return term
 }
 
 // issued reports whether an order was made in this term.
-func (term *term) issued(order lease.Order) bool {
+func (term *term) hasIssued(order lease.Order) bool {
 	return order.Query || order.Grant.Fence.Term == term.number
 }
 
-func (term *term) failed(order lease.Order) {
+func (term *term) recordFailure(order lease.Order) {
 	term.failures[order.Lessee]++
 	term.ledger.RecordFailure(order)
 }
 
 func (term *term) tick(input Input, actions *Actions) {
-	term.teach(input, actions)
-	term.free(input)
-	term.watchAddresses(input)
+	term.announceTerm(input, actions)
+	term.updateFreeAt(input)
+	term.recordAddressChanges(input)
 	term.ledger.SetLessees(term.lessees(input))
-	term.watchUpstreams(input)
-	term.place(input, actions)
+	term.updateUnavailable(input)
+	term.updatePlacement(input, actions)
 	term.renew(input, actions)
 	term.refreshWitnesses(input, actions)
 }
 
 // watchAddresses tells the ledger of upstreams that are other processes now.
-func (term *term) watchAddresses(input Input) {
-	for _, server := range input.Service.Upstreams {
-		address, known := term.addresses[server.Name]
-		if known && address != server.Address && input.Service.ChecksFences {
-			term.ledger.RecordAddressChange(server.Name)
+func (term *term) recordAddressChanges(input Input) {
+	for _, upstream := range input.Service.Upstreams {
+		address, exists := term.addresses[upstream.Name]
+		if exists && address != upstream.Address && input.Service.ChecksFences {
+			term.ledger.RecordAddressChange(upstream.Name)
 		}
-		term.addresses[server.Name] = server.Address
+		term.addresses[upstream.Name] = upstream.Address
 	}
 }
 
@@ -124,74 +124,74 @@
 		}
 		return names
 	}
-	for _, server := range input.Service.Upstreams {
-		names = append(names, server.Name)
+	for _, upstream := range input.Service.Upstreams {
+		names = append(names, upstream.Name)
 	}
 	return names
 }
 
 // teach tells the witnesses of earlier terms that they are over.
-func (term *term) teach(input Input, actions *Actions) {
-	if term.ledger.FreeAt() != lease.Never || input.Now.Sub(term.taughtAt) < teachAgain && term.taughtAt != 0 {
+func (term *term) announceTerm(input Input, actions *Actions) {
+	if term.ledger.FreeAt() != lease.Never || input.Now.Sub(term.announcedAt) < announceRetryAfter && term.announcedAt != 0 {
 		return
 	}
-	term.taughtAt = input.Now
-	for _, earlier := range term.earlier {
-		for _, host := range earlier.Witnesses {
-			if earlier.taught[host] != 0 {
+	term.announcedAt = input.Now
+	for _, earlierTerm := range term.earlierTerms {
+		for _, host := range earlierTerm.Witnesses {
+			if earlierTerm.learnedAt[host] != 0 {
 				continue
 			}
 			if input.RemovedHosts[host] {
 				// A host that the platform has taken off the list for long is destroyed,
 				// or was paused so long that it abstains when it wakes.
-				earlier.taught[host] = input.Now
+				earlierTerm.learnedAt[host] = input.Now
 				continue
 			}
-			actions.TermNotices = append(actions.TermNotices, TermNotice{Host: host, EarlierTerm: earlier.Term, Term: term.number})
+			actions.TermNotices = append(actions.TermNotices, TermNotice{Host: host, EarlierTerm: earlierTerm.Term, Term: term.number})
 		}
 	}
 }
 
-func (term *term) taught(teaching TermNotice, now cherrykeel.Instant) {
-	for _, earlier := range term.earlier {
-		if earlier.Term == teaching.EarlierTerm && earlier.taught[teaching.Host] == 0 {
-			earlier.taught[teaching.Host] = now
+func (term *term) recordTermLearned(notice TermNotice, now cherrykeel.Instant) {
+	for _, earlierTerm := range term.earlierTerms {
+		if earlierTerm.Term == notice.EarlierTerm && earlierTerm.learnedAt[notice.Host] == 0 {
+			earlierTerm.learnedAt[notice.Host] = now
 		}
 	}
 }
 
 // free works out when the leases of all earlier terms have ended: a lease's length
 // after a majority of each term's witnesses stopped confirming it.
-func (term *term) free(input Input) {
+func (term *term) updateFreeAt(input Input) {
 	if term.ledger.FreeAt() != lease.Never {
 		return
 	}
 	freeAt := cherrykeel.Instant(0)
-	for _, earlier := range term.earlier {
-		learned := earlier.learnedAt()
-		if learned == 0 {
+	for _, earlierTerm := range term.earlierTerms {
+		learnedAt := earlierTerm.majorityLearnedAt()
+		if learnedAt == 0 {
 			return
 		}
-		longest := lease.MaxElapsed(earlier.LeaseLength)
-		if bound := boundOf(earlier.Timeout, input.Service); bound > 0 {
-			longest += lease.MaxElapsed(lease.MaxProcessingTime(bound))
+		longest := lease.MaxElapsed(earlierTerm.LeaseLength)
+		if timeout := requestTimeout(earlierTerm.Timeout, input.Service); timeout > 0 {
+			longest += lease.MaxElapsed(lease.MaxProcessingTime(timeout))
 		}
-		freeAt = max(freeAt, learned.Add(longest))
+		freeAt = max(freeAt, learnedAt.Add(longest))
 	}
 	term.ledger.SetFreeAt(freeAt)
 }
 
 // boundOf returns the bound on the requests of a term: the claim's, not that of the settings, which may have
 // changed while requests run that were sent before. Claims of older programs name none.
-func boundOf(claimed time.Duration, service *cherrykeel.Service) time.Duration {
+func requestTimeout(claimed time.Duration, service *cherrykeel.Service) time.Duration {
 	if claimed > 0 {
 		return claimed
 	}
-	return timeoutOf(service)
+	return configuredTimeout(service)
 }
 
 // timeoutOf returns the bound that a claim names by the settings in force.
-func timeoutOf(service *cherrykeel.Service) time.Duration {
+func configuredTimeout(service *cherrykeel.Service) time.Duration {
 	if service.ChecksFences {
 		return 0
 	}
@@ -199,29 +199,29 @@
 }
 
 // learnedAt returns when a majority had learned, or 0.
-func (earlier *earlier) learnedAt() cherrykeel.Instant {
-	var at []cherrykeel.Instant
-	for _, host := range earlier.Witnesses {
-		if earlier.taught[host] != 0 {
-			at = append(at, earlier.taught[host])
+func (earlierTerm *earlierTerm) majorityLearnedAt() cherrykeel.Instant {
+	var instants []cherrykeel.Instant
+	for _, host := range earlierTerm.Witnesses {
+		if earlierTerm.learnedAt[host] != 0 {
+			instants = append(instants, earlierTerm.learnedAt[host])
 		}
 	}
-	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
-	needed := len(earlier.Witnesses)/2 + 1
-	if len(at) < needed {
+	sort.Slice(instants, func(i, j int) bool { return instants[i] < instants[j] })
+	needed := len(earlierTerm.Witnesses)/2 + 1
+	if len(instants) < needed {
 		return 0
 	}
-	return at[needed-1]
+	return instants[needed-1]
 }
 
 // renew asks the witnesses and sends the leases.
 func (term *term) renew(input Input, actions *Actions) {
-	every := time.Duration(renewShare * float64(input.Block.LeaseLength))
+	interval := time.Duration(renewShare * float64(input.Block.LeaseLength))
 	settled := term.ledger.IsSettled(input.Now)
-	if settled && term.renewedAt != 0 && input.Now.Sub(term.renewedAt) < every {
+	if settled && term.renewedAt != 0 && input.Now.Sub(term.renewedAt) < interval {
 		return
 	}
-	if term.renewedAt == 0 || !settled || input.Now.Sub(term.renewedAt) >= every {
+	if term.renewedAt == 0 || !settled || input.Now.Sub(term.renewedAt) >= interval {
 		// While something changes hands, the witnesses are asked at every tick: what a lost
 		// upstream held is free only once they have confirmed the term after its lease's end.
 		term.renewedAt = input.Now
@@ -235,21 +235,21 @@
 // renewed without them.
 func (term *term) refreshWitnesses(input Input, actions *Actions) {
 	missing := term.missingWitnesses(input)
-	better := ChooseWitnesses(term.service, term.self, input.Hosts)
-	grown := len(better) > len(input.Block.Witnesses)
-	stuck := 2*missing > len(input.Block.Witnesses)
-	wanted := missing > 0 || grown || timeoutOf(input.Service) != input.Block.Timeout
-	recent := term.reclaimAt != 0 && input.Now.Sub(term.reclaimAt) < listPatience
-	if !wanted || recent || input.Leaving || !stuck && !term.ledger.IsSettled(input.Now) {
+	witnesses := ChooseWitnesses(term.service, term.self, input.Hosts)
+	moreAvailable := len(witnesses) > len(input.Block.Witnesses)
+	mostMissing := 2*missing > len(input.Block.Witnesses)
+	shouldClaim := missing > 0 || moreAvailable || configuredTimeout(input.Service) != input.Block.Timeout
+	recent := term.reclaimedAt != 0 && input.Now.Sub(term.reclaimedAt) < unlistedTimeout
+	if !shouldClaim || recent || input.Leaving || !mostMissing && !term.ledger.IsSettled(input.Now) {
 		return
 	}
-	term.reclaimAt = input.Now
+	term.reclaimedAt = input.Now
 	actions.Claim = &fold.Claim{
 		Service:     term.service,
 		Term:        term.number,
 		LeaseLength: input.Service.LeaseLength,
-		Timeout:     timeoutOf(input.Service),
-		Witnesses:   better,
+		Timeout:     configuredTimeout(input.Service),
+		Witnesses:   witnesses,
 	}
 }
 
@@ -269,7 +269,7 @@
 
 func (term *term) report(now cherrykeel.Instant) Report {
 	report := Report{Term: term.number, Settled: term.ledger.IsSettled(now), ConfirmedAge: now.Sub(term.quorum.ConfirmedAt())}
-	for name := range term.lost {
+	for name := range term.unavailable {
 		report.Unavailable = append(report.Unavailable, name)
 	}
 	sort.Strings(report.Unavailable)
