--- a/keeper/bid.go
+++ b/keeper/bid.go
@@ -12,20 +12,23 @@
 )
 
 const (
+	// maxWitnesses limits the witnesses of a keeper.
 	maxWitnesses = 5
-	// bidStep is the time between the claims of hosts that follow one another in rank.
+	// claimDelayPerRank is the time between the claims of hosts with consecutive ranks.
 	claimDelayPerRank = 80 * time.Millisecond
-	// bidAgain is how long a host waits for the outcome of its claim.
+	// claimRetryAfter is how long a host waits for the outcome of its claim before it claims again.
 	claimRetryAfter = time.Second
-	// silenceShare is the share of a lease after which a keeper that asks nothing is suspected.
+	// silenceShare is the share of the lease duration without a request from the keeper after which a witness
+	// suspects it.
 	silenceShare = 0.4
-	// voteAge is how long another witness's word on the keeper's silence counts.
+	// maxReportAge is how long another witness's report of the keeper's silence counts.
 	maxReportAge = 500 * time.Millisecond
-	// listPatience is how long a keeper must be off the list before that alone makes others claim.
+	// unlistedTimeout is how long a keeper must be missing from the platform's list before other hosts claim for that
+	// reason alone.
 	unlistedTimeout = 3 * time.Second
 )
 
-// bidder decides when a host claims a service's term.
+// claimer decides when a host claims the keeper's role for a service.
 type claimer struct {
 	self           string
 	service        string
@@ -36,7 +39,7 @@
 	requestedAt    cherrykeel.Instant
 }
 
-// decide returns a claim if this host should take the role now.
+// decide adds a claim to the actions if this host should take the role now.
 func (claimer *claimer) decide(input Input, witness *lease.Witness, actions *Actions) {
 	isVacant, silent := claimer.vacancy(input, witness, actions)
 	if !isVacant {
@@ -66,14 +69,15 @@
 	}
 }
 
-// vacant reports whether the service needs another keeper, and whether only its witnesses know.
+// vacancy reports whether the service needs another keeper, and whether only the witnesses of the current keeper can
+// tell.
 func (claimer *claimer) vacancy(input Input, witness *lease.Witness, actions *Actions) (vacant, silent bool) {
 	block := input.Block
 	if block.Term == 0 {
 		return true, false
 	}
 	if block.Keeper == claimer.self {
-		// A process that was started anew under its old name does not know what leases it gave.
+		// A restarted process does not know which leases the previous process of its host has granted.
 		return input.ClaimedTerm != block.Term, false
 	}
 	if claimer.hasKeeperLeft(input) {
@@ -83,7 +87,8 @@
 	return silent, silent
 }
 
-// listed reports whether the platform's list shows the keeper as leaving, or has not shown it for long.
+// hasKeeperLeft reports whether the platform's list shows the keeper as leaving, or has not contained it for
+// unlistedTimeout.
 func (claimer *claimer) hasKeeperLeft(input Input) bool {
 	for _, host := range input.Hosts {
 		if host.Name == input.Block.Keeper {
@@ -97,8 +102,8 @@
 	return input.Now.Sub(claimer.unlistedSince) >= unlistedTimeout
 }
 
-// silent reports whether a majority of the keeper's witnesses have not been asked for a while.
-// The view of one host moves nothing: it may itself be the one that is cut off.
+// isKeeperSilent reports whether a majority of the keeper's witnesses have not received a request from it for a
+// while. The view of a single host is not enough: it may itself be the unreachable one.
 func (claimer *claimer) isKeeperSilent(input Input, witness *lease.Witness, actions *Actions) bool {
 	limit := time.Duration(silenceShare * float64(input.Block.LeaseLength))
 	isWitness := false
@@ -122,7 +127,7 @@
 	return 2*count > len(input.Block.Witnesses)
 }
 
-// heardSilence records what another witness says of the keeper's silence.
+// recordSilence records how long another witness has not received a request from the keeper.
 func (claimer *claimer) recordSilence(host string, silence, leaseLength time.Duration, now cherrykeel.Instant) {
 	delete(claimer.silenceReports, host)
 	if silence >= time.Duration(silenceShare*float64(leaseLength)) {
@@ -130,8 +135,8 @@
 	}
 }
 
-// rank returns this host's place among those that may claim, or -1: among the witnesses
-// where only they know that the keeper is silent, else among all hosts.
+// rank returns this host's position among the hosts that may claim, or -1: among the witnesses if only they can tell
+// that the keeper is silent, and otherwise among all hosts.
 func (claimer *claimer) rank(input Input, silent bool) int {
 	witnesses := map[string]bool{}
 	for _, name := range input.Block.Witnesses {
@@ -152,7 +157,8 @@
 	return -1
 }
 
-// RankByHash orders names by a hash of the service and the name, so that services spread over hosts.
+// RankByHash sorts names by a hash of the service and the name, so that the keepers of services are spread over
+// hosts.
 func RankByHash(service string, names []string) []string {
 	ranked := append([]string(nil), names...)
 	sort.Slice(ranked, func(i, j int) bool {
@@ -165,7 +171,8 @@
 	return ranked
 }
 
-// ChooseWitnesses names an odd number of hosts, at most five, spread over availability zones, the keeper among them.
+// ChooseWitnesses returns the witnesses of a keeper: an odd number of hosts, at most five, spread over availability
+// zones and including the keeper itself.
 func ChooseWitnesses(service, self string, hosts []Host) []string {
 	zones := map[string]string{}
 	names := []string{}
@@ -195,6 +202,7 @@
 	return chosen
 }
 
+// exclude returns the names without one of them.
 func exclude(names []string, excluded string) []string {
 	var kept []string
 	for _, name := range names {
--- a/keeper/input.go
+++ b/keeper/input.go
@@ -6,36 +6,37 @@
 	"cherrykeel/lease"
 )
 
-// Host is an entry host as the membership sees it.
+// Host is an entry host on the platform's list.
 type Host struct {
 	Name    string
 	Zone    string
 	Leaving bool
 }
 
-// Input is all that a decision rests on.
+// Input is everything that a decision depends on.
 type Input struct {
 	Now     cherrykeel.Instant
 	Block   fold.Block
 	Service *cherrykeel.Service
-	// Hosts are the entry hosts on the platform's list, this one included.
+	// Hosts are the entry hosts on the platform's list, including this one.
 	Hosts []Host
-	// RemovedHosts are hosts that have been off the list for long.
+	// RemovedHosts are hosts that have been missing from the list for long.
 	RemovedHosts map[string]bool
-	// Leaving says that this host is about to stop.
+	// Leaving is true when this host is about to stop.
 	Leaving bool
 	// Draining are upstreams that must get no new work.
 	Draining map[string]bool
-	// Unreachable are upstreams that most hosts cannot reach; it counts where leases do not tell.
+	// Unreachable are upstreams that most hosts cannot reach. It is used only if upstreams do not check fences, since
+	// their availability does not show from leases.
 	Unreachable map[string]bool
-	// Refusing are upstreams that have said themselves, of late, that they take no new work.
+	// Refusing are upstreams that have recently reported that they accept no new work.
 	Refusing map[string]bool
 	Demand   cherrykeel.Demand
-	// ClaimedTerm is the term that this very process claimed, or 0.
+	// ClaimedTerm is the term that this process itself claimed, or 0.
 	ClaimedTerm int64
 }
 
-// TermNotice asks a witness of an earlier term to learn the new one.
+// TermNotice asks a witness of an earlier term to record the new one.
 type TermNotice struct {
 	Host string
 	// EarlierTerm is the term whose witness the host was.
@@ -43,21 +44,22 @@
 	Term        int64
 }
 
-// Overlay is a placement in force that the log does not hold yet.
+// Overlay is a placement that is in force before the log contains it.
 type Overlay struct {
-	Service   string
-	Term      int64
+	Service string
+	Term    int64
+	// Base is the sequence of the placement in the log on which the overlay is based.
 	Base      int64
 	Placement cherrykeel.Placement
 }
 
-// Actions are what a decision wants done.
+// Actions are the results of a decision, to be carried out by the caller.
 type Actions struct {
 	Orders []lease.Order
 	// RequestConfirmation are witnesses to ask whether the term is still the newest.
 	RequestConfirmation []string
 	TermNotices         []TermNotice
-	// RequestSilence are fellow witnesses to ask how long the keeper has been silent.
+	// RequestSilence are other witnesses to ask how long they have received no request from the keeper.
 	RequestSilence []string
 	Claim          *fold.Claim
 	Assign         *fold.Assign
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -8,8 +8,8 @@
 	"cherrykeel/route"
 )
 
-// Keeper decides for one service on one host, whether or not the host holds the role.
-// It is not safe for use by several goroutines.
+// Keeper decides for one service on one host, whether or not the host holds the keeper's role. It is not safe for
+// concurrent use.
 type Keeper struct {
 	self    string
 	service string
@@ -19,7 +19,7 @@
 	term    *term
 }
 
-// New returns the decisions of a host for a service; the witness is the host's own.
+// New returns the Keeper of a host for a service. The witness is the host's own.
 func New(self, service string, witness *lease.Witness, placer cherrykeel.Placer) *Keeper {
 	return &Keeper{
 		self:    self,
@@ -30,7 +30,7 @@
 	}
 }
 
-// Tick returns what to do now; it is called several times within a lease's length.
+// Tick returns what to do now. It is called several times within a lease duration.
 func (keeper *Keeper) Tick(input Input) Actions {
 	var actions Actions
 	keeper.witness.RecordTerm(keeper.service, input.Block.Term)
@@ -47,45 +47,46 @@
 	return actions
 }
 
-// HoldsRole reports whether this host holds the role, as far as it knows.
+// HoldsRole reports whether this host held the keeper's role at the last Tick.
 func (keeper *Keeper) HoldsRole() bool {
 	return keeper.term != nil
 }
 
-// RecordAnswer takes in a lessee's answer to an order of a term.
+// RecordAnswer records a lessee's answer to an order.
 func (keeper *Keeper) RecordAnswer(order lease.Order, holding cherrykeel.Holding, received cherrykeel.Instant) {
 	if keeper.term != nil && keeper.term.hasIssued(order) {
 		keeper.term.ledger.RecordAnswer(order, holding, received)
 	}
 }
 
-// RecordFailure takes in that an order got no answer.
+// RecordFailure records that an order was not answered.
 func (keeper *Keeper) RecordFailure(order lease.Order) {
 	if keeper.term != nil && keeper.term.hasIssued(order) {
 		keeper.term.recordFailure(order)
 	}
 }
 
-// RecordConfirmation takes in that a witness confirmed the term, in answer to a question sent at an instant.
+// RecordConfirmation records that a witness confirmed the term, in answer to a request sent at an instant.
 func (keeper *Keeper) RecordConfirmation(host string, term int64, sent cherrykeel.Instant) {
 	if keeper.term != nil && keeper.term.number == term {
 		keeper.term.quorum.RecordConfirmation(host, sent)
 	}
 }
 
-// RecordTermLearned takes in that a witness has learned the term.
+// RecordTermLearned records that a witness of an earlier term has recorded the new one.
 func (keeper *Keeper) RecordTermLearned(notice TermNotice, now cherrykeel.Instant) {
 	if keeper.term != nil && keeper.term.number == notice.Term {
 		keeper.term.recordTermLearned(notice, now)
 	}
 }
 
-// RecordSilence takes in how long another witness has not been asked by the keeper.
+// RecordSilence records how long another witness has not received a request from the keeper.
 func (keeper *Keeper) RecordSilence(host string, silence, leaseLength time.Duration, now cherrykeel.Instant) {
 	keeper.claimer.recordSilence(host, silence, leaseLength, now)
 }
 
-// ShouldRelay reports whether an order should go through another host, since the direct way has failed.
+// ShouldRelay reports whether an order should go through another host: after each failure it alternates between the
+// direct way and another host.
 func (keeper *Keeper) ShouldRelay(order lease.Order) bool {
 	return keeper.term != nil && keeper.term.failures[order.Lessee]%2 == 1
 }
@@ -96,13 +97,13 @@
 	Settled bool
 	// ConfirmedAge is how long ago a majority of witnesses last confirmed the term.
 	ConfirmedAge time.Duration `json:"Confirmed"`
-	// Unavailable are upstreams whose leases have ended for want of answers.
+	// Unavailable are upstreams that get no keys, because they do not answer or because they refuse work.
 	Unavailable []string `json:"Lost"`
-	// Promoted counts partitions in force at another upstream than the log says.
+	// Promoted counts the partitions whose owner in force differs from the one in the log.
 	Promoted int
 }
 
-// Report returns the state of the term; it reports false on a host that does not hold the role.
+// Report returns the state of the term. It returns false on a host that does not hold the role.
 func (keeper *Keeper) Report(now cherrykeel.Instant) (Report, bool) {
 	if keeper.term == nil {
 		return Report{}, false
@@ -110,6 +111,7 @@
 	return keeper.term.report(now), true
 }
 
+// partitionOf returns the function that maps a key to its partition.
 func partitionOf(partitions int) func(string) int {
 	return func(key string) int {
 		return route.Partition(key, partitions)
--- a/keeper/place.go
+++ b/keeper/place.go
@@ -8,7 +8,8 @@
 	"cherrykeel/fold"
 )
 
-// watchUpstreams notes which upstreams are lost, and takes back those that have answered for long enough.
+// updateUnavailable records which upstreams are unavailable, and readmits those that have been available for long
+// enough.
 func (term *term) updateUnavailable(input Input) {
 	for _, upstream := range input.Service.Upstreams {
 		if term.isUnavailable(upstream.Name, input) {
@@ -19,7 +20,7 @@
 			continue
 		}
 		since, unavailable := term.unavailable[upstream.Name]
-		// Each loss doubles the wait, so that an upstream that comes and goes moves nothing.
+		// Each loss doubles the delay, so that an upstream that fails repeatedly does not cause moves each time.
 		if unavailable && input.Now.Sub(since) >= term.returnDelayOf(upstream.Name) {
 			delete(term.unavailable, upstream.Name)
 		}
@@ -28,8 +29,8 @@
 
 func (term *term) isUnavailable(upstream string, input Input) bool {
 	if input.Refusing[upstream] {
-		// It is still owner, but sends its requests away; it is treated as lost, so that each
-		// time it takes work back and refuses again lengthens the wait for the next.
+		// The upstream still owns keys but refuses their requests. It is treated as unavailable, so that the delay
+		// grows each time it gets work back and refuses again.
 		return true
 	}
 	if !input.Service.ChecksFences {
@@ -38,6 +39,7 @@
 	return term.ledger.IsUnavailable(upstream, input.Now)
 }
 
+// returnDelayOf returns how long an upstream must be available before it gets work again.
 func (term *term) returnDelayOf(upstream string) time.Duration {
 	delay := returnDelay
 	for loss := 1; loss < term.unavailableCounts[upstream] && delay < maxReturnDelay; loss++ {
@@ -46,6 +48,7 @@
 	return min(delay, maxReturnDelay)
 }
 
+// candidates returns the upstreams that may get keys.
 func (term *term) candidates(input Input) []cherrykeel.Candidate {
 	var candidates []cherrykeel.Candidate
 	for _, upstream := range input.Service.Upstreams {
@@ -57,16 +60,17 @@
 	return candidates
 }
 
-// place keeps the placement in the log in step with the upstreams that are there, and the ledger in step with the log.
+// updatePlacement proposes a new placement to the log when the available upstreams or their load change, and sets the
+// ledger's target to the placement in force.
 func (term *term) updatePlacement(input Input, actions *Actions) {
 	if term.sequence != input.Block.Sequence {
-		// The log has answered: the proposal is in force, or another one is.
+		// The log has a new placement: the proposal, or another one.
 		term.sequence = input.Block.Sequence
 		term.proposed = nil
 		term.overlay = nil
 	}
 	if input.Now < term.ledger.FreeAt() {
-		// Until the leases of earlier terms have ended, nothing can change hands anyway.
+		// Until the leases of earlier terms have ended, no key can get another owner.
 		return
 	}
 	term.adoptHeldAssignments(input)
@@ -89,8 +93,8 @@
 	term.proposePlacement(input, next, settling, actions)
 }
 
-// adopt takes over what an earlier keeper promoted without the log: upstreams that
-// hold partitions which the log gives to others keep them, and it is recorded.
+// adoptHeldAssignments adopts what an earlier keeper promoted while the log was unavailable: upstreams that hold
+// partitions which the log assigns to others keep them, and the keeper proposes that placement to the log.
 func (term *term) adoptHeldAssignments(input Input) {
 	if term.adopted {
 		return
@@ -120,7 +124,7 @@
 	}
 }
 
-// current is the placement in force: the log's, or what was promoted without it.
+// currentPlacement returns the placement in force: the log's, or one that was promoted without it.
 func (term *term) currentPlacement(input Input) cherrykeel.Placement {
 	if term.overlay != nil {
 		return *term.overlay
@@ -128,7 +132,7 @@
 	return input.Block.Placement
 }
 
-// next returns the placement that should follow, and whether it differs.
+// nextPlacement returns the placement that should follow, and whether it differs from the current one.
 func (term *term) nextPlacement(input Input, current cherrykeel.Placement, candidates []cherrykeel.Candidate) (cherrykeel.Placement, bool) {
 	budget := 0
 	balancing := input.Now.Sub(term.balancedAt) >= balanceInterval && term.ledger.IsSettled(input.Now)
@@ -143,7 +147,7 @@
 	return next, !samePlacement(current, next)
 }
 
-// moved counts the partitions that two placements give to different upstreams.
+// countMoved counts the partitions that have different owners in two placements.
 func countMoved(one, other cherrykeel.Placement) int {
 	count := 0
 	for partition, owner := range other.Owners {
@@ -154,6 +158,7 @@
 	return count
 }
 
+// hasOrphans reports whether a partition or hot key has no owner among the candidates.
 func hasOrphans(placement cherrykeel.Placement, partitions int, candidates []cherrykeel.Candidate) bool {
 	if len(placement.Owners) != partitions {
 		return true
@@ -175,6 +180,7 @@
 	return false
 }
 
+// samePlacement reports whether two placements are equal, where no hot keys and an empty map are the same.
 func samePlacement(one, other cherrykeel.Placement) bool {
 	if len(one.HotKeys) == 0 && len(other.HotKeys) == 0 {
 		one.HotKeys, other.HotKeys = nil, nil
@@ -192,12 +198,12 @@
 	actions.Assign = &assign
 }
 
-// await goes on while the log has not answered: a lost owner's successors, which the
-// log names already, take over without it; everything else waits.
+// awaitLog handles a proposal that the log has not answered yet. The successors of an unavailable owner, which the
+// log already names, take over without the log; everything else waits.
 func (term *term) awaitLog(input Input, candidates []cherrykeel.Candidate, actions *Actions) {
 	waited := input.Now.Sub(term.proposedAt)
 	if waited >= assignRetryAfter {
-		// The append may still take effect; then the block's sequence refuses the next one.
+		// The append may still take effect; the log then rejects the next proposal, which names the old sequence.
 		term.proposed = nil
 	}
 	if waited < assignTimeout {
@@ -216,7 +222,7 @@
 	}
 }
 
-// promote gives what lost upstreams owned to the successors that the log names.
+// promoteSuccessors assigns what unavailable upstreams owned to the successors that the log names.
 func promoteSuccessors(placement cherrykeel.Placement, candidates []cherrykeel.Candidate) cherrykeel.Placement {
 	live := map[string]bool{}
 	for _, candidate := range candidates {
@@ -233,7 +239,7 @@
 		}
 	}
 	for key, owner := range placement.HotKeys {
-		// A hot key of a lost upstream goes back to its partition until the log is there again.
+		// A hot key of an unavailable upstream goes back to its partition until the log is available.
 		if live[owner] {
 			promoted.HotKeys[key] = owner
 		}
--- a/keeper/term.go
+++ b/keeper/term.go
@@ -10,39 +10,47 @@
 )
 
 const (
-	// renewShare is the share of a lease after which it is renewed.
-	renewShare         = 0.25
+	// renewShare is the share of the lease duration after which leases are renewed.
+	renewShare = 0.25
+	// announceRetryAfter is the time between term notices to witnesses that have not recorded the new term.
 	announceRetryAfter = 150 * time.Millisecond
-	// assignPatience is how long the log may take before a lost upstream's successors are promoted without it.
-	assignTimeout      = 200 * time.Millisecond
-	assignRetryAfter   = time.Second
+	// assignTimeout is how long the log may take before the successors of an unavailable upstream are promoted
+	// without it.
+	assignTimeout = 200 * time.Millisecond
+	// assignRetryAfter is how long the keeper waits for the log before it proposes a placement again.
+	assignRetryAfter = time.Second
+	// overlayResendAfter is the time after which an overlay is sent to all hosts again.
 	overlayResendAfter = 500 * time.Millisecond
-	// balanceEvery is the time between rounds that move work for the sake of balance.
+	// balanceInterval is the time between rounds that move keys for balance.
 	balanceInterval = 2 * time.Second
-	// moveShare is the share of partitions that one round may move by choice.
+	// maxMoveShare is the share of the partitions that one round may move for balance.
 	maxMoveShare = 1.0 / 32
-	// returnPatience is how long a lost upstream must answer before it gets work again; it doubles with each loss.
+	// returnDelay is how long an upstream that was unavailable must answer before it gets work again. It doubles with
+	// each loss, up to maxReturnDelay.
 	returnDelay    = 3 * time.Second
 	maxReturnDelay = 5 * time.Minute
 )
 
-// term is what a keeper knows while its term lasts.
+// term is the state of a keeper during its term.
 type term struct {
-	number            int64
-	service           string
-	self              string
-	placer            cherrykeel.Placer
-	ledger            *lease.Ledger
-	quorum            *lease.Quorum
-	earlierTerms      []*earlierTerm
-	failures          map[string]int
-	addresses         map[string]string
+	number       int64
+	service      string
+	self         string
+	placer       cherrykeel.Placer
+	ledger       *lease.Ledger
+	quorum       *lease.Quorum
+	earlierTerms []*earlierTerm
+	// failures counts the failed orders of each lessee.
+	failures  map[string]int
+	addresses map[string]string
+	// unavailable is when each unavailable upstream was last found to be so, and unavailableCounts how often each one
+	// became unavailable.
 	unavailable       map[string]cherrykeel.Instant
 	unavailableCounts map[string]int
 	renewedAt         cherrykeel.Instant
 	announcedAt       cherrykeel.Instant
 
-	// sequence is the block's at which proposed was computed.
+	// sequence is the sequence of the block from which proposed was computed.
 	sequence    int64
 	proposed    *cherrykeel.Placement
 	proposedAt  cherrykeel.Instant
@@ -50,11 +58,13 @@
 	overlayAt   cherrykeel.Instant
 	balancedAt  cherrykeel.Instant
 	reclaimedAt cherrykeel.Instant
-	adopted     bool
-	promoted    int
+	// adopted is true once the assignments of earlier terms were adopted.
+	adopted bool
+	// promoted counts the partitions whose owner in force differs from the one in the log.
+	promoted int
 }
 
-// earlier is a term whose witnesses must learn of the new one.
+// earlierTerm is a replaced term whose witnesses must learn of the new one.
 type earlierTerm struct {
 	fold.EarlierTerm
 	learnedAt map[string]cherrykeel.Instant
@@ -84,7 +94,7 @@
 	return term
 }
 
-// issued reports whether an order was made in this term.
+// hasIssued reports whether an order belongs to this term.
 func (term *term) hasIssued(order lease.Order) bool {
 	return order.Query || order.Grant.Fence.Term == term.number
 }
@@ -105,7 +115,7 @@
 	term.refreshWitnesses(input, actions)
 }
 
-// watchAddresses tells the ledger of upstreams that are other processes now.
+// recordAddressChanges tells the ledger which upstreams have another address now, and so are other processes.
 func (term *term) recordAddressChanges(input Input) {
 	for _, upstream := range input.Service.Upstreams {
 		address, exists := term.addresses[upstream.Name]
@@ -116,6 +126,7 @@
 	}
 }
 
+// lessees returns the upstreams, or the entry hosts if the upstreams do not check fences.
 func (term *term) lessees(input Input) []string {
 	var names []string
 	if !input.Service.ChecksFences {
@@ -130,7 +141,7 @@
 	return names
 }
 
-// teach tells the witnesses of earlier terms that they are over.
+// announceTerm requests that the witnesses of earlier terms record the new one.
 func (term *term) announceTerm(input Input, actions *Actions) {
 	if term.ledger.FreeAt() != lease.Never || input.Now.Sub(term.announcedAt) < announceRetryAfter && term.announcedAt != 0 {
 		return
@@ -142,8 +153,8 @@
 				continue
 			}
 			if input.RemovedHosts[host] {
-				// A host that the platform has taken off the list for long is destroyed,
-				// or was paused so long that it abstains when it wakes.
+				// A host that the platform removed from its list long ago is destroyed, or was suspended for so long
+				// that it abstains when it resumes.
 				earlierTerm.learnedAt[host] = input.Now
 				continue
 			}
@@ -160,8 +171,9 @@
 	}
 }
 
-// free works out when the leases of all earlier terms have ended: a lease's length
-// after a majority of each term's witnesses stopped confirming it.
+// updateFreeAt computes when the leases of all earlier terms have ended: a lease duration after a majority of each
+// term's witnesses stopped confirming it, and for upstreams that do not check fences also the time for which they may
+// still work on requests.
 func (term *term) updateFreeAt(input Input) {
 	if term.ledger.FreeAt() != lease.Never {
 		return
@@ -181,8 +193,8 @@
 	term.ledger.SetFreeAt(freeAt)
 }
 
-// boundOf returns the bound on the requests of a term: the claim's, not that of the settings, which may have
-// changed while requests run that were sent before. Claims of older programs name none.
+// requestTimeout returns the limit on the requests of a term. It is the one in the claim, not in the settings, which
+// may have changed while earlier requests still run. Claims of older versions have none.
 func requestTimeout(claimed time.Duration, service *cherrykeel.Service) time.Duration {
 	if claimed > 0 {
 		return claimed
@@ -190,7 +202,7 @@
 	return configuredTimeout(service)
 }
 
-// timeoutOf returns the bound that a claim names by the settings in force.
+// configuredTimeout returns the limit that a claim gets from the current settings, or 0 if upstreams check fences.
 func configuredTimeout(service *cherrykeel.Service) time.Duration {
 	if service.ChecksFences {
 		return 0
@@ -198,7 +210,7 @@
 	return service.Timeout
 }
 
-// learnedAt returns when a majority had learned, or 0.
+// majorityLearnedAt returns when a majority of the witnesses had learned of the new term, or 0.
 func (earlierTerm *earlierTerm) majorityLearnedAt() cherrykeel.Instant {
 	var instants []cherrykeel.Instant
 	for _, host := range earlierTerm.Witnesses {
@@ -214,7 +226,7 @@
 	return instants[needed-1]
 }
 
-// renew asks the witnesses and sends the leases.
+// renew requests confirmations and renews the leases.
 func (term *term) renew(input Input, actions *Actions) {
 	interval := time.Duration(renewShare * float64(input.Block.LeaseLength))
 	settled := term.ledger.IsSettled(input.Now)
@@ -222,17 +234,17 @@
 		return
 	}
 	if term.renewedAt == 0 || !settled || input.Now.Sub(term.renewedAt) >= interval {
-		// While something changes hands, the witnesses are asked at every tick: what a lost
-		// upstream held is free only once they have confirmed the term after its lease's end.
+		// During a transfer the witnesses are asked at every tick: what an unavailable upstream held is free only
+		// after they have confirmed the term after its lease's end.
 		term.renewedAt = input.Now
 		actions.RequestConfirmation = input.Block.Witnesses
 	}
 	actions.Orders = term.ledger.NextOrders(input.Now, term.quorum.ConfirmedAt())
 }
 
-// refreshWitnesses claims the term anew when witnesses have left, or requests may take another time than the
-// claim says: at leisure while most of them are there, and at once when most are lost, since nothing can be
-// renewed without them.
+// refreshWitnesses claims the term again when witnesses have left, more can be chosen, or the limit on requests has
+// changed. It waits until all leases are settled unless most witnesses are missing, since nothing can be renewed
+// without a majority.
 func (term *term) refreshWitnesses(input Input, actions *Actions) {
 	missing := term.missingWitnesses(input)
 	witnesses := ChooseWitnesses(term.service, term.self, input.Hosts)
@@ -253,6 +265,7 @@
 	}
 }
 
+// missingWitnesses counts the witnesses that have left or are leaving.
 func (term *term) missingWitnesses(input Input) int {
 	staying := map[string]bool{}
 	for _, host := range input.Hosts {
