--- a/keeper/moved_test.go
+++ b/keeper/moved_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	self       = "host"
-	service    = "test/keys"
-	partitions = 16
-	length     = 900 * time.Millisecond
-	pause      = 20 * time.Millisecond
-	settled    = 3 * time.Second
+	self         = "host"
+	service      = "test/keys"
+	partitions   = 16
+	length       = 900 * time.Millisecond
+	tickInterval = 20 * time.Millisecond
+	settleTime   = 3 * time.Second
 )
 
 func TestKeeper(t *testing.T) {
@@ -29,8 +29,8 @@
 	RunSpecs(t, "keeper")
 }
 
-// world is one keeper that is its own witness, with upstreams by address; all clocks agree.
-type world struct {
+// cluster is a keeper that is its own witness, with upstreams by address; all clocks agree.
+type cluster struct {
 	keeper    *keeper.Keeper
 	service   cherrykeel.Service
 	block     fold.Block
@@ -38,9 +38,9 @@
 	now       time.Duration
 }
 
-func newWorld(addresses map[string]string) *world {
+func newCluster(addresses map[string]string) *cluster {
 	witness := lease.NewWitness(0)
-	world := &world{
+	cluster := &cluster{
 		keeper:    keeper.New(self, service, witness, place.New()),
 		service:   cherrykeel.Service{Path: service, Keyed: true, Partitions: partitions, ChecksFences: true, LeaseLength: length},
 		block:     fold.Block{Term: 1, Keeper: self, LeaseLength: length, Witnesses: []string{self}},
@@ -48,66 +48,66 @@
 		now:       time.Hour,
 	}
 	for name, address := range addresses {
-		world.service.Upstreams = append(world.service.Upstreams, cherrykeel.UpstreamServer{Name: name, Address: address})
-		world.start(address)
+		cluster.service.Upstreams = append(cluster.service.Upstreams, cherrykeel.UpstreamServer{Name: name, Address: address})
+		cluster.start(address)
 	}
-	return world
+	return cluster
 }
 
-// start runs a new process at an address.
-func (world *world) start(address string) {
-	world.processes[address] = fakes.NewOwnership("boot "+address, service)
+// start starts a new process at an address.
+func (cluster *cluster) start(address string) {
+	cluster.processes[address] = fakes.NewOwnership("boot "+address, service)
 }
 
 // move changes the address of an upstream in the settings.
-func (world *world) move(name, address string) {
-	upstreams := append([]cherrykeel.UpstreamServer(nil), world.service.Upstreams...)
+func (cluster *cluster) move(name, address string) {
+	upstreams := append([]cherrykeel.UpstreamServer(nil), cluster.service.Upstreams...)
 	for i := range upstreams {
 		if upstreams[i].Name == name {
 			upstreams[i].Address = address
 		}
 	}
-	world.service.Upstreams = upstreams
+	cluster.service.Upstreams = upstreams
 }
 
-func (world *world) tick() {
-	world.now += pause
-	now := cherrykeel.Instant(world.now)
-	service := world.service
-	actions := world.keeper.Tick(keeper.Input{
-		Now: now, Block: world.block, Service: &service, Hosts: []keeper.Host{{Name: self}}, ClaimedTerm: world.block.Term,
+func (cluster *cluster) tick() {
+	cluster.now += tickInterval
+	now := cherrykeel.Instant(cluster.now)
+	service := cluster.service
+	actions := cluster.keeper.Tick(keeper.Input{
+		Now: now, Block: cluster.block, Service: &service, Hosts: []keeper.Host{{Name: self}}, ClaimedTerm: cluster.block.Term,
 	})
 	for range actions.RequestConfirmation {
-		world.keeper.RecordConfirmation(self, world.block.Term, now)
+		cluster.keeper.RecordConfirmation(self, cluster.block.Term, now)
 	}
 	for _, order := range actions.Orders {
-		world.deliver(order)
+		cluster.deliver(order)
 	}
 	if actions.Assign != nil {
-		world.block.Placement = fold.Place(world.block.Placement, *actions.Assign)
-		world.block.Sequence++
+		cluster.block.Placement = fold.Place(cluster.block.Placement, *actions.Assign)
+		cluster.block.Sequence++
 	}
 }
 
-func (world *world) deliver(order lease.Order) {
-	for _, upstream := range world.service.Upstreams {
+func (cluster *cluster) deliver(order lease.Order) {
+	for _, upstream := range cluster.service.Upstreams {
 		if upstream.Name != order.Lessee {
 			continue
 		}
-		process := world.processes[upstream.Address]
-		holding := process.Holding(world.now)
+		process := cluster.processes[upstream.Address]
+		holding := process.Holding(cluster.now)
 		if !order.Query {
-			holding = process.Grant(order.Grant, world.now)
+			holding = process.Grant(order.Grant, cluster.now)
 		}
-		world.keeper.RecordAnswer(order, holding, cherrykeel.Instant(world.now))
+		cluster.keeper.RecordAnswer(order, holding, cherrykeel.Instant(cluster.now))
 	}
 }
 
-// owners returns the addresses of the processes that may act for a partition.
-func (world *world) owners(partition int) []string {
+// owners returns the addresses of the processes that may serve a partition.
+func (cluster *cluster) owners(partition int) []string {
 	var addresses []string
-	for address, process := range world.processes {
-		if process.Owns(world.now, partition, "") {
+	for address, process := range cluster.processes {
+		if process.Owns(cluster.now, partition, "") {
 			addresses = append(addresses, address)
 		}
 	}
@@ -115,25 +115,25 @@
 }
 
 var _ = Describe("an upstream whose address in the settings changes", func() {
-	// The caller's key is written by two processes. An operator gives an upstream another address. The process
-	// there answers that it has just started, while the one at the old address holds its lease and serves hosts
-	// that have not read the change. If that answer passed for a restart, it would prove the old process gone.
-	It("is owner at its new address only when its lease at the old one has ended", func() {
-		world := newWorld(map[string]string{"a": "old", "b": "other"})
-		for start := world.now; world.now < start+settled; {
-			world.tick()
+	// Guards against two owners of a key: an operator changes the address of an upstream. The process there answers
+	// that it has just started, while the one at the old address still holds its lease and serves hosts that have not
+	// read the change. If that answer counted as a restart, it would prove that the old process has ended.
+	It("owns keys at its new address only after its lease at the old one has ended", func() {
+		cluster := newCluster(map[string]string{"a": "old", "b": "other"})
+		for start := cluster.now; cluster.now < start+settleTime; {
+			cluster.tick()
 		}
-		world.start("new")
-		world.move("a", "new")
-		for start := world.now; world.now < start+settled; {
-			world.tick()
+		cluster.start("new")
+		cluster.move("a", "new")
+		for start := cluster.now; cluster.now < start+settleTime; {
+			cluster.tick()
 			for partition := range partitions {
-				Expect(len(world.owners(partition))).To(BeNumerically("<=", 1), "partition %d: %v", partition, world.owners(partition))
+				Expect(len(cluster.owners(partition))).To(BeNumerically("<=", 1), "partition %d: %v", partition, cluster.owners(partition))
 			}
 		}
 		for partition := range partitions {
-			Expect(world.owners(partition)).To(HaveLen(1))
-			Expect(world.owners(partition)).NotTo(ContainElement("old"))
+			Expect(cluster.owners(partition)).To(HaveLen(1))
+			Expect(cluster.owners(partition)).NotTo(ContainElement("old"))
 		}
 	})
 })
