--- a/spans/next.go
+++ b/spans/next.go
@@ -20,7 +20,8 @@
 	Offset int64
 	// Candidates are the upstreams that may own spans.
 	Candidates []Candidate
-	Demand     *Demand
+	// Demand is the recent load of the service's keys.
+	Demand *Demand
 	// IsUnavailable reports whether an upstream cannot be asked to release its spans.
 	IsUnavailable func(owner string) bool
 	// IsFree reports whether no upstream can hold any key of the span.
@@ -43,7 +44,7 @@
 	if len(list) == 0 {
 		return divideAll(input), true
 	}
-	builder := newListBuilder(list, input)
+	builder := newBuilder(list, input)
 	builder.replaceOwners()
 	builder.markMoves()
 	builder.mergeNeighbours()
@@ -70,7 +71,7 @@
 	changed bool
 }
 
-func newListBuilder(list []Owned, input Input) *builder {
+func newBuilder(list []Owned, input Input) *builder {
 	builder := &builder{input: input, list: list, candidates: make(map[string]Candidate, len(input.Candidates))}
 	for _, candidate := range input.Candidates {
 		builder.candidates[candidate.ID] = candidate
