--- a/spans/ledger_model_test.go
+++ b/spans/ledger_model_test.go
@@ -102,10 +102,12 @@
 	gone bool
 	// keepsLonger upstreams keep the later end of two leases; others use the last one.
 	keepsLonger bool
-	slow        int64
-	until       [modelKeys]cherrykeel.Instant
-	fences      [modelKeys]int64
-	work        []modelWork
+	// slow is how much slower than the keeper's clock the upstream's clock runs, in thousandths.
+	slow int64
+	// until and fences are the lease end and the highest fence of each key.
+	until  [modelKeys]cherrykeel.Instant
+	fences [modelKeys]int64
+	work   []modelWork
 }
 
 // stop ends the process; the next one holds nothing and has seen no fence.
--- a/spans/ledger_site_test.go
+++ b/spans/ledger_site_test.go
@@ -26,8 +26,9 @@
 
 // modelKeeper is one term of a keeper, with the state that its orders depend on.
 type modelKeeper struct {
-	ledger   spans.Ledger
-	table    spans.Table
+	ledger spans.Ledger
+	table  spans.Table
+	// pending are the orders under way, and released the releases that were answered.
 	pending  map[modelOrder]bool
 	released map[modelOrder]bool
 	// writing is true while changed, a span of the next table, is being written; written is true when the store has
