--- a/place/place.go
+++ b/place/place.go
@@ -36,14 +36,17 @@
 type plan struct {
 	candidates []cherrykeel.Candidate
 	index      map[string]int
-	owners     []string
+	// owners names the owner of each partition; it is empty while there is none.
+	owners []string
 	// weights are the loads of the partitions, including those of keys that are not placed apart.
 	weights []float64
 	demand  cherrykeel.Demand
 	hotKeys map[string]string
-	count   []int
-	load    []float64
-	budget  int
+	// count and load are the number of partitions and the total load of each upstream.
+	count []int
+	load  []float64
+	// budget is how many more moves may be made to balance counts and load.
+	budget int
 }
 
 // Place implements cherrykeel.Placer.
