--- a/keeper/input.go
+++ b/keeper/input.go
@@ -15,8 +15,10 @@
 
 // Input is everything that a decision depends on.
 type Input struct {
-	Now     cherrykeel.Instant
-	Block   fold.Block
+	Now cherrykeel.Instant
+	// Block is the service's state in the log.
+	Block fold.Block
+	// Service holds the service's settings.
 	Service *cherrykeel.Service
 	// Hosts are the entry hosts on the platform's list, including this one.
 	Hosts []Host
@@ -31,7 +33,8 @@
 	Unreachable map[string]bool
 	// Refusing are upstreams that have recently reported that they accept no new work.
 	Refusing map[string]bool
-	Demand   cherrykeel.Demand
+	// Demand is the recent load of partitions and hot keys.
+	Demand cherrykeel.Demand
 	// ClaimedTerm is the term that this process itself claimed, or 0.
 	ClaimedTerm int64
 }
@@ -55,14 +58,17 @@
 
 // Actions are the results of a decision, to be carried out by the caller.
 type Actions struct {
+	// Orders are messages to lessees.
 	Orders []lease.Order
 	// RequestConfirmation are witnesses to ask whether the term is still the newest.
 	RequestConfirmation []string
-	TermNotices         []TermNotice
+	// TermNotices are requests to witnesses of earlier terms.
+	TermNotices []TermNotice
 	// RequestSilence are other witnesses to ask how long they have received no request from the keeper.
 	RequestSilence []string
-	Claim          *fold.Claim
-	Assign         *fold.Assign
+	// Claim and Assign are records to append to the log, or nil.
+	Claim  *fold.Claim
+	Assign *fold.Assign
 	// Overlay is sent to all entry hosts.
 	Overlay *Overlay
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -93,7 +93,8 @@
 
 // Report describes the keeper's term for operators.
 type Report struct {
-	Term    int64
+	Term int64
+	// Settled is true when every lease matches the placement in force.
 	Settled bool
 	// ConfirmedAge is how long ago a majority of witnesses last confirmed the term.
 	ConfirmedAge time.Duration `json:"Confirmed"`
