--- a/lease/allowed.go
+++ b/lease/allowed.go
@@ -4,32 +4,33 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// target is what a lessee should hold in the end.
-func (ledger *Ledger) target(name string) Assignment {
-	if ledger.toHosts {
-		return ledger.wanted
+// targetFor returns what a lessee should hold in the end.
+func (ledger *Ledger) targetFor(name string) Assignment {
+	if ledger.leaseToHosts {
+		return ledger.target
 	}
-	return ledger.wanted.ForUpstream(name, ledger.partitionOf)
+	return ledger.target.ForUpstream(name, ledger.partitionOf)
 }
 
-// allowed is the part of the target that no other lessee may still hold for another upstream.
-func (ledger *Ledger) allowed(name string, lessee *lessee) Assignment {
-	target := ledger.target(name)
-	held := lessee.held()
-	unknown := ledger.anybodyUnknown()
+// allowedAssignment returns the part of a lessee's target that no other lessee can still hold for another upstream.
+func (ledger *Ledger) allowedAssignment(name string, lessee *lessee) Assignment {
+	target := ledger.targetFor(name)
+	held := lessee.lastAssignment()
+	unknown := ledger.hasUnknownLease()
 	next := NewAssignment()
 	for upstream, wanted := range target.Partitions {
-		// What a lessee says it holds may be what it only works on, since before its lease ended. So that
-		// word lets it keep what somebody unknown may hold, but not what another is known to hold.
-		free := wanted.Difference(ledger.blocked(upstream))
+		// What a lessee reports may include partitions that it only still works on after its lease has ended. It may
+		// keep those that a lessee with unknown holdings might have, but not those that another lessee is known to
+		// hold.
+		available := wanted.Difference(ledger.blockedPartitions(upstream))
 		if unknown {
-			free = free.Intersection(held.partitions(upstream))
+			available = available.Intersection(held.partitionsOf(upstream))
 		}
-		next.Partitions[upstream] = free
+		next.Partitions[upstream] = available
 	}
 	for key, owner := range target.HotKeys {
 		kept := !unknown || held.HotKeys[key] == owner
-		if kept && !ledger.keyHeldElsewhere(owner, key) {
+		if kept && !ledger.isKeyHeldElsewhere(owner, key) {
 			next.HotKeys[key] = owner
 		}
 	}
@@ -38,7 +39,7 @@
 	}
 	ledger.exceptCoolingKeys(next)
 	if unknown {
-		// A key that was held alone may still be, by a lessee that has not said what it holds.
+		// A lessee with unknown holdings may still own such a key apart from its partition.
 		for key := range held.ExceptKeys {
 			next.ExceptKeys[key] = true
 		}
@@ -46,10 +47,11 @@
 	return next
 }
 
-func (ledger *Ledger) anybodyUnknown() bool {
+// hasUnknownLease reports whether it is unknown what any lessee may hold.
+func (ledger *Ledger) hasUnknownLease() bool {
 	for _, lessee := range ledger.lessees {
-		for _, possession := range lessee.possible {
-			if possession.anything {
+		for _, possibleLease := range lessee.possibleLeases {
+			if possibleLease.unknown {
 				return true
 			}
 		}
@@ -57,12 +59,12 @@
 	return false
 }
 
-// blocked returns the partitions that somebody may hold for an upstream other than this one.
-func (ledger *Ledger) blocked(upstream string) *bitset.BitSet {
+// blockedPartitions returns the partitions that a lessee may hold for another upstream than the given one.
+func (ledger *Ledger) blockedPartitions(upstream string) *bitset.BitSet {
 	blocked := &bitset.BitSet{}
 	for _, lessee := range ledger.lessees {
-		for _, possession := range lessee.possible {
-			for other, set := range possession.tenure.Partitions {
+		for _, possibleLease := range lessee.possibleLeases {
+			for other, set := range possibleLease.assignment.Partitions {
 				if other != upstream {
 					blocked.InPlaceUnion(set)
 				}
@@ -72,11 +74,12 @@
 	return blocked
 }
 
-func (ledger *Ledger) keyHeldElsewhere(owner, key string) bool {
+// isKeyHeldElsewhere reports whether any lessee may hold a key for another upstream than the given owner.
+func (ledger *Ledger) isKeyHeldElsewhere(owner, key string) bool {
 	partition := ledger.partitionOf(key)
 	for _, lessee := range ledger.lessees {
-		for _, possession := range lessee.possible {
-			if possession.tenure.keyElsewhere(owner, key, partition) {
+		for _, possibleLease := range lessee.possibleLeases {
+			if possibleLease.assignment.hasKeyElsewhere(owner, key, partition) {
 				return true
 			}
 		}
@@ -84,27 +87,28 @@
 	return false
 }
 
-func (tenure Assignment) keyElsewhere(owner, key string, partition int) bool {
-	if hot, held := tenure.HotKeys[key]; held && hot != owner {
+func (assignment Assignment) hasKeyElsewhere(owner, key string, partition int) bool {
+	if hot, held := assignment.HotKeys[key]; held && hot != owner {
 		return true
 	}
-	if tenure.ExceptKeys[key] {
+	if assignment.ExceptKeys[key] {
 		return false
 	}
-	for upstream := range tenure.Partitions {
-		if upstream != owner && tenure.has(upstream, partition) {
+	for upstream := range assignment.Partitions {
+		if upstream != owner && assignment.hasPartition(upstream, partition) {
 			return true
 		}
 	}
 	return false
 }
 
-// exceptCoolingKeys leaves out keys that go back to their partitions but may still be held alone by another upstream.
+// exceptCoolingKeys excludes keys that go back to their partitions while another upstream may still own them
+// separately.
 func (ledger *Ledger) exceptCoolingKeys(next Assignment) {
 	for _, lessee := range ledger.lessees {
-		for _, possession := range lessee.possible {
-			for key, owner := range possession.tenure.HotKeys {
-				if next.givesTo(owner, ledger.partitionOf(key)) {
+		for _, possibleLease := range lessee.possibleLeases {
+			for key, owner := range possibleLease.assignment.HotKeys {
+				if next.hasNoOtherOwner(owner, ledger.partitionOf(key)) {
 					continue
 				}
 				next.ExceptKeys[key] = true
@@ -113,10 +117,10 @@
 	}
 }
 
-// givesTo reports whether the partition is the owner's or nobody's in the tenure.
-func (tenure Assignment) givesTo(owner string, partition int) bool {
-	for upstream := range tenure.Partitions {
-		if upstream != owner && tenure.has(upstream, partition) {
+// hasNoOtherOwner reports whether the partition belongs to the given owner or to no upstream.
+func (assignment Assignment) hasNoOtherOwner(owner string, partition int) bool {
+	for upstream := range assignment.Partitions {
+		if upstream != owner && assignment.hasPartition(upstream, partition) {
 			return false
 		}
 	}
--- a/place/load.go
+++ b/place/load.go
@@ -7,6 +7,7 @@
 	"cherrykeel/route"
 )
 
+// meanLoad returns the mean load of the upstreams.
 func (plan *plan) meanLoad() float64 {
 	total := 0.0
 	for _, weight := range plan.weights {
@@ -18,8 +19,8 @@
 	return total / float64(len(plan.candidates))
 }
 
-// chooseHotKeys decides which keys are placed alone; the load of the others goes to their partitions,
-// since Demand.Partitions does not count the keys in Demand.HotKeys.
+// chooseHotKeys selects the keys that are placed apart from their partitions. The load of the others is added to
+// their partitions, since Demand.Partitions does not include the keys in Demand.HotKeys.
 func (plan *plan) chooseHotKeys(last cherrykeel.Placement) {
 	total := 0.0
 	for _, weight := range plan.weights {
@@ -31,8 +32,8 @@
 	mean := total / float64(len(plan.candidates))
 	for _, key := range byLoad(plan.demand.HotKeys, last.HotKeys) {
 		load := plan.demand.HotKeys[key]
-		previous, wasHot := last.HotKeys[key]
-		if load < coolShare*mean || !wasHot && load < hotShare*mean {
+		previous, wasPlaced := last.HotKeys[key]
+		if load < coolKeyShare*mean || !wasPlaced && load < hotKeyShare*mean {
 			plan.weights[route.Partition(key, len(plan.weights))] += load
 			continue
 		}
@@ -40,15 +41,16 @@
 	}
 }
 
-// placeHotKeys leaves hot keys where they are while their upstreams live, and gives the others to the least loaded.
+// placeHotKeys leaves hot keys at their upstreams while those are candidates, and assigns the others to the least
+// loaded.
 func (plan *plan) placeHotKeys(last cherrykeel.Placement) {
 	for _, key := range byLoad(plan.demand.HotKeys, last.HotKeys) {
-		previous, hot := plan.hotKeys[key]
-		if !hot {
+		previous, isHot := plan.hotKeys[key]
+		if !isHot {
 			continue
 		}
-		owner, live := plan.index[previous]
-		if !live {
+		owner, isCandidate := plan.index[previous]
+		if !isCandidate {
 			owner = plan.leastLoaded()
 		}
 		plan.hotKeys[key] = plan.candidates[owner].Name
@@ -56,7 +58,7 @@
 	}
 }
 
-// byLoad returns the keys of both sets, the heaviest first.
+// byLoad returns the keys of both maps, highest load first.
 func byLoad(loads map[string]float64, placed map[string]string) []string {
 	keys := make([]string, 0, len(loads)+len(placed))
 	for key := range loads {
@@ -76,6 +78,7 @@
 	return keys
 }
 
+// leastLoaded returns the index of the upstream with the lowest load.
 func (plan *plan) leastLoaded() int {
 	best := 0
 	for i := range plan.candidates {
@@ -86,6 +89,7 @@
 	return best
 }
 
+// mostLoaded returns the index of the upstream with the highest load.
 func (plan *plan) mostLoaded() int {
 	best := 0
 	for i := range plan.candidates {
@@ -96,39 +100,42 @@
 	return best
 }
 
-// evenLoad moves work from the most to the least loaded until the target is met or nothing helps.
-func (plan *plan) evenLoad() {
+// balanceLoad moves load from the most to the least loaded upstream until the imbalance is below its target, no move
+// helps, or the budget is spent.
+func (plan *plan) balanceLoad() {
 	mean := plan.meanLoad()
 	if mean == 0 || plan.load[plan.mostLoaded()] < imbalanceTrigger*mean {
 		return
 	}
 	for plan.budget > 0 && plan.load[plan.mostLoaded()] > imbalanceTarget*mean {
-		if !plan.relieve(plan.mostLoaded(), plan.leastLoaded()) {
+		if !plan.moveLoad(plan.mostLoaded(), plan.leastLoaded()) {
 			return
 		}
 		plan.budget--
 	}
 }
 
-// relieve moves or swaps one partition, or moves a hot key, so that the gap between two upstreams shrinks.
-func (plan *plan) relieve(from, to int) bool {
+// moveLoad moves a hot key or a partition, or swaps two partitions, so that the gap between the loads of two
+// upstreams shrinks. It reports whether it did.
+func (plan *plan) moveLoad(from, to int) bool {
 	gap := plan.load[from] - plan.load[to]
 	if plan.moveHotKey(from, to, gap) {
 		return true
 	}
-	heavy := plan.bestBelow(from, gap)
+	heavy := plan.heaviestMovable(from, gap)
 	if heavy < 0 {
 		return false
 	}
 	mean := float64(len(plan.owners)) / float64(len(plan.candidates))
-	if float64(plan.count[to]+1) <= mean*mostCount {
-		plan.give(heavy, to)
+	if float64(plan.count[to]+1) <= mean*maxCountRatio {
+		plan.assign(heavy, to)
 		return true
 	}
 	return plan.swap(heavy, from, to)
 }
 
-// moveHotKey moves the heaviest hot key that more than halves nothing: its load must be less than the gap.
+// moveHotKey moves the hot key with the highest load up to half the gap, if that is at least an eighth of the gap, so
+// that the gap shrinks noticeably without being reversed. It reports whether it did.
 func (plan *plan) moveHotKey(from, to int, gap float64) bool {
 	best := ""
 	for _, key := range byLoad(plan.demand.HotKeys, nil) {
@@ -150,8 +157,8 @@
 	return true
 }
 
-// bestBelow returns the heaviest partition of the owner that is at most half the gap, or -1.
-func (plan *plan) bestBelow(owner int, gap float64) int {
+// heaviestMovable returns the partition of the owner with the highest load up to half the gap, or -1.
+func (plan *plan) heaviestMovable(owner int, gap float64) int {
 	name := plan.candidates[owner].Name
 	best := -1
 	for partition, holder := range plan.owners {
@@ -166,7 +173,8 @@
 	return best
 }
 
-// swap exchanges a heavy partition for the lightest of the other upstream, which keeps the counts.
+// swap exchanges a heavy partition for the lightest one of the other upstream, so that partition counts stay the
+// same. It reports whether it did.
 func (plan *plan) swap(heavy, from, to int) bool {
 	name := plan.candidates[to].Name
 	light := -1
@@ -178,7 +186,7 @@
 	if light < 0 || plan.weights[light] >= plan.weights[heavy] {
 		return false
 	}
-	plan.give(heavy, to)
-	plan.give(light, from)
+	plan.assign(heavy, to)
+	plan.assign(light, from)
 	return true
 }
--- a/place/place.go
+++ b/place/place.go
@@ -7,20 +7,24 @@
 )
 
 const (
-	// imbalanceTrigger is the load, over the mean, from which partitions move for load's sake.
+	// imbalanceTrigger is the load of the most loaded upstream, as a multiple of the mean, from which partitions move
+	// to balance load.
 	imbalanceTrigger = 1.20
-	// imbalanceTarget is where such moves stop; the gap to the trigger keeps noisy reports from moving anything.
+	// imbalanceTarget is the multiple at which such moves stop. The gap to the trigger keeps noisy load reports from
+	// causing moves.
 	imbalanceTarget = 1.10
-	// mostCount and leastCount bound an upstream's count of partitions, over the mean: outside
-	// them partitions move for the count's sake, inside them load may make counts differ.
-	mostCount  = 1.06
-	leastCount = 0.90
-	// hotShare is the load of a key, as a share of an upstream's mean load, from which it is placed alone.
-	hotShare = 0.10
-	// coolShare is where a hot key goes back to its partition.
-	coolShare = 0.03
+	// maxCountRatio and minCountRatio are the limits of an upstream's partition count, as multiples of the mean.
+	// Beyond them partitions move to balance counts; within them counts may differ in order to balance load.
+	maxCountRatio = 1.06
+	minCountRatio = 0.90
+	// hotKeyShare is the load of a key, as a share of an upstream's mean load, from which it is placed apart from its
+	// partition.
+	hotKeyShare = 0.10
+	// coolKeyShare is the load, as the same share, below which a hot key goes back to its partition.
+	coolKeyShare = 0.03
 )
 
+// placer is the default Placer.
 type placer struct{}
 
 // New returns the default Placer.
@@ -28,18 +32,21 @@
 	return placer{}
 }
 
-// plan is a placement under construction.
+// plan is a placement under construction. Its upstreams are named by their index in candidates.
 type plan struct {
 	candidates []cherrykeel.Candidate
 	index      map[string]int
-	owners     []string
-	// weights are the partitions' loads, with those of keys that are not placed alone.
+	// owners names the owner of each partition; it is empty while there is none.
+	owners []string
+	// weights are the loads of the partitions, including those of keys that are not placed apart.
 	weights []float64
 	demand  cherrykeel.Demand
 	hotKeys map[string]string
-	count   []int
-	load    []float64
-	budget  int
+	// count and load are the number of partitions and the total load of each upstream.
+	count []int
+	load  []float64
+	// budget is how many more moves may be made to balance counts and load.
+	budget int
 }
 
 // Place implements cherrykeel.Placer.
@@ -50,11 +57,11 @@
 	plan := newPlan(last, partitions, candidates, demand, budget)
 	plan.placeOrphans(last)
 	plan.placeHotKeys(last)
-	plan.evenCounts()
-	plan.evenLoad()
+	plan.balanceCounts()
+	plan.balanceLoad()
 	return cherrykeel.Placement{
 		Owners:     plan.owners,
-		Successors: successors(plan.owners, last.Successors, plan.candidates),
+		Successors: chooseSuccessors(plan.owners, last.Successors, plan.candidates),
 		HotKeys:    plan.hotKeys,
 	}
 }
@@ -81,14 +88,15 @@
 	}
 	plan.chooseHotKeys(last)
 	for partition := 0; partition < partitions && partition < len(last.Owners); partition++ {
-		if owner, live := plan.index[last.Owners[partition]]; live {
-			plan.give(partition, owner)
+		if owner, isCandidate := plan.index[last.Owners[partition]]; isCandidate {
+			plan.assign(partition, owner)
 		}
 	}
 	return plan
 }
 
-func (plan *plan) give(partition, owner int) {
+// assign makes an upstream the owner of a partition.
+func (plan *plan) assign(partition, owner int) {
 	if previous, owned := plan.index[plan.owners[partition]]; owned {
 		plan.count[previous]--
 		plan.load[previous] -= plan.weights[partition]
@@ -98,28 +106,31 @@
 	plan.load[owner] += plan.weights[partition]
 }
 
-func (plan *plan) most() int {
+// fairCount returns the mean partition count, rounded up.
+func (plan *plan) fairCount() int {
 	return (len(plan.owners) + len(plan.candidates) - 1) / len(plan.candidates)
 }
 
-// placeOrphans gives partitions without a live owner to their successor if it has room, else to the least filled.
+// placeOrphans assigns each partition whose owner is no candidate to its successor, if that one has less than its
+// fair count, and otherwise to the candidate with the fewest partitions.
 func (plan *plan) placeOrphans(last cherrykeel.Placement) {
 	for partition, owner := range plan.owners {
 		if owner != "" {
 			continue
 		}
-		heir := plan.fewest()
+		target := plan.withFewest()
 		if partition < len(last.Successors) {
-			named, live := plan.index[last.Successors[partition]]
-			if live && plan.count[named] < plan.most() {
-				heir = named
+			successor, isCandidate := plan.index[last.Successors[partition]]
+			if isCandidate && plan.count[successor] < plan.fairCount() {
+				target = successor
 			}
 		}
-		plan.give(partition, heir)
+		plan.assign(partition, target)
 	}
 }
 
-func (plan *plan) fewest() int {
+// withFewest returns the upstream with the fewest partitions, and with the lowest load among equals.
+func (plan *plan) withFewest() int {
 	best := 0
 	for i := range plan.candidates {
 		fewer := plan.count[i] < plan.count[best]
@@ -131,22 +142,23 @@
 	return best
 }
 
-// evenCounts moves partitions from the fullest to the emptiest until their counts are within
-// bounds; upstreams that join fill up by the budget, round by round.
-func (plan *plan) evenCounts() {
+// balanceCounts moves partitions from the upstream with the most to the one with the fewest until all counts are
+// within their limits. Upstreams that join fill up over several rounds, each limited by the budget.
+func (plan *plan) balanceCounts() {
 	mean := float64(len(plan.owners)) / float64(len(plan.candidates))
 	for plan.budget > 0 {
-		full, empty := plan.fullest(), plan.fewest()
-		within := float64(plan.count[full]) <= mean*mostCount && float64(plan.count[empty]) >= mean*leastCount
+		full, empty := plan.withMost(), plan.withFewest()
+		within := float64(plan.count[full]) <= mean*maxCountRatio && float64(plan.count[empty]) >= mean*minCountRatio
 		if within || plan.count[full]-plan.count[empty] <= 1 {
 			return
 		}
-		plan.give(plan.lightest(full), empty)
+		plan.assign(plan.partitionNearMean(full), empty)
 		plan.budget--
 	}
 }
 
-func (plan *plan) fullest() int {
+// withMost returns the upstream with the most partitions.
+func (plan *plan) withMost() int {
 	best := 0
 	for i := range plan.candidates {
 		if plan.count[i] > plan.count[best] {
@@ -156,8 +168,9 @@
 	return best
 }
 
-// lightest returns a partition of the owner whose load is nearest to the owner's mean, so that counts and load even out together.
-func (plan *plan) lightest(owner int) int {
+// partitionNearMean returns the partition of the owner whose load is nearest to the owner's mean, so that moving it
+// balances counts and load together.
+func (plan *plan) partitionNearMean(owner int) int {
 	name := plan.candidates[owner].Name
 	mean := plan.load[owner] / float64(max(1, plan.count[owner]))
 	best := -1
