--- a/lease/answers.go
+++ b/lease/answers.go
@@ -82,7 +82,7 @@
 
 // formerName returns a name for the next process that is kept; names of upstreams and hosts contain no spaces.
 func (ledger *Ledger) formerName() string {
-	return "former " + strconv.Itoa(ledger.formerProcesses)
+	return "ghost " + strconv.Itoa(ledger.formerProcesses)
 }
 
 // setProcess records that the lessee is a new process now.
