--- a/grants/change.go
+++ b/grants/change.go
@@ -57,7 +57,7 @@
 	if !changed {
 		return
 	}
-	events.Log(keeper.logger, events.KeeperChanged, zap.Int64("At", next), zap.Int64("Term", table.Term))
+	events.Log(keeper.logger, events.SpansChanged, zap.Int64("At", next), zap.Int64("Term", table.Term))
 	keeper.noteTransfers(table, proposal, next, now)
 	keeper.write(ctx, proposal, next)
 }
@@ -162,7 +162,7 @@
 	wanted := map[spans.GrantedSpan]bool{}
 	for service, list := range table.Services {
 		for _, owned := range list {
-			if !owned.Moving {
+			if !owned.InTransfer {
 				continue
 			}
 			// Every grant of the span bears a fence at or below its own; the release is above them,
@@ -202,7 +202,7 @@
 	keeper.withdraw(key)
 	upstream := cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.StartedAt}
 	hold := keeper.hold(key.Service, key.Owner, now)
-	events.Log(keeper.logger, events.SpanMoving,
+	events.Log(keeper.logger, events.SpanTransferStarted,
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner), zap.Int("First", owned.First), zap.Int("Last", owned.Last),
 		zap.Int64("Fence", key.Fence), zap.Float64("Load", keeper.demandOf(key.Service).Load(owned.Span())), zap.Duration("Hold", hold))
 	term := keeper.term
@@ -249,7 +249,7 @@
 		zap.Int("Last", key.Span.Last), zap.Duration("Took", took), zap.Duration("Waited", waited),
 	}
 	if err != nil {
-		events.Log(keeper.logger, events.GrantOpen, append(fields, zap.Error(err))...)
+		events.Log(keeper.logger, events.GrantUnanswered, append(fields, zap.Error(err))...)
 		return
 	}
 	state.done = true
--- a/grants/claim.go
+++ b/grants/claim.go
@@ -204,7 +204,7 @@
 
 func (keeper *Keeper) noteSure(sure bool, confirming int) bool {
 	if !sure && !keeper.unsure {
-		events.Log(keeper.logger, events.KeeperUnsure, zap.Int64("Term", keeper.term), zap.Int("Confirming", confirming), zap.Int("Hosts", keeper.mesh.HostCount()))
+		events.Log(keeper.logger, events.KeeperUnconfirmed, zap.Int64("Term", keeper.term), zap.Int("Confirming", confirming), zap.Int("Hosts", keeper.mesh.HostCount()))
 	}
 	keeper.unsure = !sure
 	return sure
--- a/grants/hold.go
+++ b/grants/hold.go
@@ -35,7 +35,7 @@
 		return
 	}
 	keeper.barred = barred
-	events.Log(keeper.logger, events.HoldsChanged, zap.Bool("Long", barred), zap.Duration("Least", keeper.usualHold()), zap.Int64("Term", keeper.term))
+	events.Log(keeper.logger, events.LeaseDurationChanged, zap.Bool("Long", barred), zap.Duration("Least", keeper.usualHold()), zap.Int64("Term", keeper.term))
 }
 
 // takeoverBarred reports whether no other host could take this keeper's place if it died now: the store has been
--- a/grants/send.go
+++ b/grants/send.go
@@ -99,7 +99,7 @@
 	contact.answered()
 	if !state.taken {
 		keeper.noteTaken(state, now)
-		events.Log(keeper.logger, events.SpanGiven, append(fields, zap.Bool("Handover", grant.Handover != ""), zap.Duration("Hold", grant.LeaseDuration))...)
+		events.Log(keeper.logger, events.SpanGranted, append(fields, zap.Bool("Handover", grant.Handover != ""), zap.Duration("Hold", grant.LeaseDuration))...)
 	}
 	state.handover = ""
 }
@@ -118,7 +118,7 @@
 		contact.missed(now)
 		contact.depart(now)
 		if contact.misses <= lostAfter || contact.lostUntil == now.Add(lostFor) {
-			events.Log(keeper.logger, events.GrantOpen, append(fields, zap.Int("Misses", contact.misses), zap.Bool("Lost", contact.silent(now)))...)
+			events.Log(keeper.logger, events.GrantUnanswered, append(fields, zap.Int("Misses", contact.misses), zap.Bool("Lost", contact.silent(now)))...)
 		}
 	}
 }
