--- a/cherrykeel.go
+++ b/cherrykeel.go
@@ -5,9 +5,9 @@
 	"sort"
 )
 
-// Exchange is one request of a caller on its way through the stages.
+// Exchange holds one request of a caller while it passes through the stages.
 type Exchange struct {
-	// ID names the request in logs, towards upstreams and in our own answers.
+	// ID names the request in logs, in the request to the upstream, and in answers that the router makes itself.
 	ID      string
 	Request *http.Request
 	Writer  http.ResponseWriter
@@ -16,15 +16,15 @@
 	Key     string
 	// Partition is -1 for services without keys.
 	Partition int
-	// Priority is the service's, or the caller's; 1 goes first, 9 last.
+	// Priority is set by the service or by the caller; 1 is served first, 9 last.
 	Priority int
 	Arrived  Instant
 	Deadline Instant
-	// Repeatable says that running the request twice does no harm.
+	// Repeatable is true if running the request twice is harmless.
 	Repeatable bool
-	// IdempotencyKey is the caller's Idempotency-Key, or empty.
+	// IdempotencyKey is the caller's Idempotency-Key header, or empty.
 	IdempotencyKey string
-	// Answer is what was passed on to the caller, or nil.
+	// Answer is the upstream's answer that was passed on to the caller, or nil.
 	Answer *Answer
 }
 
@@ -32,15 +32,15 @@
 type Answer struct {
 	Status      int
 	ContentType string
-	// Body is set if Whole says that the answer was held before it was passed on.
+	// Body is set only if Whole is true: the answer was read completely before it was passed on.
 	Body  []byte
 	Whole bool
 }
 
-// Next runs the stages that come after the calling one.
+// Next runs the stages that follow the calling one.
 type Next func(exchange *Exchange) *Failure
 
-// Stage is one step of a request's way; a returned failure becomes the caller's answer.
+// Stage is one processing step for requests; a failure that it returns becomes the caller's answer.
 type Stage interface {
 	// Serve answers the exchange, refuses it, or calls next.
 	Serve(exchange *Exchange, next Next) *Failure
@@ -48,7 +48,7 @@
 
 // Responder turns a failure into the caller's answer.
 type Responder interface {
-	// Respond writes the answer for a failure.
+	// Respond writes the caller's answer for a failure.
 	Respond(exchange *Exchange, failure *Failure)
 }
 
@@ -57,7 +57,7 @@
 	http.Handler
 }
 
-// Option changes a Router under construction.
+// Option configures a Router that New creates.
 type Option func(*router)
 
 type prioritized struct {
@@ -79,21 +79,21 @@
 	}
 }
 
-// WithResponder replaces the default, which writes the status and the outcome without a body.
+// WithResponder replaces the default Responder, which writes the status and the outcome header without a body.
 func WithResponder(responder Responder) Option {
 	return func(router *router) {
 		router.responder = responder
 	}
 }
 
-// WithClock replaces the system's clock.
+// WithClock replaces the system clock.
 func WithClock(clock Clock) Option {
 	return func(router *router) {
 		router.clock = clock
 	}
 }
 
-// New returns a Router; without stages it refuses every request with 404.
+// New returns a Router; without stages it answers every request with 404.
 func New(options ...Option) Router {
 	router := &router{responder: plainResponder{}, clock: SystemClock()}
 	for _, option := range options {
--- a/clock.go
+++ b/clock.go
@@ -9,21 +9,21 @@
 // Instant is a reading of one process's monotonic clock, counted from an arbitrary start.
 type Instant time.Duration
 
-// Add returns the instant that lies duration later.
+// Add returns the instant that is later by duration.
 func (instant Instant) Add(duration time.Duration) Instant {
 	return instant + Instant(duration)
 }
 
-// Sub returns the time from earlier to instant.
+// Sub returns the time that passed from earlier to instant.
 func (instant Instant) Sub(earlier Instant) time.Duration {
 	return time.Duration(instant - earlier)
 }
 
-// Clock tells the time to code that does not read it by itself.
+// Clock provides the time, so that tests can replace the system clock.
 type Clock interface {
 	// Now returns the monotonic time, which never goes back.
 	Now() Instant
-	// Wall returns the time of day, for audit and logs only.
+	// Wall returns the wall-clock time in UTC, for audit and logs only.
 	Wall() time.Time
 }
 
@@ -31,7 +31,7 @@
 	start time.Time
 }
 
-// SystemClock returns the process's own clock.
+// SystemClock returns a clock that counts from the call and stops while the machine is suspended.
 func SystemClock() Clock {
 	return &systemClock{start: time.Now()}
 }
@@ -47,7 +47,7 @@
 type suspendClock struct{}
 
 // BootTimeClock returns a clock that also counts the time in which the machine was suspended:
-// a host that slept must not take what it knew before for news.
+// a host must not treat data from before a suspension as fresh.
 func BootTimeClock() Clock {
 	return suspendClock{}
 }
--- a/dialect.go
+++ b/dialect.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// RequestHeaders is what a caller's headers say of its request.
+// RequestHeaders holds what the headers of a caller's request contain.
 type RequestHeaders struct {
 	ID string
-	// Timeout is how long the caller will wait; zero if it does not say.
+	// Timeout is how long the caller will wait; zero if the headers don't give it.
 	Timeout time.Duration
-	// Key is NoKey if none is given, or none that is valid.
+	// Key is NoKey if the request has no valid key.
 	Key int
 }
 
-// ReplyHeaders is what an upstream's headers say of its answer.
+// ReplyHeaders holds what the headers of an upstream's answer contain.
 type ReplyHeaders struct {
-	// ID names the request that the answer belongs to; empty if it does not say.
+	// ID names the request that the answer belongs to; empty if the headers don't give it.
 	ID string
-	// Signed answers bear the upstream's own signature.
+	// Signed is true if the answer carries the mark that only upstreams set.
 	Signed bool
-	// NotRun says that the upstream did not act on the request and never will.
+	// NotRun is true if the upstream did not act on the request and never will.
 	NotRun bool
-	// Misdirected says that another life, or another owner, has to be asked.
+	// Misdirected is true if the request must go to another incarnation of the upstream or to another owner.
 	Misdirected bool
-	// Instance is who answered, if the upstream says so.
+	// Instance is the ID of the upstream that answered, if the headers give it.
 	Instance string
-	// Load is the upstream's own count; Known is false if it tells none.
+	// Load is the upstream's report of its load; its field Known is false if there is none.
 	Load UpstreamLoad
 }
 
-// UpstreamLoad is an upstream's report of its work.
+// UpstreamLoad is an upstream's report of its load.
 type UpstreamLoad struct {
 	Known   bool
 	Running int
 	Waiting int
 	Slots   int
-	// Slowness is how many times as long as usual work takes on its machine at this moment; 0 if it does not say.
+	// Slowness is the present processing time as a multiple of the usual one; 0 if the report doesn't give it.
 	Slowness float64
-	// Malformed is the start of a report that cannot be read; empty otherwise.
+	// Malformed is the beginning of a report that cannot be decoded; empty otherwise.
 	Malformed string
 }
 
-// Dialect translates the headers of callers and upstreams.
+// Dialect reads and writes the headers that callers and upstreams of one platform use.
 type Dialect interface {
-	// ReadRequest reads a caller's request.
+	// ReadRequest reads the headers of a caller's request.
 	ReadRequest(request *http.Request) RequestHeaders
-	// MarkRequest marks a request for one life of an upstream, with the time that is left.
+	// MarkRequest addresses a request to one incarnation of an upstream and adds the time that is left.
 	MarkRequest(header http.Header, upstream Upstream, left time.Duration)
-	// MarkAnswer marks an answer of the router's own with the request's id.
+	// MarkAnswer adds the request's id to an answer that the router makes itself.
 	MarkAnswer(header http.Header, id string)
-	// ReadReply reads an upstream's answer.
+	// ReadReply reads the status and the headers of an upstream's answer.
 	ReadReply(status int, header http.Header) ReplyHeaders
 }
--- a/doc.go
+++ b/doc.go
@@ -1,7 +1,7 @@
-// Package cherrykeel is a router in front of servers that hold keys exclusively.
+// Package cherrykeel is a router in front of servers that own keys exclusively.
 //
-// The root package holds what the other packages share: plain data, the
-// interfaces of all behaviour that varies, and Router, which passes a request
-// through stages in order of priority. Implementations stand in the packages
-// below; package host assembles the ready default.
+// The root package declares what the other packages share: plain data types,
+// the interfaces of all replaceable behaviour, and Router, which passes a
+// request through stages in order of priority. The packages below implement
+// these interfaces; package host assembles the default configuration.
 package cherrykeel
--- a/failure.go
+++ b/failure.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Outcome says what is known of a request that has no answer from an upstream.
+// Outcome tells whether a request without an answer from an upstream may have been run.
 type Outcome string
 
-// The outcomes that a caller is told in the header Cherrykeel-Outcome.
+// The outcomes that answers to callers carry in the header Cherrykeel-Outcome.
 const (
-	// NotRun means that no upstream acted on the request or ever will.
+	// NotRun means that no upstream has acted on the request, and none will.
 	NotRun Outcome = "not-run"
-	// OutcomeUnknown means that an upstream may have acted on it.
+	// OutcomeUnknown means that an upstream may have acted on the request.
 	OutcomeUnknown Outcome = "unknown"
 )
 
@@ -23,7 +23,7 @@
 	// Code is a stable name that programs may compare.
 	Code   string
 	Detail string
-	// RetryAfter is zero when coming back does not help.
+	// RetryAfter is zero if a retry by the caller would not help.
 	RetryAfter time.Duration
 	Cause      error
 }
@@ -38,12 +38,12 @@
 	return failure.Cause
 }
 
-// Refuse returns a failure that says that the request was not run.
+// Refuse returns a failure with the outcome NotRun.
 func Refuse(status int, code, format string, arguments ...any) *Failure {
 	return &Failure{Outcome: NotRun, Status: status, Code: code, Detail: fmt.Sprintf(format, arguments...)}
 }
 
-// FailUnknown returns a failure that says that the outcome is unknown.
+// FailUnknown returns a failure with the outcome OutcomeUnknown.
 func FailUnknown(status int, code, format string, arguments ...any) *Failure {
 	return &Failure{Outcome: OutcomeUnknown, Status: status, Code: code, Detail: fmt.Sprintf(format, arguments...)}
 }
--- a/keyspan.go
+++ b/keyspan.go
@@ -13,60 +13,61 @@
 // NoKey is the key of requests to services without keys.
 const NoKey = -1
 
-// ErrFenced means that an upstream has seen a higher fence for one of the keys.
+// ErrFenced means that an upstream has refused an order because it has seen a higher fence for one of the keys.
 var ErrFenced = errors.New("a higher fence was seen")
 
-// ErrNoAnswer means that an order may or may not have been carried out, now or later.
+// ErrNoAnswer means that an order's outcome is unknown: it may have been carried out, or may be later.
 var ErrNoAnswer = errors.New("the order was not answered")
 
-// ErrNotSent is an ErrNoAnswer of an order that has not left this host and will not: it was surely not carried out.
+// ErrNotSent wraps ErrNoAnswer for an order that has not left this host and never will: it was not carried out.
 var ErrNotSent = errors.WithMessage(ErrNoAnswer, "it was not sent")
 
-// ErrUpstreamReplaced means that another upstream answers at the address, so the one asked has ended.
+// ErrUpstreamReplaced means that another upstream answers at the address, so the addressed one has ended.
 var ErrUpstreamReplaced = errors.New("another upstream has the address")
 
-// KeySpan is a run of keys, both ends included.
+// KeySpan is a contiguous range of keys, both ends included.
 type KeySpan struct {
 	First int
 	Last  int
 }
 
-// Contains reports whether the key lies in the span.
+// Contains reports whether the span includes the key.
 func (span KeySpan) Contains(key int) bool {
 	return key >= span.First && key <= span.Last
 }
 
-// Overlaps reports whether a key lies in both spans.
+// Overlaps reports whether the two spans have a key in common.
 func (span KeySpan) Overlaps(other KeySpan) bool {
 	return span.First <= other.Last && span.Last >= other.First
 }
 
-// Covers reports whether all keys of the other span lie in this one.
+// Covers reports whether the span includes all keys of the other one.
 func (span KeySpan) Covers(other KeySpan) bool {
 	return span.First <= other.First && span.Last >= other.Last
 }
 
-// SpanGrant makes an upstream the owner of a span until its hold has passed.
+// SpanGrant makes an upstream the owner of a span for the duration of a lease.
 type SpanGrant struct {
 	Span KeySpan
-	// Fence orders grants: an upstream refuses a lower one than it has seen.
+	// Fence orders grants: an upstream refuses any that is lower than one it has seen.
 	Fence int64
 	// LeaseDuration counts from the grant's arrival, on the upstream's clock.
 	LeaseDuration time.Duration
-	// Handover is what the last owner's release returned, or empty.
+	// Handover is the token that the release by the previous owner returned, or empty.
 	Handover string
-	// SendBy is when the grant is too old to be sent, on the clock of the host that decided on it; 0 is never.
+	// SendBy is the time after which the grant must not be sent, on the sending host's clock; 0 means no limit.
 	SendBy Instant
 }
 
-// SpanGranter gives spans to upstreams and takes them back.
+// SpanGranter sends grants and releases of spans to upstreams.
 type SpanGranter interface {
-	// Grant returns nil when it was taken, ErrFenced when refused, ErrNotSent when no byte of it was sent by its time, and
-	// ErrNoAnswer when it is unknown whether it was taken.
+	// Grant returns nil if the upstream accepted the grant, ErrFenced if it refused it, ErrUpstreamReplaced if another
+	// upstream has the address, ErrNotSent if no byte was sent by the grant's SendBy, and ErrNoAnswer if the outcome is
+	// unknown.
 	Grant(ctx context.Context, upstream Upstream, grant SpanGrant) error
-	// Release stops new work on the span, waits for running work, and returns the handover.
+	// Release makes the upstream accept no new requests for the span, waits for the running ones, and returns the
+	// handover token for the next owner.
 	Release(ctx context.Context, upstream Upstream, span KeySpan, fence int64) (string, error)
-	// IsLeaving asks an upstream itself whether it leaves, by its service's health path; ErrNoAnswer when it
-	// does not say.
+	// IsLeaving queries the upstream's health path for whether it is leaving; ErrNoAnswer if the answer doesn't tell.
 	IsLeaving(ctx context.Context, upstream Upstream, healthPath string) (bool, error)
 }
--- a/ownership.go
+++ b/ownership.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Fence orders grants of ownership: a server refuses any that is lower than one it has seen.
+// Fence orders grants of ownership: an upstream refuses any that is lower than one it has seen.
 type Fence struct {
 	// Term is the version of the keeper's accepted claim in the log.
 	Term int64
@@ -13,7 +13,7 @@
 	Sequence int64
 }
 
-// Less reports whether fence is older than other.
+// Less reports whether fence is lower than other.
 func (fence Fence) Less(other Fence) bool {
 	if fence.Term != other.Term {
 		return fence.Term < other.Term
@@ -21,30 +21,31 @@
 	return fence.Sequence < other.Sequence
 }
 
-// Grant makes an upstream the owner of partitions and hot keys until a time on its own clock.
+// Grant makes an upstream the owner of partitions and hot keys until a time on the upstream's clock.
 type Grant struct {
 	Service string
 	Fence   Fence
-	// Incarnation is the start of the upstream process that the grant is meant for; another one refuses it.
+	// Incarnation names the upstream process that the grant is meant for; a later one refuses it.
 	Incarnation string `json:"Boot"`
-	// Until is in the upstream's own monotonic time.
+	// Until is the end of the lease in the upstream's monotonic time.
 	Until      time.Duration
 	Partitions []int `json:",omitempty"`
-	// HotKeys are owned apart from the partitions they hash to.
+	// HotKeys are owned independently of the partitions to which they hash.
 	HotKeys []string `json:",omitempty"`
 	// ExceptKeys hash to the partitions but are owned by another upstream.
 	ExceptKeys []string `json:",omitempty"`
-	// Owners maps upstreams to the partitions that an entry host may send them; it replaces
-	// Partitions towards hosts, which hold the leases of upstreams that do not check fences.
+	// Owners maps upstreams to the partitions for which an entry host may send them requests. It replaces
+	// Partitions in grants to entry hosts, which hold the leases for upstreams that don't check fences.
 	Owners map[string][]int `json:",omitempty"`
 	// Timeout bounds the requests that an entry host sends under the lease. The keeper waits that long after
-	// the lease's end; the settings, which hosts read at different times, may already allow more.
+	// the lease's end. It is part of the grant because hosts read the settings at different times: those in
+	// force on a host may already allow more.
 	Timeout time.Duration `json:",omitempty"`
-	// Partial says that what is held stays as the last grant set it, if its lease has not lapsed.
+	// Partial means that the keys held stay as the last grant set them, if its lease has not expired.
 	Partial bool `json:",omitempty"`
 }
 
-// Holding is what an upstream answers to a grant or a question: what it now holds.
+// Holding is an upstream's answer to a grant or a query: what it holds now.
 type Holding struct {
 	Service     string
 	Incarnation string `json:"Boot"`
@@ -55,17 +56,17 @@
 	Fence    Fence
 	Until    time.Duration
 
-	// Partitions and the keys are what the next request would find, and what is still worked on.
+	// Partitions and the keys are those that the upstream owns now, and those that running requests still use.
 	Partitions []int
 	HotKeys    []string
 	ExceptKeys []string
 	Owners     map[string][]int
 }
 
-// Granter gives ownership to upstreams and asks them what they hold.
+// Granter grants ownership to upstreams and queries what they hold.
 type Granter interface {
-	// Grant sends a grant; an error leaves open whether it was taken.
+	// Grant sends a grant; after an error it is unknown whether the upstream has accepted it.
 	Grant(ctx context.Context, address string, grant Grant) (Holding, error)
-	// RequestHolding asks an upstream what it holds for a service.
+	// RequestHolding queries what an upstream holds for a service.
 	RequestHolding(ctx context.Context, address, service string) (Holding, error)
 }
--- a/picker.go
+++ b/picker.go
@@ -1,21 +1,21 @@
 package cherrykeel
 
-// Choice is an upstream among which a Picker chooses.
+// Choice is one of the upstreams from which a Picker chooses.
 type Choice struct {
 	Name string
 	Zone string
-	// InFlight counts this host's own requests on the upstream.
+	// InFlight is the number of this host's requests that run on the upstream.
 	InFlight int
-	// Limit is how many this host may have there at once.
+	// Limit is the maximum of InFlight.
 	Limit int
-	// ReportedLoad is the upstream's last word on its load; it lags and may lie.
+	// ReportedLoad is the load that the upstream last reported; it may be out of date or wrong.
 	ReportedLoad float64
-	// Weight goes from 0 for an upstream that has just joined to 1.
+	// Weight is the share of its usual load that the upstream should get, from 0 just after it has joined to 1.
 	Weight float64
 }
 
-// Picker chooses an upstream for a request that any of them may serve.
+// Picker chooses an upstream for a request that any of several upstreams may serve.
 type Picker interface {
-	// Pick returns the index of the choice, or -1 if none has room; random is uniform in [0, 1).
+	// Pick returns the index of the chosen upstream, or -1 if all are at their limits; random is uniform in [0, 1).
 	Pick(zone string, choices []Choice, random float64) int
 }
--- a/routes.go
+++ b/routes.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// RouteSet is one whole version of the settings by which requests are routed.
+// RouteSet is one complete version of the routing settings.
 type RouteSet struct {
-	// Version only grows; a host never goes back to a lower one.
+	// Version only increases; a host never returns to a lower one.
 	Version  int64
 	Routes   []Route
 	Services map[string]RoutedService
 	Limits   CallerLimits
 }
 
-// Route says where requests of one host name and path prefix go.
+// Route holds the settings for requests with one host name and path prefix.
 type Route struct {
 	Name       string
 	Domain     string
 	PathPrefix string
-	// Repeatable says that running a request twice does no harm.
+	// Repeatable is true if running a request twice is harmless.
 	Repeatable bool
-	// Timeout is the longest that a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for an answer.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer has its full worth.
+	// TargetLatency is the time within which an answer is of full value to the caller.
 	TargetLatency time.Duration
-	// Priority is 0 for the requests that go first.
+	// Priority orders waiting requests; 0 is served first.
 	Priority int
-	// MaxAttempts bounds the upstreams that one request is sent to.
+	// MaxAttempts bounds the upstreams to which one request is sent.
 	MaxAttempts int
-	// SplitTargets share the route's requests in proportion to their weights.
+	// SplitTargets receive the route's requests in proportion to their weights.
 	SplitTargets []SplitTarget
 }
 
-// SplitTarget is one service's share of a route.
+// SplitTarget is a service that receives a weighted part of a route's requests.
 type SplitTarget struct {
 	Service string
 	Weight  float64
 }
 
-// RoutedService is what the settings say of one service.
+// RoutedService holds the settings of one service.
 type RoutedService struct {
 	Name string
 	// Keyed services divide the keys 0 to MaxKey among their upstreams.
 	Keyed bool
-	// Warmup is how long keys are slow at an upstream that got them without a handover.
+	// Warmup is the time for which requests for keys are slow at an upstream that was granted them without a handover.
 	Warmup time.Duration
-	// HealthPath is where an upstream tells whether it is well and stays; empty if there is none.
+	// HealthPath is the path at which an upstream reports its health and whether it is leaving; empty if there is none.
 	HealthPath string
-	// SlowStart is how long an upstream is cold after its start, and after its availability zone is taken back.
+	// SlowStart is the time for which an upstream is cold after its start, and after the evacuation of its
+	// availability zone has ended.
 	SlowStart time.Duration
-	// SlowStartRate is how many requests a second a cold upstream tolerates; 0 if the settings do not say.
+	// SlowStartRate is the number of requests a second that a cold upstream tolerates; 0 if the settings don't give it.
 	SlowStartRate float64
 	// MaxConnections bounds the connections to one upstream from all hosts together.
 	MaxConnections int
@@ -61,32 +62,34 @@
 	IdleTimeout   time.Duration
 }
 
-// Upstream is one life of a server; another start of it has another ID.
+// Upstream is one incarnation of a back-end server.
 type Upstream struct {
 	ID string
-	// StartedAt is when its process started, in Unix milliseconds on its own clock; 0 if it does not say. An upstream
-	// may start again under its ID: ID and StartedAt name one life of it.
+	// StartedAt is the start of the process, in Unix milliseconds on the upstream's clock; 0 if it is unknown. An
+	// upstream may start again under its ID, so ID and StartedAt together name one incarnation.
 	StartedAt int64
 	Service   string
 	Address   string
 	Zone      string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that the upstream processes at once.
 	Slots int
 	// Leaving upstreams get no new work.
 	Leaving bool
-	// EvacuateAt is from when on it gets nothing, since its availability zone is evacuated; 0 if it is not.
+	// EvacuateAt is the time from which the upstream gets no requests because its availability zone is evacuated; 0 if
+	// the zone is not evacuated.
 	EvacuateAt Instant
-	// RemainingWarmup is how much longer it was cold when it last said so: slower than usual, and ended by too many requests.
+	// RemainingWarmup is the remaining cold time that the upstream last reported. A cold upstream is slower than usual,
+	// and too many requests make it crash.
 	RemainingWarmup time.Duration
-	// ColdUntil is when that is over, by this process's clock; 0 if it was not cold.
+	// ColdUntil is the end of the cold time on this process's clock; 0 if the upstream was not cold.
 	ColdUntil Instant
-	// HasColdLimit says that it bears only so many requests a second while it is cold, of which this host may send
-	// ColdPart.
+	// HasColdLimit is true if the upstream tolerates a limited rate of requests while it is cold. This host's share of
+	// that rate is ColdQuota, in requests a second.
 	HasColdLimit bool
 	ColdQuota    int
 }
 
-// IsColdLimited reports whether the upstream is cold at a moment and bears only so many requests a second.
+// IsColdLimited reports whether the upstream is cold at a time and its rate of requests is limited.
 func (upstream *Upstream) IsColdLimited(now Instant) bool {
 	return upstream.HasColdLimit && now < upstream.ColdUntil
 }
--- a/service.go
+++ b/service.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Idempotency says which requests of a service may run twice without harm.
+// Idempotency selects the requests of a service that may run twice without harm.
 type Idempotency string
 
 // The values of the setting Idempotent.
@@ -12,18 +12,18 @@
 	IdempotentNever    Idempotency = "never"
 )
 
-// RepeatGuard names what protects a service against a caller that repeats an Idempotency-Key.
+// RepeatGuard selects the protection of a service against requests that repeat an Idempotency-Key.
 type RepeatGuard string
 
 // The values of the setting RepeatGuard.
 const (
-	// RepeatGuardNone passes the caller's key on to the upstream and promises nothing else.
+	// RepeatGuardNone only passes the caller's key on to the upstream.
 	RepeatGuardNone RepeatGuard = "none"
-	// RepeatGuardLog writes the intent to the platform's log before the request is sent.
+	// RepeatGuardLog records the request in the platform's log before it is sent.
 	RepeatGuardLog RepeatGuard = "log"
 )
 
-// UpstreamServer is one server that a service may use.
+// UpstreamServer is one upstream in a service's settings.
 type UpstreamServer struct {
 	Name string
 	// Address is an IP and a port.
