--- a/example_test.go
+++ b/example_test.go
@@ -19,7 +19,7 @@
 	return nil
 }
 
-// refuse answers everything that reaches it.
+// refuse refuses every request that reaches it.
 type refuse struct{}
 
 func (refuse) Serve(*cherrykeel.Exchange, cherrykeel.Next) *cherrykeel.Failure {
--- a/layout_test.go
+++ b/layout_test.go
@@ -17,25 +17,25 @@
 	RunSpecs(t, "cherrykeel")
 }
 
-// deciding are the packages whose decisions take time, randomness and input as arguments.
-var deciding = []string{"admit", "demand", "flow", "fold", "keeper", "lease", "member", "picker", "place", "poison", "retry", "route", "spans", "topo", "views"}
+// purePackages get time, randomness and input as arguments, so that tests can run them deterministically.
+var purePackages = []string{"admit", "demand", "flow", "fold", "keeper", "lease", "member", "picker", "place", "poison", "retry", "route", "spans", "topo", "views"}
 
-// worldly are the imports with which a package could read a clock, wait, or do I/O.
-var worldly = []string{"context", "crypto/rand", "io", "math/rand", "math/rand/v2", "net", "net/http", "os", "sync"}
+// impureImports are the imports with which a package could read a clock, wait, synchronize or do I/O.
+var impureImports = []string{"context", "crypto/rand", "io", "math/rand", "math/rand/v2", "net", "net/http", "os", "sync"}
 
-var _ = Describe("the packages that decide", func() {
-	for _, name := range deciding {
-		It("imports nothing worldly in "+name, func() {
+var _ = Describe("the pure packages", func() {
+	for _, name := range purePackages {
+		It("import nothing impure in "+name, func() {
 			files, err := filepath.Glob(filepath.Join(name, "*.go"))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(files).NotTo(BeEmpty())
 			for _, file := range files {
 				if !strings.HasSuffix(file, "_test.go") {
-					Expect(importsOf(file)).NotTo(ContainElement(BeElementOf(worldly)), file)
+					Expect(importsOf(file)).NotTo(ContainElement(BeElementOf(impureImports)), file)
 				}
 			}
 		})
-		It("reads no clock in "+name, func() {
+		It("read no clock in "+name, func() {
 			files, _ := filepath.Glob(filepath.Join(name, "*.go"))
 			for _, file := range files {
 				source, err := os.ReadFile(file)
