--- a/grants/bench_test.go
+++ b/grants/bench_test.go
@@ -24,8 +24,8 @@
 	}
 	store := newFakeStore(ids...)
 	clock := &shiftedClock{}
-	keeper := grants.New(cherrykeel.Peer{Name: myself, Incarnation: "life-" + myself}, clock, zap.NewNop(), store, "table", store, store,
-		&fakeMesh{clock: clock, known: 1}, idleGranter{}, func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: 10 * time.Second} })
+	keeper := grants.New(cherrykeel.Peer{Name: selfName, Incarnation: "life-" + selfName}, clock, zap.NewNop(), store, "table", store, store,
+		&fakeMesh{clock: clock, hostCount: 1}, instantGranter{}, func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: 10 * time.Second} })
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	go keeper.Run(ctx)
@@ -47,18 +47,18 @@
 	b.ReportMetric(100*(processorTime(b)-used).Seconds()/time.Since(begun).Seconds(), "%core")
 }
 
-// idleGranter answers all orders at once.
-type idleGranter struct{}
+// instantGranter answers all orders at once.
+type instantGranter struct{}
 
-func (idleGranter) Grant(context.Context, cherrykeel.Upstream, cherrykeel.SpanGrant) error {
+func (instantGranter) Grant(context.Context, cherrykeel.Upstream, cherrykeel.SpanGrant) error {
 	return nil
 }
 
-func (idleGranter) Release(context.Context, cherrykeel.Upstream, cherrykeel.KeySpan, int64) (string, error) {
+func (instantGranter) Release(context.Context, cherrykeel.Upstream, cherrykeel.KeySpan, int64) (string, error) {
 	return "", nil
 }
 
-func (idleGranter) IsLeaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
+func (instantGranter) IsLeaving(context.Context, cherrykeel.Upstream, string) (bool, error) {
 	return false, nil
 }
 
--- a/grants/change.go
+++ b/grants/change.go
@@ -15,40 +15,40 @@
 const (
 	// settleTime is how long a span stays with an owner before balance may move it again.
 	settleTime = time.Second
-	// usualWork is assumed of an upstream that no request has been answered by.
-	usualWork = 100 * time.Millisecond
-	// coldShare is what an upstream that has just started can do of its usual work.
-	coldShare = 0.5
+	// defaultProcessingTime is assumed of an upstream that no request has been answered by.
+	defaultProcessingTime = 100 * time.Millisecond
+	// coldCapacityShare is what an upstream that has just started can do of its usual work.
+	coldCapacityShare = 0.5
 )
 
 type releaseState struct {
-	pending bool
-	done    bool
-	// endedAt is when the last try was answered or given up.
-	endedAt  cherrykeel.Instant
-	handover string
+	pending  bool
+	answered bool
+	// attemptEndedAt is when the last try was answered or given up.
+	attemptEndedAt cherrykeel.Instant
+	handover       string
 }
 
-// again reports whether a release that went unanswered is to be sent once more. A release is never refused and
+// shouldRetry reports whether a release that went unanswered is to be sent once more. A release is never refused and
 // may be repeated; without it a lost answer would leave the keys without an owner until the hold has passed.
-func (state *releaseState) again(now cherrykeel.Instant) bool {
-	return !state.pending && !state.done && now.Sub(state.endedAt) >= retryGrant
+func (state *releaseState) shouldRetry(now cherrykeel.Instant) bool {
+	return !state.pending && !state.answered && now.Sub(state.attemptEndedAt) >= retryInterval
 }
 
-// change writes the next table if upstreams joined, left or were lost, or load has shifted.
-func (keeper *Keeper) change(ctx context.Context, table spans.Table, next int64, now cherrykeel.Instant) {
-	keeper.release(ctx, table, now)
-	if keeper.writing || now < keeper.writeAfter || keeper.refused(ctx, table, next) || keeper.revives(ctx, table, next, now) {
+// updateTable writes the next table if upstreams joined, left or were lost, or load has shifted.
+func (keeper *Keeper) updateTable(ctx context.Context, table spans.Table, next int64, now cherrykeel.Instant) {
+	keeper.releaseMoving(ctx, table, now)
+	if keeper.writing || now < keeper.writeAfter || keeper.reclaimAfterRefusal(ctx, table, next) || keeper.reclaimForReturned(ctx, table, next, now) {
 		return
 	}
-	balance := now.Sub(keeper.plannedAt) >= planEvery
+	balance := now.Sub(keeper.plannedAt) >= planInterval
 	if balance {
 		keeper.plannedAt = now
 	}
 	changed := keeper.table.IsCorrupt()
 	proposal := table.Clone()
-	for _, service := range keeper.world.KeyedServices() {
-		list, differs := table.NextSpans(service.Name, keeper.facts(service.Name, next, balance, now))
+	for _, service := range keeper.environment.KeyedServices() {
+		list, differs := table.NextSpans(service.Name, keeper.planInput(service.Name, next, balance, now))
 		if differs {
 			proposal.Services[service.Name] = list
 			changed = true
@@ -58,12 +58,12 @@
 		return
 	}
 	events.Log(keeper.logger, events.KeeperChanged, zap.Int64("At", next), zap.Int64("Term", table.Term))
-	keeper.noteTransfers(table, proposal, next, now)
-	keeper.write(ctx, proposal, next)
+	keeper.recordTransfers(table, proposal, next, now)
+	keeper.writeTable(ctx, proposal, next)
 }
 
-// refused claims anew after a refusal by a higher fence, since the same fence can never be taken.
-func (keeper *Keeper) refused(ctx context.Context, table spans.Table, next int64) bool {
+// reclaimAfterRefusal claims anew after a refusal by a higher fence, since the same fence can never be taken.
+func (keeper *Keeper) reclaimAfterRefusal(ctx context.Context, table spans.Table, next int64) bool {
 	for _, state := range keeper.grants {
 		if state.refused {
 			keeper.claim(ctx, table, next, "a grant met a higher fence")
@@ -73,47 +73,47 @@
 	return false
 }
 
-func (keeper *Keeper) facts(service string, next int64, balance bool, now cherrykeel.Instant) spans.Input {
-	demand := keeper.demandOf(service)
+func (keeper *Keeper) planInput(service string, next int64, balance bool, now cherrykeel.Instant) spans.Input {
+	demand := keeper.demandFor(service)
 	demand.Decay(now)
 	candidates := keeper.candidates(service, now)
 	moves := 0
 	if balance {
-		moves = max(movesAtOnce, len(candidates)/upstreamsPerMove)
+		moves = max(maxMoves, len(candidates)/upstreamsPerMove)
 	}
 	return spans.Input{
 		Offset:        next,
 		Candidates:    candidates,
 		Demand:        demand,
-		IsUnavailable: func(owner string) bool { return keeper.lost(owner, now) },
+		IsUnavailable: func(owner string) bool { return keeper.isUnavailable(owner, now) },
 		IsFree:        func(span cherrykeel.KeySpan) bool { return keeper.ledger.FreeAt(service, "", span) <= now },
-		IsSettled:     func(owned spans.Owned) bool { return keeper.settled(service, owned, now) },
+		IsSettled:     func(owned spans.Owned) bool { return keeper.isSettled(service, owned, now) },
 		MaxMoves:      moves,
 	}
 }
 
-func (keeper *Keeper) lost(id string, now cherrykeel.Instant) bool {
+func (keeper *Keeper) isUnavailable(id string, now cherrykeel.Instant) bool {
 	contact, known := keeper.contacts[id]
-	return known && (contact.departed || contact.misses > 0 && now < contact.lostUntil)
+	return known && (contact.departed || contact.misses > 0 && now < contact.unavailableUntil)
 }
 
-// settled reports whether a span has been with its owner for long enough to be moved. A part of it that has
+// isSettled reports whether a span has been with its owner for long enough to be moved. A part of it that has
 // just been cut off has been there for as long as the whole.
-func (keeper *Keeper) settled(service string, owned spans.Owned, now cherrykeel.Instant) bool {
+func (keeper *Keeper) isSettled(service string, owned spans.Owned, now cherrykeel.Instant) bool {
 	key := spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}
 	state, known := keeper.grants[key]
 	if !known {
-		state, known = keeper.covering(key)
+		state, known = keeper.coveringGrant(key)
 	}
-	return known && state.taken && now.Sub(state.takenAt) >= settleTime
+	return known && state.accepted && now.Sub(state.acceptedAt) >= settleTime
 }
 
-// covering returns the grant of a larger span from which the given one was cut.
-func (keeper *Keeper) covering(key spans.GrantedSpan) (*grantState, bool) {
+// coveringGrant returns the grant of a larger span from which the given one was cut.
+func (keeper *Keeper) coveringGrant(key spans.GrantedSpan) (*grantState, bool) {
 	for other, state := range keeper.grants {
 		inside := other.Service == key.Service && other.Owner == key.Owner && other.Fence == key.Fence &&
 			other.Span != key.Span && other.Span.Covers(key.Span)
-		if inside && state.taken {
+		if inside && state.accepted {
 			return state, true
 		}
 	}
@@ -124,20 +124,20 @@
 	var known []time.Duration
 	var candidates []spans.Candidate
 	total := time.Duration(0)
-	upstreams := keeper.world.Upstreams()
+	upstreams := keeper.environment.Upstreams()
 	for _, upstream := range upstreams {
-		work := keeper.workTime(upstream.ID, now)
+		work := keeper.processingTime(upstream.ID, now)
 		if upstream.Service == service && work > 0 {
 			known = append(known, work)
 			total += work
 		}
 	}
-	mean := usualWork
+	mean := defaultProcessingTime
 	if len(known) > 0 {
 		mean = total / time.Duration(len(known))
 	}
 	for _, upstream := range upstreams {
-		if upstream.Service != service || upstream.Leaving || upstream.EvacuateAt != 0 || keeper.lost(upstream.ID, now) {
+		if upstream.Service != service || upstream.Leaving || upstream.EvacuateAt != 0 || keeper.isUnavailable(upstream.ID, now) {
 			continue
 		}
 		candidates = append(candidates, spans.Candidate{ID: upstream.ID, Address: upstream.Address, StartedAt: upstream.StartedAt, Capacity: keeper.capacity(upstream, mean, now), Cold: upstream.IsColdLimited(now)})
@@ -146,19 +146,19 @@
 }
 
 func (keeper *Keeper) capacity(upstream cherrykeel.Upstream, mean time.Duration, now cherrykeel.Instant) float64 {
-	work := keeper.workTime(upstream.ID, now)
+	work := keeper.processingTime(upstream.ID, now)
 	if work == 0 {
 		work = mean
 	}
 	capacity := float64(upstream.Slots) / work.Seconds()
 	if now < upstream.ColdUntil {
-		capacity *= coldShare
+		capacity *= coldCapacityShare
 	}
 	return capacity
 }
 
-// release asks owners to give back the spans that the table says are moving.
-func (keeper *Keeper) release(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
+// releaseMoving asks owners to give back the spans that the table says are moving.
+func (keeper *Keeper) releaseMoving(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
 	wanted := map[spans.GrantedSpan]bool{}
 	for service, list := range table.Services {
 		for _, owned := range list {
@@ -170,71 +170,71 @@
 			key := spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence + 1}
 			wanted[key] = true
 			state, under := keeper.releases[key]
-			if !under || state.again(now) {
-				keeper.releaseOne(ctx, key, owned, now)
+			if !under || state.shouldRetry(now) {
+				keeper.releaseSpan(ctx, key, owned, now)
 			}
 		}
 	}
 	for key, state := range keeper.releases {
-		if !wanted[key] && !state.pending && !keeper.awaited(table, key) {
+		if !wanted[key] && !state.pending && !keeper.isHandoverPending(table, key) {
 			delete(keeper.releases, key)
 		}
 	}
 }
 
-// awaited reports whether a handover has still to be passed on with a grant.
-func (keeper *Keeper) awaited(table spans.Table, key spans.GrantedSpan) bool {
+// isHandoverPending reports whether a handover has still to be passed on with a grant.
+func (keeper *Keeper) isHandoverPending(table spans.Table, key spans.GrantedSpan) bool {
 	for _, owned := range table.Services[key.Service] {
 		if owned.First > key.Span.Last || owned.Last < key.Span.First {
 			continue
 		}
 		state, known := keeper.grants[spans.GrantedSpan{Service: key.Service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}]
-		if !known || !state.taken {
+		if !known || !state.accepted {
 			return true
 		}
 	}
 	return false
 }
 
-func (keeper *Keeper) releaseOne(ctx context.Context, key spans.GrantedSpan, owned spans.Owned, now cherrykeel.Instant) {
+func (keeper *Keeper) releaseSpan(ctx context.Context, key spans.GrantedSpan, owned spans.Owned, now cherrykeel.Instant) {
 	state := &releaseState{pending: true}
 	keeper.releases[key] = state
-	keeper.withdraw(key)
+	keeper.withdrawGrants(key)
 	upstream := cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.StartedAt}
-	hold := keeper.hold(key.Service, key.Owner, now)
+	hold := keeper.leaseFor(key.Service, key.Owner, now)
 	events.Log(keeper.logger, events.SpanMoving,
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner), zap.Int("First", owned.First), zap.Int("Last", owned.Last),
-		zap.Int64("Fence", key.Fence), zap.Float64("Load", keeper.demandOf(key.Service).Load(owned.Span())), zap.Duration("Hold", hold))
+		zap.Int64("Fence", key.Fence), zap.Float64("Load", keeper.demandFor(key.Service).Load(owned.Span())), zap.Duration("Hold", hold))
 	term := keeper.term
 	keeper.workers.releases.Submit(func() {
 		ctx, cancel := context.WithTimeout(ctx, hold+releaseMargin)
 		defer cancel()
 		waited := keeper.clock.Now().Sub(now)
-		handover, err := keeper.releaseIn(ctx, waited, upstream, key)
-		keeper.meter.ordered(orderRelease, err, waited)
+		handover, err := keeper.sendRelease(ctx, waited, upstream, key)
+		keeper.meter.countOrder(orderRelease, err, waited)
 		keeper.results <- func(ended cherrykeel.Instant) {
 			state.pending = false
-			keeper.urgent = true
+			keeper.needsTick = true
 			if keeper.term != term {
 				return
 			}
-			state.endedAt = ended
-			keeper.released(key, state, handover, err, ended.Sub(now), waited)
+			state.attemptEndedAt = ended
+			keeper.recordRelease(key, state, handover, err, ended.Sub(now), waited)
 		}
 	})
 }
 
-// releaseIn sends a release, unless it has waited for long: its owner may have been granted the span again since.
-func (keeper *Keeper) releaseIn(ctx context.Context, waited time.Duration, upstream cherrykeel.Upstream, key spans.GrantedSpan) (string, error) {
-	if waited > longestWait {
+// sendRelease sends a release, unless it has waited for long: its owner may have been granted the span again since.
+func (keeper *Keeper) sendRelease(ctx context.Context, waited time.Duration, upstream cherrykeel.Upstream, key spans.GrantedSpan) (string, error) {
+	if waited > maxWorkerWait {
 		return "", errors.WithStack(errOverdue)
 	}
 	return keeper.granter.Release(ctx, upstream, key.Span, key.Fence)
 }
 
-// withdraw takes back the grants of a span that wait for a worker while the span is released. The release leaves at
+// withdrawGrants takes back the grants of a span that wait for a worker while the span is released. The release leaves at
 // once and raises the fence; a grant that left after it would be refused, as by another keeper's fence.
-func (keeper *Keeper) withdraw(release spans.GrantedSpan) {
+func (keeper *Keeper) withdrawGrants(release spans.GrantedSpan) {
 	for key, state := range keeper.grants {
 		same := key.Service == release.Service && key.Owner == release.Owner && key.Fence < release.Fence
 		if same && key.Span.Overlaps(release.Span) {
@@ -243,7 +243,7 @@
 	}
 }
 
-func (keeper *Keeper) released(key spans.GrantedSpan, state *releaseState, handover string, err error, took, waited time.Duration) {
+func (keeper *Keeper) recordRelease(key spans.GrantedSpan, state *releaseState, handover string, err error, took, waited time.Duration) {
 	fields := []zap.Field{
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner), zap.Int("First", key.Span.First),
 		zap.Int("Last", key.Span.Last), zap.Duration("Took", took), zap.Duration("Waited", waited),
@@ -252,17 +252,17 @@
 		events.Log(keeper.logger, events.GrantOpen, append(fields, zap.Error(err))...)
 		return
 	}
-	state.done = true
+	state.answered = true
 	state.handover = handover
 	keeper.ledger.RecordRelease(key)
 	events.Log(keeper.logger, events.SpanFreed, fields...)
 }
 
-// handover returns what the last owner gave for keys that another owner gets now.
-func (keeper *Keeper) handover(key spans.GrantedSpan) string {
+// handoverFor returns what the last owner gave for keys that another owner gets now.
+func (keeper *Keeper) handoverFor(key spans.GrantedSpan) string {
 	for released, state := range keeper.releases {
 		covers := released.Service == key.Service && released.Span.Covers(key.Span)
-		if covers && state.done && released.Fence <= key.Fence {
+		if covers && state.answered && released.Fence <= key.Fence {
 			return state.handover
 		}
 	}
--- a/grants/demand.go
+++ b/grants/demand.go
@@ -8,10 +8,10 @@
 	"cherrykeel/spans"
 )
 
-// workWord is what one host says of an upstream's speed.
-type workWord struct {
-	work time.Duration
-	at   cherrykeel.Instant
+// speedReport is what one host says of an upstream's speed.
+type speedReport struct {
+	processingTime time.Duration
+	receivedAt     cherrykeel.Instant
 }
 
 // RecordDemand takes the keys that a host was asked for.
@@ -23,33 +23,33 @@
 	}
 }
 
-func (keeper *Keeper) count(demand share.Demand) {
-	counted := keeper.demandOf(demand.Service)
+func (keeper *Keeper) addDemand(demand share.Demand) {
+	counted := keeper.demandFor(demand.Service)
 	for _, key := range demand.Keys {
 		counted.Add(key, 1)
 	}
 	now := keeper.clock.Now()
 	for id, work := range demand.ProcessingTimes {
-		words, known := keeper.work[id]
+		words, known := keeper.speedReports[id]
 		if !known {
-			words = map[string]workWord{}
-			keeper.work[id] = words
+			words = map[string]speedReport{}
+			keeper.speedReports[id] = words
 		}
-		words[demand.Host] = workWord{work: work, at: now}
+		words[demand.Host] = speedReport{processingTime: work, receivedAt: now}
 	}
 }
 
-// workTime is the mean over what the hosts have said lately, or 0. Each host sees but a part of an
+// processingTime is the mean over what the hosts have said lately, or 0. Each host sees but a part of an
 // upstream's answers; together they notice within a second or two that it has turned slow.
-func (keeper *Keeper) workTime(id string, now cherrykeel.Instant) time.Duration {
+func (keeper *Keeper) processingTime(id string, now cherrykeel.Instant) time.Duration {
 	var total time.Duration
 	count := 0
-	for host, word := range keeper.work[id] {
-		if now.Sub(word.at) > wordAge {
-			delete(keeper.work[id], host)
+	for host, word := range keeper.speedReports[id] {
+		if now.Sub(word.receivedAt) > maxSpeedReportAge {
+			delete(keeper.speedReports[id], host)
 			continue
 		}
-		total += word.work
+		total += word.processingTime
 		count++
 	}
 	if count == 0 {
@@ -58,7 +58,7 @@
 	return total / time.Duration(count)
 }
 
-func (keeper *Keeper) demandOf(service string) *spans.Demand {
+func (keeper *Keeper) demandFor(service string) *spans.Demand {
 	counted, known := keeper.demand[service]
 	if !known {
 		counted = spans.NewDemand(keeper.clock.Now())
--- a/grants/fakes_test.go
+++ b/grants/fakes_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	generous = "20s"
-	service  = "halls"
-	myself   = "host-1"
+	longTimeout = "20s"
+	service     = "halls"
+	selfName    = "host-1"
 )
 
 // shiftedClock is the process's clock, set forward by the test as a suspension does.
@@ -37,18 +37,18 @@
 
 // fakeStore is the log, the view of its table, and the world of one keeper.
 type fakeStore struct {
-	mutex sync.Mutex
-	table spans.Table
-	next  int64
-	away  bool
-	// unwell stores have just come back.
-	unwell    bool
-	loseReply bool
-	writes    int
-	upstreams []cherrykeel.Upstream
-	ended     map[string]bool
-	rank      int
-	garbled   bool
+	mutex       sync.Mutex
+	table       spans.Table
+	next        int64
+	unavailable bool
+	// recovering stores have just come back.
+	recovering bool
+	loseReply  bool
+	writes     int
+	upstreams  []cherrykeel.Upstream
+	ended      map[string]bool
+	rank       int
+	corrupt    bool
 }
 
 func newFakeStore(ids ...string) *fakeStore {
@@ -73,27 +73,27 @@
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.writes++
-	if store.away {
+	if store.unavailable {
 		return errors.WithStack(cherrykeel.ErrStoreUnavailable)
 	}
 	if at != store.next {
 		return errors.WithStack(cherrykeel.ErrConflict)
 	}
-	store.take(value, at)
+	store.apply(value, at)
 	if store.loseReply {
 		return errors.WithStack(cherrykeel.ErrStoreUnavailable)
 	}
 	return nil
 }
 
-func (store *fakeStore) take(value []byte, at int64) {
+func (store *fakeStore) apply(value []byte, at int64) {
 	table, err := spans.Decode(value, at)
 	if err != nil || at < store.next {
 		return
 	}
 	store.table = table
 	store.next = at + 1
-	store.garbled = false
+	store.corrupt = false
 }
 
 func (store *fakeStore) Current() (spans.Table, int64, bool) {
@@ -105,13 +105,13 @@
 func (store *fakeStore) ApplyOwnWrite(value []byte, offset int64) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	store.take(value, offset)
+	store.apply(value, offset)
 }
 
 func (store *fakeStore) IsCorrupt() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	return store.garbled
+	return store.corrupt
 }
 
 func (store *fakeStore) KeyedServices() []cherrykeel.RoutedService {
@@ -139,10 +139,10 @@
 func (store *fakeStore) StoreAvailableFor() time.Duration {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	if store.away {
+	if store.unavailable {
 		return 0
 	}
-	if store.unwell {
+	if store.recovering {
 		return time.Millisecond
 	}
 	return time.Hour
@@ -175,11 +175,11 @@
 
 // fakeMesh says what the test lets the other hosts say.
 type fakeMesh struct {
-	mutex   sync.Mutex
-	clock   *shiftedClock
-	known   int
-	reports []share.ReceivedReport
-	finals  *share.FinalGrants
+	mutex     sync.Mutex
+	clock     *shiftedClock
+	hostCount int
+	reports   []share.ReceivedReport
+	finals    *share.FinalGrants
 }
 
 func (mesh *fakeMesh) Reports(age time.Duration) []share.ReceivedReport {
@@ -208,13 +208,13 @@
 func (mesh *fakeMesh) HostCount() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	return mesh.known
+	return mesh.hostCount
 }
 
-// hear makes the hosts report the newest term of the store until the spec ends.
-func (mesh *fakeMesh) hear(store *fakeStore, known int, names ...string) (stop func()) {
+// reportFrom makes the hosts report the newest term of the store until the spec ends.
+func (mesh *fakeMesh) reportFrom(store *fakeStore, known int, names ...string) (stop func()) {
 	mesh.mutex.Lock()
-	mesh.known = known
+	mesh.hostCount = known
 	mesh.mutex.Unlock()
 	done := make(chan struct{})
 	ended := make(chan struct{})
@@ -253,35 +253,35 @@
 
 // fakeGranter keeps what servers hold and checks that no key has two owners.
 type fakeGranter struct {
-	mutex    sync.Mutex
-	sent     []sentGrant
-	held     map[string]map[cherrykeel.KeySpan]time.Time
-	dead     map[string]bool
-	fences   map[string]int64
-	twice    int
-	released []string
-	hold     chan struct{}
-	leaving  map[string]bool
-	probed   int
+	mutex        sync.Mutex
+	sent         []sentGrant
+	held         map[string]map[cherrykeel.KeySpan]time.Time
+	unresponsive map[string]bool
+	fences       map[string]int64
+	overlaps     int
+	released     []string
+	finishWork   chan struct{}
+	leaving      map[string]bool
+	probed       int
 	// resets is how many of the next grants to a server end with their connection, and releasesLost how many of
 	// the next releases are carried out without an answer.
-	resets       map[string]int
-	releasesLost int
-	// longest servers keep the longer one of two holds; others go by the last grant.
-	longest bool
-	// asked counts all grants that were sent, answered or not.
-	asked map[string]int
+	resets             map[string]int
+	lostReleaseAnswers int
+	// keepsLonger servers keep the longer one of two holds; others go by the last grant.
+	keepsLonger bool
+	// attempts counts all grants that were sent, answered or not.
+	attempts map[string]int
 }
 
 func newFakeGranter() *fakeGranter {
-	return &fakeGranter{held: map[string]map[cherrykeel.KeySpan]time.Time{}, dead: map[string]bool{}, fences: map[string]int64{}, asked: map[string]int{}}
+	return &fakeGranter{held: map[string]map[cherrykeel.KeySpan]time.Time{}, unresponsive: map[string]bool{}, fences: map[string]int64{}, attempts: map[string]int{}}
 }
 
 func (granter *fakeGranter) Grant(_ context.Context, upstream cherrykeel.Upstream, grant cherrykeel.SpanGrant) error {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
-	granter.asked[upstream.ID]++
-	if granter.dead[upstream.ID] {
+	granter.attempts[upstream.ID]++
+	if granter.unresponsive[upstream.ID] {
 		return errors.WithStack(cherrykeel.ErrNoAnswer)
 	}
 	if granter.resets[upstream.ID] > 0 {
@@ -296,7 +296,7 @@
 		for span, until := range spans {
 			overlaps := span.First <= grant.Span.Last && span.Last >= grant.Span.First
 			if other != upstream.ID && overlaps && time.Now().Before(until) {
-				granter.twice++
+				granter.overlaps++
 			}
 		}
 	}
@@ -304,7 +304,7 @@
 		granter.held[upstream.ID] = map[cherrykeel.KeySpan]time.Time{}
 	}
 	until := time.Now().Add(grant.LeaseDuration)
-	if before := granter.held[upstream.ID][grant.Span]; granter.longest && before.After(until) {
+	if before := granter.held[upstream.ID][grant.Span]; granter.keepsLonger && before.After(until) {
 		until = before
 	}
 	granter.held[upstream.ID][grant.Span] = until
@@ -312,16 +312,16 @@
 }
 
 func (granter *fakeGranter) Release(ctx context.Context, upstream cherrykeel.Upstream, span cherrykeel.KeySpan, _ int64) (string, error) {
-	if granter.hold != nil {
+	if granter.finishWork != nil {
 		select {
-		case <-granter.hold:
+		case <-granter.finishWork:
 		case <-ctx.Done():
 			return "", errors.WithStack(cherrykeel.ErrNoAnswer)
 		}
 	}
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
-	if granter.dead[upstream.ID] {
+	if granter.unresponsive[upstream.ID] {
 		return "", errors.WithStack(cherrykeel.ErrNoAnswer)
 	}
 	granter.released = append(granter.released, upstream.ID)
@@ -330,8 +330,8 @@
 			delete(granter.held[upstream.ID], held)
 		}
 	}
-	if granter.releasesLost > 0 {
-		granter.releasesLost--
+	if granter.lostReleaseAnswers > 0 {
+		granter.lostReleaseAnswers--
 		return "", errors.WithStack(cherrykeel.ErrNoAnswer)
 	}
 	return "token-" + upstream.ID, nil
@@ -344,10 +344,10 @@
 	return granter.leaving[upstream.ID], nil
 }
 
-func (granter *fakeGranter) tries(id string) int {
+func (granter *fakeGranter) attemptsTo(id string) int {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
-	return granter.asked[id]
+	return granter.attempts[id]
 }
 
 func (granter *fakeGranter) set(change func()) {
--- a/grants/freed_test.go
+++ b/grants/freed_test.go
@@ -20,15 +20,15 @@
 		const service = "halls"
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		granter := &lateGranter{clock: clock, arrivals: make(chan cherrykeel.Instant, 1), release: make(chan struct{})}
-		keeper := newStepped("host-1", clock, nil, smallWorld{}, granter)
+		keeper := newSteppedKeeper("host-1", clock, nil, smallEnvironment{}, granter)
 		owned := spans.Owned{First: 0, Last: 99, Owner: "u1", Fence: 4}
-		keeper.releaseOne(context.Background(), spans.GrantedSpan{Service: service, Owner: "u1", Span: owned.Span(), Fence: 5}, owned, clock.Now())
-		keeper.send(context.Background(), spans.GrantedSpan{Service: service, Owner: "u1", Span: owned.Span(), Fence: 9}, &grantState{}, clock.Now())
+		keeper.releaseSpan(context.Background(), spans.GrantedSpan{Service: service, Owner: "u1", Span: owned.Span(), Fence: 5}, owned, clock.Now())
+		keeper.sendGrant(context.Background(), spans.GrantedSpan{Service: service, Owner: "u1", Span: owned.Span(), Fence: 9}, &grantState{}, clock.Now())
 		var arrived cherrykeel.Instant
 		Eventually(granter.arrivals, "20s").Should(Receive(&arrived))
 		close(granter.release)
-		settle(keeper)
-		settle(keeper)
-		Expect(keeper.ledger.FreeAt(service, "", owned.Span())).To(BeNumerically(">=", spans.LatestLeaseEnd(arrived, keeper.shortHold())))
+		processResult(keeper)
+		processResult(keeper)
+		Expect(keeper.ledger.FreeAt(service, "", owned.Span())).To(BeNumerically(">=", spans.LatestLeaseEnd(arrived, keeper.shortLease())))
 	})
 })
--- a/grants/hold_test.go
+++ b/grants/hold_test.go
@@ -27,8 +27,8 @@
 
 	run := func() {
 		runKeeper(keeper)
-		Eventually(granter.count("u1"), generous).Should(BeNumerically(">=", 1))
-		Eventually(granter.count("u2"), generous).Should(BeNumerically(">=", 1))
+		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
+		Eventually(granter.count("u2"), longTimeout).Should(BeNumerically(">=", 1))
 	}
 
 	lastHold := func(id string) func() time.Duration {
@@ -40,15 +40,15 @@
 	// only when the longer has passed.
 	DescribeTable("long ones are waited for though a short grant came after them",
 		func(keepsLonger bool) {
-			granter.longest = keepsLonger
+			granter.keepsLonger = keepsLonger
 			run()
-			store.set(func() { store.away = true })
-			Eventually(lastHold("u2"), generous).Should(Equal(longest))
-			store.set(func() { store.away = false })
-			Eventually(lastHold("u2"), generous).Should(BeNumerically("<", longest))
-			granter.set(func() { granter.dead["u2"] = true })
-			Eventually(store.ownerOf(cherrykeel.MaxKey), generous).Should(Equal("u1"))
-			Eventually(func() int { return granter.last("u1").Span.Last }, generous).Should(Equal(cherrykeel.MaxKey))
+			store.set(func() { store.unavailable = true })
+			Eventually(lastHold("u2"), longTimeout).Should(Equal(longest))
+			store.set(func() { store.unavailable = false })
+			Eventually(lastHold("u2"), longTimeout).Should(BeNumerically("<", longest))
+			granter.set(func() { granter.unresponsive["u2"] = true })
+			Eventually(store.ownerOf(cherrykeel.MaxKey), longTimeout).Should(Equal("u1"))
+			Eventually(func() int { return granter.last("u1").Span.Last }, longTimeout).Should(Equal(cherrykeel.MaxKey))
 		},
 		Entry("upstreams keep the longer of two holds", true),
 		Entry("upstreams go by the last grant", false),
@@ -57,18 +57,18 @@
 	// The store does not serve this keeper but another host, which takes over a second later. Long holds would
 	// only delay the keys of owners that are lost.
 	It("stay short while another host has the store", func() {
-		mesh.hear(store, 3, "host-2", "host-3")
+		mesh.reportFrom(store, 3, "host-2", "host-3")
 		run()
-		store.set(func() { store.away = true })
+		store.set(func() { store.unavailable = true })
 		Consistently(lastHold("u1"), "2s").Should(BeNumerically("<", longest))
 	})
 
 	It("stay short when the store is away for a moment", func() {
 		run()
 		for range 3 {
-			store.set(func() { store.away = true })
+			store.set(func() { store.unavailable = true })
 			time.Sleep(300 * time.Millisecond)
-			store.set(func() { store.away = false })
+			store.set(func() { store.unavailable = false })
 			time.Sleep(100 * time.Millisecond)
 		}
 		Expect(granter.last("u1").LeaseDuration).To(BeNumerically("<", longest))
@@ -96,15 +96,15 @@
 		store.set(func() { store.upstreams[0].StartedAt = 100 })
 		run()
 		granter.set(func() { granter.leaving = map[string]bool{"u1": true} })
-		store.set(func() { store.away = true })
-		Eventually(func() int { granter.mutex.Lock(); defer granter.mutex.Unlock(); return granter.probed }, generous).Should(BeNumerically(">=", 2))
-		granter.set(func() { granter.dead["u1"] = true })
-		Eventually(keeper.FinalGrants, generous).ShouldNot(BeNil())
+		store.set(func() { store.unavailable = true })
+		Eventually(func() int { granter.mutex.Lock(); defer granter.mutex.Unlock(); return granter.probed }, longTimeout).Should(BeNumerically(">=", 2))
+		granter.set(func() { granter.unresponsive["u1"] = true })
+		Eventually(keeper.FinalGrants, longTimeout).ShouldNot(BeNil())
 		before, _, _ := store.Current()
-		granter.set(func() { granter.dead["u1"], granter.leaving, granter.held["u1"] = false, nil, nil })
-		store.set(func() { store.away, store.upstreams[0].StartedAt = false, 200 })
+		granter.set(func() { granter.unresponsive["u1"], granter.leaving, granter.held["u1"] = false, nil, nil })
+		store.set(func() { store.unavailable, store.upstreams[0].StartedAt = false, 200 })
 		tries := granter.count("u1")()
-		Eventually(granter.count("u1"), generous).Should(BeNumerically(">", tries))
+		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">", tries))
 		after, _, _ := store.Current()
 		Expect(after.Term).To(BeNumerically(">", before.Term))
 		Expect(granter.last("u1").Fence).To(BeNumerically(">=", after.Term))
@@ -134,23 +134,23 @@
 		tell(60 * time.Millisecond)
 		Consistently(lastHold("u2"), "700ms").Should(Equal(2500 * time.Millisecond))
 		tell(9 * time.Second)
-		Eventually(lastHold("u2"), generous).Should(Equal(longest))
+		Eventually(lastHold("u2"), longTimeout).Should(Equal(longest))
 		tell(700 * time.Millisecond)
-		Eventually(lastHold("u2"), generous).Should(Equal(3500 * time.Millisecond))
-		granter.hold = make(chan struct{})
+		Eventually(lastHold("u2"), longTimeout).Should(Equal(3500 * time.Millisecond))
+		granter.finishWork = make(chan struct{})
 		store.set(func() { store.upstreams[1].Leaving = true })
 		Consistently(store.ownerOf(cherrykeel.MaxKey), "2800ms").Should(Equal("u2"), "its work may take as long as its hold")
-		close(granter.hold)
-		Eventually(store.ownerOf(cherrykeel.MaxKey), generous).Should(Equal("u1"))
+		close(granter.finishWork)
+		Eventually(store.ownerOf(cherrykeel.MaxKey), longTimeout).Should(Equal("u1"))
 	})
 
 	// The answer to a release is lost. Asked again, the upstream answers at once; not asked, its keys would have
 	// no owner until the hold has passed.
 	It("end with a release that is repeated when its answer was lost", func() {
-		granter.releasesLost = 2
+		granter.lostReleaseAnswers = 2
 		run()
 		store.set(func() { store.upstreams[1].Leaving = true })
-		Eventually(store.ownerOf(cherrykeel.MaxKey), generous).Should(Equal("u1"))
+		Eventually(store.ownerOf(cherrykeel.MaxKey), longTimeout).Should(Equal("u1"))
 		Expect(granter.released).To(Equal([]string{"u2", "u2", "u2"}))
 	})
 })
--- a/grants/keeper.go
+++ b/grants/keeper.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// tickEvery is the pace at which the keeper looks at what changed, and idleEvery that of the other hosts,
+	// tickInterval is the pace at which the keeper looks at what changed, and idleEvery that of the other hosts,
 	// which only look whether there is one.
-	tickEvery = 25 * time.Millisecond
-	idleEvery = 100 * time.Millisecond
-	// planEvery is the pace at which keys are moved for balance.
-	planEvery = 250 * time.Millisecond
-	// movesAtOnce bounds the spans that are without an owner for balance's sake; with many upstreams there
+	tickInterval = 25 * time.Millisecond
+	idleInterval = 100 * time.Millisecond
+	// planInterval is the pace at which keys are moved for balance.
+	planInterval = 250 * time.Millisecond
+	// maxMoves bounds the spans that are without an owner for balance's sake; with many upstreams there
 	// may be one for each upstreamsPerMove of them. A move waits for the work that runs, up to seconds, and a
 	// neighbourhood that becomes hot for 26 of 111 upstreams must not wait for 7 rounds of 4 moves.
-	movesAtOnce      = 4
+	maxMoves         = 4
 	upstreamsPerMove = 16
-	// wordAge is how long a host's word on an upstream's speed counts.
-	wordAge = 3 * time.Second
-	// silentKeeper is when another host claims: reports come each 200 ms at the least.
-	silentKeeper = 900 * time.Millisecond
-	// claimStep spreads the claims of several hosts, so that mostly one is made.
-	claimStep = 120 * time.Millisecond
+	// maxSpeedReportAge is how long a host's word on an upstream's speed counts.
+	maxSpeedReportAge = 3 * time.Second
+	// maxKeeperSilence is when another host claims: reports come each 200 ms at the least.
+	maxKeeperSilence = 900 * time.Millisecond
+	// claimStagger spreads the claims of several hosts, so that mostly one is made.
+	claimStagger = 120 * time.Millisecond
 )
 
 // Mesh is what the keeper needs to know of the other hosts.
@@ -76,69 +76,69 @@
 
 // Keeper claims, grants and moves key spans.
 type Keeper struct {
-	self    cherrykeel.Peer
-	clock   cherrykeel.Clock
-	logger  *zap.Logger
-	log     cherrykeel.KeyedLog
-	key     string
-	table   Table
-	world   Environment
-	mesh    Mesh
-	granter cherrykeel.SpanGranter
-	bounds  func() cherrykeel.Bounds
-	workers workers
-	meter   meter
+	self        cherrykeel.Peer
+	clock       cherrykeel.Clock
+	logger      *zap.Logger
+	log         cherrykeel.KeyedLog
+	key         string
+	table       Table
+	environment Environment
+	mesh        Mesh
+	granter     cherrykeel.SpanGranter
+	bounds      func() cherrykeel.Bounds
+	workers     workers
+	meter       meter
 
-	results chan func(now cherrykeel.Instant)
-	demands chan share.Demand
-	resign  chan chan struct{}
-	finish  chan chan struct{}
+	results        chan func(now cherrykeel.Instant)
+	demands        chan share.Demand
+	resignRequests chan chan struct{}
+	stopRequests   chan chan struct{}
 
 	// The rest belongs to the goroutine of Run.
-	term   int64
-	unsure bool
-	ledger spans.Ledger
-	demand map[string]*spans.Demand
-	work   map[string]map[string]workWord
-	// meanWorks are by service.
-	meanWorks map[string]meanWork
+	term         int64
+	unconfirmed  bool
+	ledger       spans.Ledger
+	demand       map[string]*spans.Demand
+	speedReports map[string]map[string]speedReport
+	// meanTimes are by service.
+	meanTimes map[string]cachedMean
 	grants    map[spans.GrantedSpan]*grantState
 	releases  map[spans.GrantedSpan]*releaseState
 	contacts  map[string]*contact
-	// knownAt is since when more than half of the hosts have known the term.
-	knownAt cherrykeel.Instant
-	known   bool
-	// finals are those of the present term while another host keeps, claimed is the last claim of this host.
-	finals  *finals
-	claimed claimOf
+	// majorityKnowsSince is since when more than half of the hosts have known the term.
+	majorityKnowsSince cherrykeel.Instant
+	majorityKnows      bool
+	// receivedFinal are those of the present term while another host keeps, claimed is the last claim of this host.
+	receivedFinal *finalGrants
+	lastClaim     claimAttempt
 	// transfers are what open writes give on.
-	transfers []openTransfer
-	plannedAt cherrykeel.Instant
-	writing   bool
-	started   cherrykeel.Instant
-	resigned  bool
-	tickedAt  cherrykeel.Instant
-	seenTable int64
-	seenAt    cherrykeel.Instant
+	transfers   []unconfirmedTransfer
+	plannedAt   cherrykeel.Instant
+	writing     bool
+	startedAt   cherrykeel.Instant
+	resigned    bool
+	tickedAt    cherrykeel.Instant
+	seenVersion int64
+	seenAt      cherrykeel.Instant
 	// writeAfter is when the next write may be tried.
 	writeAfter cherrykeel.Instant
-	// open says that the duty is to be claimed, since openSince.
-	open            bool
-	openSince       cherrykeel.Instant
-	holderStoreless bool
-	storelessAt     cherrykeel.Instant
+	// vacant says that the duty is to be claimed, since openSince.
+	vacant               bool
+	vacantSince          cherrykeel.Instant
+	keeperStoreless      bool
+	keeperStorelessSince cherrykeel.Instant
 
-	// urgent says that the last result lets something be done that should not wait for the next tick. A renewal that
+	// needsTick says that the last result lets something be done that should not wait for the next tick. A renewal that
 	// was answered lets nothing be done: with 231 owners there are some 600 of them a second, and each look at
 	// everything takes half a millisecond; the keeper was the busiest host with 0.70 of its 0.8 cores.
-	urgent bool
-	// away says that the store does not serve this host, since awaySince; barred, that holds are long for it.
-	away      bool
-	awaySince cherrykeel.Instant
-	barred    bool
+	needsTick bool
+	// storeUnavailable says that the store does not serve this host, since awaySince; barred, that holds are long for it.
+	storeUnavailable      bool
+	storeUnavailableSince cherrykeel.Instant
+	longLeases            bool
 
-	// told is what reports say of grants that are made no more; any goroutine may read it.
-	told atomic.Pointer[finals]
+	// publishedFinal is what reports say of grants that are made no more; any goroutine may read it.
+	publishedFinal atomic.Pointer[finalGrants]
 }
 
 // Option changes a Keeper under construction.
@@ -154,12 +154,12 @@
 // New returns a keeper that keeps nothing yet.
 func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, log cherrykeel.KeyedLog, key string, table Table, world Environment, mesh Mesh, granter cherrykeel.SpanGranter, bounds func() cherrykeel.Bounds, options ...Option) *Keeper {
 	keeper := &Keeper{
-		self: self, clock: clock, logger: logger, log: log, key: key, table: table, world: world, mesh: mesh,
+		self: self, clock: clock, logger: logger, log: log, key: key, table: table, environment: world, mesh: mesh,
 		granter: granter, bounds: bounds, workers: newWorkers(), meter: meter{scope: tally.NoopScope},
-		results: make(chan func(cherrykeel.Instant), 4*callsAtOnce), demands: make(chan share.Demand, callsAtOnce),
-		resign: make(chan chan struct{}, 1), finish: make(chan chan struct{}, 1),
-		term: -1, demand: map[string]*spans.Demand{}, work: map[string]map[string]workWord{}, meanWorks: map[string]meanWork{}, grants: map[spans.GrantedSpan]*grantState{},
-		releases: map[spans.GrantedSpan]*releaseState{}, contacts: map[string]*contact{}, seenTable: -1,
+		results: make(chan func(cherrykeel.Instant), 4*maxCalls), demands: make(chan share.Demand, maxCalls),
+		resignRequests: make(chan chan struct{}, 1), stopRequests: make(chan chan struct{}, 1),
+		term: -1, demand: map[string]*spans.Demand{}, speedReports: map[string]map[string]speedReport{}, meanTimes: map[string]cachedMean{}, grants: map[spans.GrantedSpan]*grantState{},
+		releases: map[spans.GrantedSpan]*releaseState{}, contacts: map[string]*contact{}, seenVersion: -1,
 	}
 	for _, option := range options {
 		option(keeper)
@@ -171,7 +171,7 @@
 func (keeper *Keeper) Resign(ctx context.Context) {
 	done := make(chan struct{})
 	select {
-	case keeper.resign <- done:
+	case keeper.resignRequests <- done:
 	case <-ctx.Done():
 		return
 	}
@@ -183,9 +183,9 @@
 
 // Run keeps spans until the context ends.
 func (keeper *Keeper) Run(ctx context.Context) {
-	keeper.started = keeper.clock.Now()
-	keeper.tickedAt = keeper.started
-	ticker := time.NewTicker(tickEvery)
+	keeper.startedAt = keeper.clock.Now()
+	keeper.tickedAt = keeper.startedAt
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -193,37 +193,37 @@
 			return
 		case <-ticker.C:
 			keeper.tick(ctx)
-			ticker.Reset(keeper.pace())
+			ticker.Reset(keeper.tickDelay())
 		case result := <-keeper.results:
 			result(keeper.clock.Now())
-			if keeper.urgent {
+			if keeper.needsTick {
 				keeper.tick(ctx)
 			}
 		case demand := <-keeper.demands:
-			keeper.count(demand)
-		case done := <-keeper.resign:
-			keeper.giveUp(ctx)
+			keeper.addDemand(demand)
+		case done := <-keeper.resignRequests:
+			keeper.writeResignation(ctx)
 			close(done)
-		case done := <-keeper.finish:
-			keeper.finished()
+		case done := <-keeper.stopRequests:
+			keeper.publishTermEnd()
 			close(done)
 			return
 		}
 	}
 }
 
-func (keeper *Keeper) pace() time.Duration {
-	if keeper.term < 0 && !keeper.open {
-		return idleEvery
+func (keeper *Keeper) tickDelay() time.Duration {
+	if keeper.term < 0 && !keeper.vacant {
+		return idleInterval
 	}
-	return tickEvery
+	return tickInterval
 }
 
 func (keeper *Keeper) tick(ctx context.Context) {
-	keeper.urgent = false
+	keeper.needsTick = false
 	now := keeper.clock.Now()
 	stood := now.Sub(keeper.tickedAt)
-	if stood > evidenceAge {
+	if stood > maxEvidenceAge {
 		events.Log(keeper.logger, events.Suspended, zap.Duration("For", stood), zap.Int64("Term", keeper.term))
 	}
 	keeper.tickedAt = now
@@ -231,57 +231,57 @@
 	if !known {
 		return
 	}
-	if table.Version != keeper.seenTable {
-		keeper.seenTable = table.Version
+	if table.Version != keeper.seenVersion {
+		keeper.seenVersion = table.Version
 		keeper.seenAt = now
 	}
 	if table.Keeper != keeper.self.Name || table.Incarnation != keeper.self.Incarnation {
-		keeper.stand(table)
-		keeper.remember(table)
-		keeper.consider(ctx, table, next, now)
+		keeper.leaveTerm(table)
+		keeper.recordFinalReports(table)
+		keeper.considerClaim(ctx, table, next, now)
 		return
 	}
-	keeper.enter(table, now)
-	keeper.settleTransfers(next)
-	if !keeper.sure(table.Term, now) {
+	keeper.enterTerm(table, now)
+	keeper.removeSettledTransfers(next)
+	if !keeper.isConfirmed(table.Term, now) {
 		return
 	}
-	keeper.bound(now)
-	keeper.noteStore(now)
-	keeper.greet()
+	keeper.boundEarlierLeases(now)
+	keeper.recordStoreState(now)
+	keeper.recordIncarnations()
 	keeper.ledger.RemoveExpired(now)
-	keeper.publish(now, false)
-	keeper.change(ctx, table, next, now)
-	keeper.probe(ctx, table, now)
-	keeper.renew(ctx, table, now)
+	keeper.publishFinal(now, false)
+	keeper.updateTable(ctx, table, next, now)
+	keeper.probeOwners(ctx, table, now)
+	keeper.renewGrants(ctx, table, now)
 }
 
-// stand leaves the duty when another host has it.
-func (keeper *Keeper) stand(table spans.Table) {
+// leaveTerm leaves the duty when another host has it.
+func (keeper *Keeper) leaveTerm(table spans.Table) {
 	if keeper.term < 0 {
 		return
 	}
 	events.Log(keeper.logger, events.KeeperResigned, zap.Int64("Term", keeper.term), zap.String("Keeper", table.Keeper), zap.Int64("NewTerm", table.Term))
 	keeper.term = -1
-	keeper.told.Store(nil)
+	keeper.publishedFinal.Store(nil)
 	keeper.grants = map[spans.GrantedSpan]*grantState{}
 	keeper.releases = map[spans.GrantedSpan]*releaseState{}
 	keeper.contacts = map[string]*contact{}
 	keeper.ledger = spans.Ledger{}
 }
 
-// enter takes up the duty of a term: whoever kept before may have granted all that the table says, and
+// enterTerm takes up the duty of a term: whoever kept before may have granted all that the table says, and
 // may go on until enough hosts know the new term.
-func (keeper *Keeper) enter(table spans.Table, now cherrykeel.Instant) {
+func (keeper *Keeper) enterTerm(table spans.Table, now cherrykeel.Instant) {
 	if keeper.term == table.Term {
 		return
 	}
 	keeper.term = table.Term
-	keeper.known = false
+	keeper.majorityKnows = false
 	keeper.grants = map[spans.GrantedSpan]*grantState{}
 	keeper.releases = map[spans.GrantedSpan]*releaseState{}
 	keeper.contacts = map[string]*contact{}
 	keeper.ledger = spans.Ledger{}
-	keeper.inherit(table, now)
+	keeper.inheritOwners(table, now)
 	events.Log(keeper.logger, events.KeeperClaimed, zap.Int64("Term", table.Term), zap.Int("Hosts", keeper.mesh.HostCount()))
 }
--- a/grants/keeper_test.go
+++ b/grants/keeper_test.go
@@ -16,11 +16,11 @@
 func newKeeper(longest time.Duration) (*shiftedClock, *fakeStore, *fakeMesh, *fakeGranter, *grants.Keeper) {
 	clock := &shiftedClock{}
 	store := newFakeStore("u1", "u2")
-	mesh := &fakeMesh{clock: clock, known: 1}
+	mesh := &fakeMesh{clock: clock, hostCount: 1}
 	granter := newFakeGranter()
 	bounds := func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: longest} }
-	keeper := grants.New(cherrykeel.Peer{Name: myself, Incarnation: "life-" + myself}, clock, zap.NewNop(), store, "table", store, store, mesh, granter, bounds)
-	DeferCleanup(func() { Expect(granter.twice).To(BeZero(), "a key had two owners") })
+	keeper := grants.New(cherrykeel.Peer{Name: selfName, Incarnation: "life-" + selfName}, clock, zap.NewNop(), store, "table", store, store, mesh, granter, bounds)
+	DeferCleanup(func() { Expect(granter.overlaps).To(BeZero(), "a key had two owners") })
 	return clock, store, mesh, granter, keeper
 }
 
--- a/grants/lives_test.go
+++ b/grants/lives_test.go
@@ -13,13 +13,13 @@
 	"cherrykeel/spans"
 )
 
-// rebornWorld lists u1 in a life of its.
-type rebornWorld struct {
-	smallWorld
+// restartedEnvironment lists u1 in a life of its.
+type restartedEnvironment struct {
+	smallEnvironment
 	born int64
 }
 
-func (world *rebornWorld) Upstreams() []cherrykeel.Upstream {
+func (world *restartedEnvironment) Upstreams() []cherrykeel.Upstream {
 	return []cherrykeel.Upstream{{ID: "u1", Service: "halls", Address: "u1", Slots: 3, StartedAt: world.born}}
 }
 
@@ -43,17 +43,17 @@
 	// as lost, and when the table is there it is granted nothing for 5 s; nobody has its keys.
 	It("does not count as lost for grants that went to the one before", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		world, granter := &rebornWorld{born: 1}, &refusingGranter{}
-		keeper := newStepped("host-1", clock, nil, world, granter)
+		world, granter := &restartedEnvironment{born: 1}, &refusingGranter{}
+		keeper := newSteppedKeeper("host-1", clock, nil, world, granter)
 		owned := spans.Owned{First: 0, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", StartedAt: 1, Fence: 4}
 		renew := func() {
 			table := spans.Table{Version: 4, Term: 1, Services: map[string][]spans.Owned{"halls": {owned}}}
-			keeper.greet()
-			keeper.renew(context.Background(), table, clock.Now())
-			settle(keeper)
+			keeper.recordIncarnations()
+			keeper.renewGrants(context.Background(), table, clock.Now())
+			processResult(keeper)
 			clock.Advance(200 * time.Millisecond)
 		}
-		keeper.greet()
+		keeper.recordIncarnations()
 		world.born = 2
 		renew()
 		renew()
--- a/grants/meter.go
+++ b/grants/meter.go
@@ -22,19 +22,19 @@
 	scope tally.Scope
 }
 
-// ordered counts an order by its result, and how long it waited for a worker.
-func (meter meter) ordered(order string, err error, waited time.Duration) {
-	scope := meter.scope.Tagged(map[string]string{"order": order, "result": result(err)})
+// countOrder counts an order by its result, and how long it waited for a worker.
+func (meter meter) countOrder(order string, err error, waited time.Duration) {
+	scope := meter.scope.Tagged(map[string]string{"order": order, "result": resultLabel(err)})
 	scope.Counter("orders").Inc(1)
 	meter.scope.Tagged(map[string]string{"order": order}).Histogram("order_wait", waitBuckets).RecordDuration(waited)
 }
 
-// gave counts a span that was given on.
-func (meter meter) gave(by evidence) {
+// countTransfer counts a span that was given on.
+func (meter meter) countTransfer(by evidence) {
 	meter.scope.Tagged(map[string]string{"free_by": string(by)}).Counter("spans_given_on").Inc(1)
 }
 
-func result(err error) string {
+func resultLabel(err error) string {
 	switch {
 	case err == nil:
 		return "answered"
--- a/grants/order_test.go
+++ b/grants/order_test.go
@@ -50,7 +50,7 @@
 	BeforeEach(func() {
 		clock = fakes.NewClock(cherrykeel.Instant(time.Hour))
 		granter = &lateGranter{clock: clock, arrivals: make(chan cherrykeel.Instant, 1), release: make(chan struct{})}
-		keeper = newStepped("host-1", clock, nil, smallWorld{}, granter)
+		keeper = newSteppedKeeper("host-1", clock, nil, smallEnvironment{}, granter)
 		key = spans.GrantedSpan{Service: service, Owner: owner, Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
 	})
 
@@ -61,12 +61,12 @@
 		busy := make(chan struct{})
 		keeper.workers.grants = pond.NewPool(1)
 		keeper.workers.grants.Submit(func() { <-busy })
-		keeper.send(context.Background(), key, &grantState{}, clock.Now())
+		keeper.sendGrant(context.Background(), key, &grantState{}, clock.Now())
 		clock.Advance(400 * time.Millisecond)
 		close(busy)
 		var arrived cherrykeel.Instant
 		Eventually(granter.arrivals, "20s").Should(Receive(&arrived))
-		Expect(keeper.ledger.FreeAt(service, "", key.Span)).To(BeNumerically(">=", spans.LatestLeaseEnd(arrived, keeper.shortHold())))
+		Expect(keeper.ledger.FreeAt(service, "", key.Span)).To(BeNumerically(">=", spans.LatestLeaseEnd(arrived, keeper.shortLease())))
 	})
 
 	// The workers are busy for longer than a grant may wait, so nothing is sent to the upstream. It lives; called
@@ -75,10 +75,10 @@
 		busy := make(chan struct{})
 		keeper.workers.grants = pond.NewPool(1)
 		keeper.workers.grants.Submit(func() { <-busy })
-		keeper.send(context.Background(), key, &grantState{}, clock.Now())
+		keeper.sendGrant(context.Background(), key, &grantState{}, clock.Now())
 		clock.Advance(time.Second)
 		close(busy)
-		settle(keeper)
+		processResult(keeper)
 		Expect(granter.arrivals).To(BeEmpty())
 		Expect(keeper.contact(owner).misses).To(BeZero())
 	})
@@ -86,11 +86,11 @@
 	// Sixty-four owners leave at once, and their releases wait for work that runs. The other owners' grants must go
 	// out meanwhile: their holds are shorter than the longest work.
 	It("are not held up by releases that wait for running work", func() {
-		for first := range callsAtOnce {
+		for first := range maxCalls {
 			owned := spans.Owned{First: first, Last: first, Owner: "u2", Fence: 1}
-			keeper.releaseOne(context.Background(), spans.GrantedSpan{Service: service, Owner: "u2", Span: owned.Span(), Fence: 2}, owned, clock.Now())
+			keeper.releaseSpan(context.Background(), spans.GrantedSpan{Service: service, Owner: "u2", Span: owned.Span(), Fence: 2}, owned, clock.Now())
 		}
-		keeper.send(context.Background(), key, &grantState{}, clock.Now())
+		keeper.sendGrant(context.Background(), key, &grantState{}, clock.Now())
 		Eventually(granter.arrivals, "5s").Should(Receive())
 		close(granter.release)
 	})
--- a/grants/overtaken_test.go
+++ b/grants/overtaken_test.go
@@ -50,21 +50,21 @@
 	It("do not make the keeper claim anew", func() {
 		const service = "halls"
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		log := &openLog{values: make(chan []byte, 1)}
-		keeper := newStepped("host-1", clock, log, smallWorld{}, &fencedGranter{})
+		log := &unansweredLog{values: make(chan []byte, 1)}
+		keeper := newSteppedKeeper("host-1", clock, log, smallEnvironment{}, &fencedGranter{})
 		busy := make(chan struct{})
 		keeper.workers.grants = pond.NewPool(1)
 		keeper.workers.grants.Submit(func() { <-busy })
 		owned := spans.Owned{First: 0, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", Fence: 4}
 		table := spans.Table{Version: 4, Term: 1, Services: map[string][]spans.Owned{service: {owned}}}
-		keeper.renew(context.Background(), table, clock.Now())
+		keeper.renewGrants(context.Background(), table, clock.Now())
 		owned.Moving = true
 		moving := spans.Table{Version: 5, Term: 1, Services: map[string][]spans.Owned{service: {owned}}}
-		keeper.release(context.Background(), moving, clock.Now())
-		settle(keeper)
+		keeper.releaseMoving(context.Background(), moving, clock.Now())
+		processResult(keeper)
 		clock.Advance(200 * time.Millisecond)
 		close(busy)
-		settle(keeper)
-		Expect(keeper.refused(context.Background(), moving, 6)).To(BeFalse())
+		processResult(keeper)
+		Expect(keeper.reclaimAfterRefusal(context.Background(), moving, 6)).To(BeFalse())
 	})
 })
--- a/grants/phases_test.go
+++ b/grants/phases_test.go
@@ -45,22 +45,22 @@
 		const service = "halls"
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		granter := &hungGranter{hung: map[int]chan struct{}{}, arrive: make(chan int, 4)}
-		keeper := newStepped("host-1", clock, nil, smallWorld{}, granter)
+		keeper := newSteppedKeeper("host-1", clock, nil, smallEnvironment{}, granter)
 		first := spans.Owned{First: 0, Last: 99, Owner: "u1", Address: "u1", Fence: 4}
 		second := spans.Owned{First: 100, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", Fence: 5}
 		table := func(list ...spans.Owned) spans.Table {
 			return spans.Table{Version: 5, Term: 1, Services: map[string][]spans.Owned{service: list}}
 		}
-		renew := func(list ...spans.Owned) { keeper.renew(context.Background(), table(list...), clock.Now()) }
+		renew := func(list ...spans.Owned) { keeper.renewGrants(context.Background(), table(list...), clock.Now()) }
 		arrives := func(span int) { Eventually(granter.arrive, "20s").Should(Receive(Equal(span))) }
 
 		renew(first)
 		arrives(0)
-		settle(keeper)
+		processResult(keeper)
 		clock.Advance(200 * time.Millisecond)
 		renew(first, second)
 		arrives(100)
-		settle(keeper)
+		processResult(keeper)
 		clock.Advance(400 * time.Millisecond)
 		one, two := make(chan struct{}), make(chan struct{})
 		granter.hung = map[int]chan struct{}{0: one, 100: two}
@@ -72,13 +72,13 @@
 		granter.hung = nil
 		clock.Advance(400 * time.Millisecond)
 		close(one)
-		settle(keeper)
+		processResult(keeper)
 		renew(first, second)
 		arrives(0)
-		settle(keeper)
+		processResult(keeper)
 		clock.Advance(200 * time.Millisecond)
 		close(two)
-		settle(keeper)
-		Expect(keeper.lost("u1", clock.Now())).To(BeFalse())
+		processResult(keeper)
+		Expect(keeper.isUnavailable("u1", clock.Now())).To(BeFalse())
 	})
 })
--- a/grants/settled_test.go
+++ b/grants/settled_test.go
@@ -17,24 +17,24 @@
 	It("is told of the rest of a cut span from the whole's grant", func() {
 		now := cherrykeel.Instant(time.Hour)
 		whole := spans.GrantedSpan{Service: "s", Owner: "u", Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
-		keeper := &Keeper{grants: map[spans.GrantedSpan]*grantState{whole: {taken: true, takenAt: now.Add(-settleTime)}}}
+		keeper := &Keeper{grants: map[spans.GrantedSpan]*grantState{whole: {accepted: true, acceptedAt: now.Add(-settleTime)}}}
 		rest := spans.Owned{First: 40, Last: 99, Owner: "u", Fence: 4}
-		Expect(keeper.settled("s", rest, now)).To(BeTrue())
+		Expect(keeper.isSettled("s", rest, now)).To(BeTrue())
 		state := keeper.newGrant(spans.GrantedSpan{Service: "s", Owner: "u", Span: rest.Span(), Fence: 4}, rest)
-		keeper.noteTaken(state, now)
+		keeper.markAccepted(state, now)
 		delete(keeper.grants, whole)
-		Expect(keeper.settled("s", rest, now)).To(BeTrue())
-		Expect(keeper.settled("s", spans.Owned{First: 70, Last: 99, Owner: "u", Fence: 4}, now)).To(BeTrue())
+		Expect(keeper.isSettled("s", rest, now)).To(BeTrue())
+		Expect(keeper.isSettled("s", spans.Owned{First: 70, Last: 99, Owner: "u", Fence: 4}, now)).To(BeTrue())
 	})
 
 	It("begins with the grant of a span that has another owner or fence than before", func() {
 		now := cherrykeel.Instant(time.Hour)
 		before := spans.GrantedSpan{Service: "s", Owner: "u", Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
-		keeper := &Keeper{grants: map[spans.GrantedSpan]*grantState{before: {taken: true, takenAt: now.Add(-settleTime)}}}
+		keeper := &Keeper{grants: map[spans.GrantedSpan]*grantState{before: {accepted: true, acceptedAt: now.Add(-settleTime)}}}
 		given := spans.Owned{First: 40, Last: 60, Owner: "other", Fence: 9}
 		state := keeper.newGrant(spans.GrantedSpan{Service: "s", Owner: "other", Span: given.Span(), Fence: 9}, given)
-		keeper.noteTaken(state, now)
-		Expect(keeper.settled("s", given, now)).To(BeFalse())
-		Expect(keeper.settled("s", given, now.Add(settleTime))).To(BeTrue())
+		keeper.markAccepted(state, now)
+		Expect(keeper.isSettled("s", given, now)).To(BeFalse())
+		Expect(keeper.isSettled("s", given, now.Add(settleTime))).To(BeTrue())
 	})
 })
--- a/grants/standin_test.go
+++ b/grants/standin_test.go
@@ -13,49 +13,49 @@
 	"cherrykeel/spans"
 )
 
-// openLog is a store that answers no write; it may carry them out later.
-type openLog struct {
+// unansweredLog is a store that answers no write; it may carry them out later.
+type unansweredLog struct {
 	cherrykeel.KeyedLog
 	values chan []byte
 }
 
-func (log *openLog) PutAt(_ context.Context, _ string, value []byte, _ int64) error {
+func (log *unansweredLog) PutAt(_ context.Context, _ string, value []byte, _ int64) error {
 	log.values <- value
 	return errors.WithStack(cherrykeel.ErrStoreUnavailable)
 }
 
-// smallWorld has two upstreams of one keyed service, and one host.
-type smallWorld struct{}
+// smallEnvironment has two upstreams of one keyed service, and one host.
+type smallEnvironment struct{}
 
-func (smallWorld) KeyedServices() []cherrykeel.RoutedService {
+func (smallEnvironment) KeyedServices() []cherrykeel.RoutedService {
 	return []cherrykeel.RoutedService{{Name: "halls", Keyed: true}}
 }
 
-func (smallWorld) Upstreams() []cherrykeel.Upstream {
+func (smallEnvironment) Upstreams() []cherrykeel.Upstream {
 	return []cherrykeel.Upstream{{ID: "u1", Service: "halls", Address: "u1", Slots: 3}, {ID: "u2", Service: "halls", Address: "u2", Slots: 3}}
 }
 
-func (smallWorld) IsReplaced(string, string) bool                       { return false }
-func (smallWorld) NotifyEnded(string)                                   {}
-func (smallWorld) RereadTable()                                         {}
-func (smallWorld) StoreAvailableFor() time.Duration                     { return time.Hour }
-func (smallWorld) PeerIncarnation(string) (string, time.Duration, bool) { return "", 0, false }
-func (smallWorld) Rank() int                                            { return 0 }
-func (smallWorld) Reports(time.Duration) []share.ReceivedReport         { return nil }
-func (smallWorld) TimeSinceReport(string) (time.Duration, bool)         { return 0, false }
-func (smallWorld) HostCount() int                                       { return 1 }
-func (smallWorld) Current() (spans.Table, int64, bool)                  { return spans.Table{}, 0, false }
-func (smallWorld) ApplyOwnWrite([]byte, int64)                          {}
-func (smallWorld) IsCorrupt() bool                                      { return false }
-
-// newStepped returns a keeper whose clock and results the spec drives itself.
-func newStepped(name string, clock cherrykeel.Clock, log cherrykeel.KeyedLog, world Environment, granter cherrykeel.SpanGranter) *Keeper {
+func (smallEnvironment) IsReplaced(string, string) bool                       { return false }
+func (smallEnvironment) NotifyEnded(string)                                   {}
+func (smallEnvironment) RereadTable()                                         {}
+func (smallEnvironment) StoreAvailableFor() time.Duration                     { return time.Hour }
+func (smallEnvironment) PeerIncarnation(string) (string, time.Duration, bool) { return "", 0, false }
+func (smallEnvironment) Rank() int                                            { return 0 }
+func (smallEnvironment) Reports(time.Duration) []share.ReceivedReport         { return nil }
+func (smallEnvironment) TimeSinceReport(string) (time.Duration, bool)         { return 0, false }
+func (smallEnvironment) HostCount() int                                       { return 1 }
+func (smallEnvironment) Current() (spans.Table, int64, bool)                  { return spans.Table{}, 0, false }
+func (smallEnvironment) ApplyOwnWrite([]byte, int64)                          {}
+func (smallEnvironment) IsCorrupt() bool                                      { return false }
+
+// newSteppedKeeper returns a keeper whose clock and results the spec drives itself.
+func newSteppedKeeper(name string, clock cherrykeel.Clock, log cherrykeel.KeyedLog, world Environment, granter cherrykeel.SpanGranter) *Keeper {
 	bounds := func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: 10 * time.Second} }
-	return New(cherrykeel.Peer{Name: name, Incarnation: "life"}, clock, zap.NewNop(), log, "table", smallWorld{}, world, smallWorld{}, granter, bounds)
+	return New(cherrykeel.Peer{Name: name, Incarnation: "life"}, clock, zap.NewNop(), log, "table", smallEnvironment{}, world, smallEnvironment{}, granter, bounds)
 }
 
-// settle takes the next result of an order or a write.
-func settle(keeper *Keeper) {
+// processResult takes the next result of an order or a write.
+func processResult(keeper *Keeper) {
 	var result func(cherrykeel.Instant)
 	Eventually(keeper.results, "20s").Should(Receive(&result))
 	result(keeper.clock.Now())
--- a/grants/successor_test.go
+++ b/grants/successor_test.go
@@ -16,10 +16,10 @@
 
 // countingGranter notes until when each upstream holds its keys, and whether two ever hold them at once.
 type countingGranter struct {
-	clock cherrykeel.Clock
-	mutex sync.Mutex
-	until map[string]cherrykeel.Instant
-	twice time.Duration
+	clock   cherrykeel.Clock
+	mutex   sync.Mutex
+	until   map[string]cherrykeel.Instant
+	overlap time.Duration
 }
 
 func (granter *countingGranter) Grant(_ context.Context, upstream cherrykeel.Upstream, grant cherrykeel.SpanGrant) error {
@@ -28,15 +28,15 @@
 	now := granter.clock.Now()
 	for other, until := range granter.until {
 		if other != upstream.ID {
-			granter.twice = max(granter.twice, until.Sub(now))
+			granter.overlap = max(granter.overlap, until.Sub(now))
 		}
 	}
 	granter.until[upstream.ID] = now.Add(grant.LeaseDuration)
 	return nil
 }
 
-// holds waits for a second at the most for an upstream to be granted keys, and reports whether it was.
-func (granter *countingGranter) holds(id string) bool {
+// isGrantedSoon waits for a second at the most for an upstream to be granted keys, and reports whether it was.
+func (granter *countingGranter) isGrantedSoon(id string) bool {
 	for range 100 {
 		granter.mutex.Lock()
 		_, held := granter.until[id]
@@ -69,32 +69,32 @@
 		ctx := context.Background()
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		granter := &countingGranter{clock: clock, until: map[string]cherrykeel.Instant{}}
-		log := &openLog{values: make(chan []byte, 8)}
+		log := &unansweredLog{values: make(chan []byte, 8)}
 		table := spans.Table{Version: 1, Term: 1, Keeper: "host-1", Incarnation: "life", Services: map[string][]spans.Owned{
 			service: {{First: 0, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", Fence: 1}},
 		}}
-		first := newStepped("host-1", clock, log, smallWorld{}, granter)
-		first.enter(table, clock.Now())
-		Expect(first.sure(1, clock.Now())).To(BeTrue())
-		first.bound(clock.Now())
+		first := newSteppedKeeper("host-1", clock, log, smallEnvironment{}, granter)
+		first.enterTerm(table, clock.Now())
+		Expect(first.isConfirmed(1, clock.Now())).To(BeTrue())
+		first.boundEarlierLeases(clock.Now())
 		free := first.ledger.FreeAt(service, "", whole)
 
 		clock.Advance(free.Sub(clock.Now()) - 2*time.Second)
-		first.contact("u1").missed(clock.Now())
-		clock.Advance(retryGrant)
-		first.contact("u1").missed(clock.Now())
-		Expect(first.lost("u1", clock.Now())).To(BeTrue())
+		first.contact("u1").recordMiss(clock.Now())
+		clock.Advance(retryInterval)
+		first.contact("u1").recordMiss(clock.Now())
+		Expect(first.isUnavailable("u1", clock.Now())).To(BeTrue())
 		clock.Advance(2 * time.Second)
-		first.change(ctx, table, 2, clock.Now())
+		first.updateTable(ctx, table, 2, clock.Now())
 		var written []byte
 		Eventually(log.values, "20s").Should(Receive(&written))
-		settle(first)
+		processResult(first)
 
-		clock.Advance(lostFor)
-		first.change(ctx, table, 2, clock.Now())
-		first.renew(ctx, table, clock.Now())
-		if granter.holds("u1") {
-			settle(first)
+		clock.Advance(unavailableFor)
+		first.updateTable(ctx, table, 2, clock.Now())
+		first.renewGrants(ctx, table, clock.Now())
+		if granter.isGrantedSoon("u1") {
+			processResult(first)
 		}
 
 		clock.Advance(time.Second)
@@ -102,13 +102,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(given.Services[service][0].Owner).To(Equal("u2"))
 		claimed := given.ClaimedBy("host-2", "life", 3)
-		second := newStepped("host-2", clock, log, smallWorld{}, granter)
-		second.enter(claimed, clock.Now())
-		second.renew(ctx, claimed, clock.Now())
+		second := newSteppedKeeper("host-2", clock, log, smallEnvironment{}, granter)
+		second.enterTerm(claimed, clock.Now())
+		second.renewGrants(ctx, claimed, clock.Now())
 		Consistently(func() time.Duration {
 			granter.mutex.Lock()
 			defer granter.mutex.Unlock()
-			return granter.twice
+			return granter.overlap
 		}, "500ms").Should(BeZero(), "two upstreams hold the keys for that long")
 	})
 })
--- a/grants/transfer.go
+++ b/grants/transfer.go
@@ -12,20 +12,20 @@
 // is to lose a span is granted it no more, though the table that is known still names it: one that was lost and answers
 // again would hold its span beside the owner that a successor grants it.
 
-// openTransfer is a span that an open write gives on.
-type openTransfer struct {
+// unconfirmedTransfer is a span that an open write gives on.
+type unconfirmedTransfer struct {
 	service string
 	owner   string
 	span    cherrykeel.KeySpan
-	// at is the offset for which the table was written.
-	at int64
+	// offset is the offset for which the table was written.
+	offset int64
 }
 
-// noteTransfers notes what a proposed table gives on, once for each offset.
-func (keeper *Keeper) noteTransfers(table, proposal spans.Table, at int64, now cherrykeel.Instant) {
+// recordTransfers notes what a proposed table gives on, once for each offset.
+func (keeper *Keeper) recordTransfers(table, proposal spans.Table, at int64, now cherrykeel.Instant) {
 	for service, list := range table.Services {
 		for _, before := range list {
-			transfer := openTransfer{service: service, owner: before.Owner, span: before.Span(), at: at}
+			transfer := unconfirmedTransfer{service: service, owner: before.Owner, span: before.Span(), offset: at}
 			if before.Owner == "" || proposal.HasSameOwner(service, before) || slices.Contains(keeper.transfers, transfer) {
 				continue
 			}
@@ -35,23 +35,23 @@
 	}
 }
 
-// settleTransfers forgets the writes whose offset is taken: their outcome is in the table that is known, unless another
+// removeSettledTransfers forgets the writes whose offset is taken: their outcome is in the table that is known, unless another
 // writer's record stands in its place.
-func (keeper *Keeper) settleTransfers(next int64) {
+func (keeper *Keeper) removeSettledTransfers(next int64) {
 	if keeper.table.IsCorrupt() {
 		return
 	}
 	kept := keeper.transfers[:0]
 	for _, transfer := range keeper.transfers {
-		if transfer.at >= next {
+		if transfer.offset >= next {
 			kept = append(kept, transfer)
 		}
 	}
 	keeper.transfers = kept
 }
 
-// transferred reports whether an open write gives a key of the span from its owner to another.
-func (keeper *Keeper) transferred(key spans.GrantedSpan) bool {
+// isTransferPending reports whether an open write gives a key of the span from its owner to another.
+func (keeper *Keeper) isTransferPending(key spans.GrantedSpan) bool {
 	for _, transfer := range keeper.transfers {
 		same := transfer.service == key.Service && transfer.owner == key.Owner
 		if same && transfer.span.Overlaps(key.Span) {
--- a/grants/workers.go
+++ b/grants/workers.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// callsAtOnce bounds the grants, and the probes, that are under way to upstreams.
-	callsAtOnce = 64
-	// releasesAtOnce bounds the releases, which wait for running work, up to the longest hold.
-	releasesAtOnce = 256
+	// maxCalls bounds the grants, and the probes, that are under way to upstreams.
+	maxCalls = 64
+	// maxReleases bounds the releases, which wait for running work, up to the longest hold.
+	maxReleases = 256
 	// callTimeout bounds one grant from its decision on, the wait for a worker included.
 	callTimeout = 600 * time.Millisecond
-	// cancelLate is how much later a grant may still leave whose time has passed: a host that has used up its part
+	// maxCancelDelay is how much later a grant may still leave whose time has passed: a host that has used up its part
 	// of the processor does nothing for up to a tenth of a second, and then ends the call.
-	cancelLate = 100 * time.Millisecond
-	// arriveWithin is how long after its decision a grant is taken to arrive at the latest; its way, some milliseconds,
+	maxCancelDelay = 100 * time.Millisecond
+	// maxArrivalDelay is how long after its decision a grant is taken to arrive at the latest; its way, some milliseconds,
 	// is within cancelLate. One that a full link holds up for longer is not counted.
-	arriveWithin = callTimeout + cancelLate
-	// longestWait is how long a grant may wait for a worker; the evidence that it rests on is too old then.
-	longestWait = evidenceAge / 2
-	// fairWait leaves a grant enough of its time that an upstream which lives answers.
-	fairWait = 200 * time.Millisecond
-	// longestTake is more than a grant takes on a busy host; the machine was suspended meanwhile.
-	longestTake = 2 * callTimeout
+	maxArrivalDelay = callTimeout + maxCancelDelay
+	// maxWorkerWait is how long a grant may wait for a worker; the evidence that it rests on is too old then.
+	maxWorkerWait = maxEvidenceAge / 2
+	// maxFairWait leaves a grant enough of its time that an upstream which lives answers.
+	maxFairWait = 200 * time.Millisecond
+	// maxGrantTime is more than a grant takes on a busy host; the machine was suspended meanwhile.
+	maxGrantTime = 2 * callTimeout
 )
 
 // errOverdue means that a grant waited too long for a worker and was not sent: it says nothing of the upstream.
@@ -47,7 +47,7 @@
 
 func newWorkers() workers {
 	return workers{
-		grants: pond.NewPool(callsAtOnce), releases: pond.NewPool(releasesAtOnce),
-		probes: pond.NewPool(callsAtOnce), writes: pond.NewPool(1),
+		grants: pond.NewPool(maxCalls), releases: pond.NewPool(maxReleases),
+		probes: pond.NewPool(maxCalls), writes: pond.NewPool(1),
 	}
 }
