--- a/member/health.go
+++ b/member/health.go
@@ -11,10 +11,10 @@
 	failuresToEject = 3
 	firstEjection   = time.Second
 	maxEjection     = 30 * time.Second
-	// warmUp is how long an upstream that has joined or come back takes to get its full share.
-	warmUp = 10 * time.Second
-	// drainMemory is how long an upstream's own word that it is draining counts.
-	drainMemory = 10 * time.Second
+	// warmupTime is how long an upstream that has joined or come back takes to get its full share.
+	warmupTime = 10 * time.Second
+	// maxDrainingAge is how long an upstream's own word that it is draining counts.
+	maxDrainingAge = 10 * time.Second
 	// shedWeight is the weight of the newest request in the share that is shed.
 	shedWeight = 0.1
 )
@@ -36,7 +36,7 @@
 func NewHealth(now cherrykeel.Instant, warm bool) *Health {
 	health := &Health{warmSince: now}
 	if warm {
-		health.warmSince = now - cherrykeel.Instant(warmUp)
+		health.warmSince = now - cherrykeel.Instant(warmupTime)
 	}
 	return health
 }
@@ -99,7 +99,7 @@
 
 // IsDraining reports whether the upstream has said of late that it takes no new work.
 func (health *Health) IsDraining(now cherrykeel.Instant) bool {
-	return health.draining && now.Sub(health.drainedAt) < drainMemory
+	return health.draining && now.Sub(health.drainedAt) < maxDrainingAge
 }
 
 // RecordAttempt notes that a request goes to the upstream.
@@ -116,6 +116,6 @@
 
 // Weight goes from 0, for an upstream that has just come or sheds all, to 1.
 func (health *Health) Weight(now cherrykeel.Instant) float64 {
-	warmth := min(1, float64(now.Sub(health.warmSince))/float64(warmUp))
+	warmth := min(1, float64(now.Sub(health.warmSince))/float64(warmupTime))
 	return warmth * (1 - health.shed)
 }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -17,7 +17,7 @@
 	RunSpecs(t, "member")
 }
 
-const second = cherrykeel.Instant(time.Second)
+const oneSecond = cherrykeel.Instant(time.Second)
 
 func entry(name string) cherrykeel.Member {
 	return cherrykeel.Member{Name: name, Role: cherrykeel.RoleEntry}
@@ -27,33 +27,33 @@
 	It("takes an upstream for down only when most hosts say so", func() {
 		roster := member.NewRoster(entry("a"))
 		for i, unreachable := range [][]string{{"s up"}, {}, {}} {
-			roster.RecordReport(member.PeerReport{Host: fmt.Sprint(i), Unreachable: unreachable}, second)
+			roster.RecordReport(member.PeerReport{Host: fmt.Sprint(i), Unreachable: unreachable}, oneSecond)
 		}
-		Expect(roster.IsDown("s", "up", second)).To(BeFalse(), "one host's bad view moves nothing")
-		roster.RecordReport(member.PeerReport{Host: "1", Unreachable: []string{"s up"}}, second)
-		Expect(roster.IsDown("s", "up", second)).To(BeTrue())
-		Expect(roster.IsDown("s", "up", 10*second)).To(BeFalse(), "old words count for nothing")
+		Expect(roster.IsDown("s", "up", oneSecond)).To(BeFalse(), "one host's bad view moves nothing")
+		roster.RecordReport(member.PeerReport{Host: "1", Unreachable: []string{"s up"}}, oneSecond)
+		Expect(roster.IsDown("s", "up", oneSecond)).To(BeTrue())
+		Expect(roster.IsDown("s", "up", 10*oneSecond)).To(BeFalse(), "old words count for nothing")
 	})
 
 	It("takes an upstream for leaving by its mark, or when it vanishes, but not when the list never had it", func() {
 		roster := member.NewRoster(entry("a"))
 		up := cherrykeel.Member{Name: "up", Role: cherrykeel.RoleUpstream}
 		Expect(roster.HasLeft("up")).To(BeFalse())
-		roster.ApplyList([]cherrykeel.Member{up}, second)
+		roster.ApplyList([]cherrykeel.Member{up}, oneSecond)
 		Expect(roster.HasLeft("up")).To(BeFalse())
 		up.Leaving = true
-		roster.ApplyList([]cherrykeel.Member{up}, 2*second)
+		roster.ApplyList([]cherrykeel.Member{up}, 2*oneSecond)
 		Expect(roster.HasLeft("up")).To(BeTrue())
-		roster.ApplyList(nil, 3*second)
+		roster.ApplyList(nil, 3*oneSecond)
 		Expect(roster.HasLeft("up")).To(BeTrue())
 	})
 
 	It("takes a host for gone only after long absence from a list that was read meanwhile", func() {
 		roster := member.NewRoster(entry("a"))
-		roster.ApplyList([]cherrykeel.Member{entry("a"), entry("b")}, second)
-		roster.ApplyList([]cherrykeel.Member{entry("a")}, 5*second)
+		roster.ApplyList([]cherrykeel.Member{entry("a"), entry("b")}, oneSecond)
+		roster.ApplyList([]cherrykeel.Member{entry("a")}, 5*oneSecond)
 		Expect(roster.Gone()).To(BeEmpty())
-		roster.ApplyList([]cherrykeel.Member{entry("a")}, 12*second)
+		roster.ApplyList([]cherrykeel.Member{entry("a")}, 12*oneSecond)
 		Expect(roster.Gone()).To(Equal(map[string]bool{"b": true}))
 	})
 
@@ -82,20 +82,20 @@
 	It("passes over an upstream that fails, and tries it again with one request at a time", func() {
 		health := member.NewHealth(0, true)
 		for range 3 {
-			Expect(health.IsUsable(second)).To(BeTrue())
-			health.RecordFailure(second)
+			Expect(health.IsUsable(oneSecond)).To(BeTrue())
+			health.RecordFailure(oneSecond)
 		}
-		Expect(health.IsUsable(second)).To(BeFalse())
-		later := 3 * second
+		Expect(health.IsUsable(oneSecond)).To(BeFalse())
+		later := 3 * oneSecond
 		Expect(health.IsUsable(later)).To(BeTrue())
 		health.RecordAttempt()
 		Expect(health.IsUsable(later)).To(BeFalse(), "one probe is on its way")
 		health.RecordFailure(later)
-		Expect(health.IsUsable(later+second)).To(BeFalse(), "the pause has doubled")
+		Expect(health.IsUsable(later+oneSecond)).To(BeFalse(), "the pause has doubled")
 		health.RecordAttempt()
-		health.RecordSuccess(10 * second)
-		Expect(health.IsUsable(10 * second)).To(BeTrue())
-		Expect(health.Weight(10*second)).To(BeNumerically("<", 0.1), "it warms up again")
+		health.RecordSuccess(10 * oneSecond)
+		Expect(health.IsUsable(10 * oneSecond)).To(BeTrue())
+		Expect(health.Weight(10*oneSecond)).To(BeNumerically("<", 0.1), "it warms up again")
 	})
 
 	// Guards against an upstream that is passed over for ever, since the one request that was to show whether it is back
@@ -104,15 +104,15 @@
 		func(end func(health *member.Health, now cherrykeel.Instant)) {
 			health := member.NewHealth(0, true)
 			for range 3 {
-				health.RecordFailure(second)
+				health.RecordFailure(oneSecond)
 			}
-			now := 3 * second
+			now := 3 * oneSecond
 			Expect(health.IsUsable(now)).To(BeTrue())
 			health.RecordAttempt()
 			end(health, now)
-			Expect(health.IsUsable(now + 30*second)).To(BeTrue())
+			Expect(health.IsUsable(now + 30*oneSecond)).To(BeTrue())
 			health.RecordAttempt()
-			Expect(health.IsUsable(now+30*second)).To(BeFalse(), "one at a time")
+			Expect(health.IsUsable(now+30*oneSecond)).To(BeFalse(), "one at a time")
 		},
 		Entry("since its caller went away", func(health *member.Health, _ cherrykeel.Instant) { health.RecordInconclusive() }),
 		Entry("since the upstream had no room", func(health *member.Health, _ cherrykeel.Instant) { health.RecordShed() }),
@@ -124,10 +124,10 @@
 		for range 50 {
 			health.RecordShed()
 		}
-		Expect(health.Weight(second)).To(BeNumerically("<", 0.05))
+		Expect(health.Weight(oneSecond)).To(BeNumerically("<", 0.05))
 		for range 50 {
-			health.RecordSuccess(second)
+			health.RecordSuccess(oneSecond)
 		}
-		Expect(health.Weight(second)).To(BeNumerically(">", 0.9))
+		Expect(health.Weight(oneSecond)).To(BeNumerically(">", 0.9))
 	})
 })
--- a/member/roster.go
+++ b/member/roster.go
@@ -14,8 +14,8 @@
 	goneAfter = 10 * time.Second
 	// neighbourCount is how many peers a host tells how it fares.
 	neighbourCount = 8
-	// wordAge is how long a peer's word counts.
-	wordAge = 5 * time.Second
+	// maxReportAge is how long a peer's word counts.
+	maxReportAge = 5 * time.Second
 )
 
 // Peer is an entry host as this host sees it.
@@ -47,18 +47,18 @@
 	Refusing []string
 }
 
-type heard struct {
-	word PeerReport
-	at   cherrykeel.Instant
+type receivedReport struct {
+	report     PeerReport
+	receivedAt cherrykeel.Instant
 }
 
 // Roster is one host's view of all hosts. It is not safe for use by several goroutines.
 type Roster struct {
-	self    string
-	members map[string]cherrykeel.Member
-	seen    map[string]cherrykeel.Instant
-	words   map[string]heard
-	listed  cherrykeel.Instant
+	self       string
+	members    map[string]cherrykeel.Member
+	lastListed map[string]cherrykeel.Instant
+	reports    map[string]receivedReport
+	listedAt   cherrykeel.Instant
 	// upstreams remembers every upstream that the list has ever shown.
 	upstreams map[string]bool
 }
@@ -66,11 +66,11 @@
 // NewRoster returns a roster that knows only the host itself.
 func NewRoster(self cherrykeel.Member) *Roster {
 	return &Roster{
-		self:      self.Name,
-		members:   map[string]cherrykeel.Member{self.Name: self},
-		seen:      map[string]cherrykeel.Instant{},
-		words:     map[string]heard{},
-		upstreams: map[string]bool{},
+		self:       self.Name,
+		members:    map[string]cherrykeel.Member{self.Name: self},
+		lastListed: map[string]cherrykeel.Instant{},
+		reports:    map[string]receivedReport{},
+		upstreams:  map[string]bool{},
 	}
 }
 
@@ -79,7 +79,7 @@
 	own := roster.members[roster.self]
 	roster.members = map[string]cherrykeel.Member{roster.self: own}
 	for _, member := range members {
-		roster.seen[member.Name] = now
+		roster.lastListed[member.Name] = now
 		if member.Role == cherrykeel.RoleUpstream {
 			roster.upstreams[member.Name] = true
 		}
@@ -87,12 +87,12 @@
 			roster.members[member.Name] = member
 		}
 	}
-	roster.listed = now
+	roster.listedAt = now
 }
 
 // RecordReport takes in a peer's word.
 func (roster *Roster) RecordReport(word PeerReport, now cherrykeel.Instant) {
-	roster.words[word.Host] = heard{word: word, at: now}
+	roster.reports[word.Host] = receivedReport{report: word, receivedAt: now}
 }
 
 // SetLeaving marks this host itself as leaving.
@@ -110,13 +110,13 @@
 			continue
 		}
 		peer := Peer{Name: member.Name, Zone: member.Zone, Inner: member.InternalAddress, Admin: member.AdminAddress, Leaving: member.Leaving}
-		if said, known := roster.words[member.Name]; known {
-			peer.ReceivedAt = said.at
-			peer.Leaving = peer.Leaving || said.word.Leaving
-			peer.Next = said.word.Next
-			peer.Chain = said.word.Chain
-			peer.Version = said.word.Version
-			peer.LogAvailable = said.word.LogAvailable
+		if said, known := roster.reports[member.Name]; known {
+			peer.ReceivedAt = said.receivedAt
+			peer.Leaving = peer.Leaving || said.report.Leaving
+			peer.Next = said.report.Next
+			peer.Chain = said.report.Chain
+			peer.Version = said.report.Version
+			peer.LogAvailable = said.report.LogAvailable
 		}
 		peers = append(peers, peer)
 	}
@@ -127,8 +127,8 @@
 // Gone returns hosts that were on the list once and have been off it for long, while the list itself was fresh.
 func (roster *Roster) Gone() map[string]bool {
 	gone := map[string]bool{}
-	for name, seen := range roster.seen {
-		if roster.listed.Sub(seen) >= goneAfter {
+	for name, seen := range roster.lastListed {
+		if roster.listedAt.Sub(seen) >= goneAfter {
 			gone[name] = true
 		}
 	}
@@ -149,12 +149,12 @@
 func (roster *Roster) IsDown(service, upstream string, now cherrykeel.Instant) bool {
 	name := service + " " + upstream
 	votes, voters := 0, 0
-	for _, said := range roster.words {
-		if now.Sub(said.at) > wordAge {
+	for _, said := range roster.reports {
+		if now.Sub(said.receivedAt) > maxReportAge {
 			continue
 		}
 		voters++
-		for _, unreachable := range said.word.Unreachable {
+		for _, unreachable := range said.report.Unreachable {
 			if unreachable == name {
 				votes++
 			}
@@ -167,11 +167,11 @@
 // Unlike silence, this is the upstream's own word, so one host that got it is enough.
 func (roster *Roster) IsRefusing(service, upstream string, now cherrykeel.Instant) bool {
 	name := service + " " + upstream
-	for _, said := range roster.words {
-		if now.Sub(said.at) > wordAge {
+	for _, said := range roster.reports {
+		if now.Sub(said.receivedAt) > maxReportAge {
 			continue
 		}
-		for _, refusing := range said.word.Refusing {
+		for _, refusing := range said.report.Refusing {
 			if refusing == name {
 				return true
 			}
