--- a/topo/bench_test.go
+++ b/topo/bench_test.go
@@ -17,12 +17,12 @@
 	fleet := topo.NewFleet("front-7", peers)
 	b.ReportAllocs()
 	for b.Loop() {
-		fleet.Plan(everyone{})
+		fleet.Plan(allReachable{})
 	}
 }
 
-// everyone is a fleet in which nobody is silent.
-type everyone struct{}
+// allReachable is a fleet in which nobody is silent.
+type allReachable struct{}
 
-func (everyone) IsUnreachable(string) bool      { return false }
-func (everyone) IsStoreUnreachable(string) bool { return false }
+func (allReachable) IsUnreachable(string) bool      { return false }
+func (allReachable) IsStoreUnreachable(string) bool { return false }
--- a/topo/fleet.go
+++ b/topo/fleet.go
@@ -13,32 +13,32 @@
 // and the groups in them each took 0.16 ms for 195 hosts, 2 ms of a core in each second.
 type Fleet struct {
 	self   string
-	order  []string
-	places map[string]int
+	names  []string
+	ranks  map[string]int
 	groups map[string][]string
 	labels []string
-	// label names the group of self.
-	label string
+	// ownLabel names the group of self.
+	ownLabel string
 }
 
 // NewFleet returns the order and the groups of the hosts, as the host named self sees them; peers include it.
 func NewFleet(self string, peers []cherrykeel.Peer) *Fleet {
-	ordered := order(peers)
-	fleet := &Fleet{self: self, places: map[string]int{}, groups: divide(ordered)}
+	ordered := sortByCapacity(peers)
+	fleet := &Fleet{self: self, ranks: map[string]int{}, groups: divideIntoGroups(ordered)}
 	for place, peer := range ordered {
-		fleet.order = append(fleet.order, peer.Name)
-		fleet.places[peer.Name] = place
+		fleet.names = append(fleet.names, peer.Name)
+		fleet.ranks[peer.Name] = place
 	}
-	fleet.labels = labels(fleet.groups)
+	fleet.labels = sortedLabels(fleet.groups)
 	for label, names := range fleet.groups {
 		if contains(names, self) {
-			fleet.label = label
+			fleet.ownLabel = label
 		}
 	}
 	return fleet
 }
 
-func order(peers []cherrykeel.Peer) []cherrykeel.Peer {
+func sortByCapacity(peers []cherrykeel.Peer) []cherrykeel.Peer {
 	ordered := append([]cherrykeel.Peer(nil), peers...)
 	sort.Slice(ordered, func(i, j int) bool {
 		one, two := ordered[i], ordered[j]
@@ -54,9 +54,9 @@
 	return ordered
 }
 
-// divide returns the groups by label, each in the given order; an availability zone is one group, or
+// divideIntoGroups returns the groups by label, each in the given order; an availability zone is one group, or
 // several of about equal size.
-func divide(ordered []cherrykeel.Peer) map[string][]string {
+func divideIntoGroups(ordered []cherrykeel.Peer) map[string][]string {
 	sizes := map[string]int{}
 	for _, peer := range ordered {
 		sizes[peer.Zone]++
@@ -64,7 +64,7 @@
 	dealt := map[string]int{}
 	groups := map[string][]string{}
 	for _, peer := range ordered {
-		parts := (sizes[peer.Zone] + groupHosts - 1) / groupHosts
+		parts := (sizes[peer.Zone] + maxGroupHosts - 1) / maxGroupHosts
 		label := peer.Zone + "/" + strconv.Itoa(dealt[peer.Zone]%parts)
 		dealt[peer.Zone]++
 		groups[label] = append(groups[label], peer.Name)
@@ -72,7 +72,7 @@
 	return groups
 }
 
-func labels(groups map[string][]string) []string {
+func sortedLabels(groups map[string][]string) []string {
 	all := make([]string, 0, len(groups))
 	for label := range groups {
 		all = append(all, label)
--- a/topo/plan.go
+++ b/topo/plan.go
@@ -8,24 +8,24 @@
 	// MaxFullMeshHosts is up to how many hosts each tells each other one: 12 send some 130 messages in the time in
 	// which 72 would send 5,100, and 72 did not play a quiet day to its end that way.
 	MaxFullMeshHosts = 12
-	// groupHosts bounds a group. Its head sends one sum to each member about six times a second; 24 sums of
+	// maxGroupHosts bounds a group. Its head sends one sum to each member about six times a second; 24 sums of
 	// 2 KB are 290 KB/s, a quarter of the smallest link seen, 10 Mbit/s.
-	groupHosts = 24
-	// watchers is how many hosts hear from all. They are spread over the hosts by a hash, so that the loss of
+	maxGroupHosts = 24
+	// hubCount is how many hosts hear from all. They are spread over the hosts by a hash, so that the loss of
 	// a quarter of them at once takes all four in 1 case of 250; others take their places a second later.
-	watchers = 4
-	// sumsPerTick bounds how many sums a head sends to other heads in a tick of 80 ms: up to four groups hear of each
+	hubCount = 4
+	// maxSumsPerTick bounds how many sums a head sends to other heads in a tick of 80 ms: up to four groups hear of each
 	// other in each one. A request takes 0.1 to 0.5 s, and older counts say little.
-	sumsPerTick = 3
-	// slowestSumTicks bounds how old counts of other groups become.
-	slowestSumTicks = 4
-	// relaysPerGroup is how many hosts of each group pass on what is told to all, so that neither one that has died
+	maxSumsPerTick = 3
+	// maxSumTicks bounds how old counts of other groups become.
+	maxSumTicks = 4
+	// forwardersPerGroup is how many hosts of each group pass on what is told to all, so that neither one that has died
 	// unnoticed nor a lost datagram leaves a group without it.
-	relaysPerGroup = 2
-	// mostWatchers bounds them with those whom the store does not serve. While it serves nobody, each that said so was
+	forwardersPerGroup = 2
+	// maxHubs bounds them with those whom the store does not serve. While it serves nobody, each that said so was
 	// followed by the next one, and in 3 s of an outage dozens of 195 hosts told all others; of twelve that are spread
 	// over the hosts one is served unless nearly nobody is.
-	mostWatchers = 3 * watchers
+	maxHubs = 3 * hubCount
 )
 
 // View is what a host knows of the others' state.
@@ -54,7 +54,7 @@
 	// GroupLabel names this host's group.
 	GroupLabel string
 
-	places map[string]int
+	ranks map[string]int
 }
 
 // New returns the plan of the host named self; peers include it.
@@ -65,18 +65,18 @@
 // Plan returns the present plan by what is known of the hosts.
 func (fleet *Fleet) Plan(view View) Plan {
 	plan := Plan{
-		FullMesh: len(fleet.order) <= MaxFullMeshHosts,
-		Order:    fleet.order, GroupLabel: fleet.label, Group: fleet.groups[fleet.label],
-		places: fleet.places,
+		FullMesh: len(fleet.names) <= MaxFullMeshHosts,
+		Order:    fleet.names, GroupLabel: fleet.ownLabel, Group: fleet.groups[fleet.ownLabel],
+		ranks: fleet.ranks,
 	}
-	plan.Hubs = chooseWatchers(fleet.self, fleet.order, view)
+	plan.Hubs = chooseHubs(fleet.self, fleet.names, view)
 	if len(plan.Group) > 0 {
-		plan.Aggregator = first(fleet.self, plan.Group, view)
+		plan.Aggregator = firstReachable(fleet.self, plan.Group, view)
 	}
 	for _, label := range fleet.labels {
 		if label != plan.GroupLabel {
-			plan.Aggregators = append(plan.Aggregators, first(fleet.self, fleet.groups[label], view))
-			plan.Forwarders = append(plan.Forwarders, heard(fleet.groups[label], view)...)
+			plan.Aggregators = append(plan.Aggregators, firstReachable(fleet.self, fleet.groups[label], view))
+			plan.Forwarders = append(plan.Forwarders, reachableForwarders(fleet.groups[label], view)...)
 		}
 	}
 	return plan
@@ -89,20 +89,20 @@
 
 // Rank returns a host's place in the order, or the number of hosts if it is not there.
 func (plan Plan) Rank(name string) int {
-	place, known := plan.places[name]
+	place, known := plan.ranks[name]
 	if !known {
 		return len(plan.Order)
 	}
 	return place
 }
 
-// chooseWatchers takes the first hosts that are heard. One whom the store does not serve is kept, but does
+// chooseHubs takes the first hosts that are heard. One whom the store does not serve is kept, but does
 // not count: it could not read the store for the others, nor claim the keeping of spans.
-func chooseWatchers(self string, order []string, view View) []string {
+func chooseHubs(self string, order []string, view View) []string {
 	var chosen []string
 	counted := 0
 	for _, name := range order {
-		if counted == watchers || len(chosen) == mostWatchers {
+		if counted == hubCount || len(chosen) == maxHubs {
 			break
 		}
 		if name != self && view.IsUnreachable(name) {
@@ -116,8 +116,8 @@
 	return chosen
 }
 
-// first returns the first host that is not silent, or the first if all are.
-func first(self string, names []string, view View) string {
+// firstReachable returns the firstReachable host that is not silent, or the firstReachable if all are.
+func firstReachable(self string, names []string, view View) string {
 	for _, name := range names {
 		if name == self || !view.IsUnreachable(name) {
 			return name
@@ -126,16 +126,16 @@
 	return names[0]
 }
 
-// heard returns the first hosts of a group that are not silent, or the first ones if all are.
-func heard(names []string, view View) []string {
+// reachableForwarders returns the first hosts of a group that are not silent, or the first ones if all are.
+func reachableForwarders(names []string, view View) []string {
 	var relays []string
 	for _, name := range names {
-		if len(relays) < relaysPerGroup && !view.IsUnreachable(name) {
+		if len(relays) < forwardersPerGroup && !view.IsUnreachable(name) {
 			relays = append(relays, name)
 		}
 	}
 	if len(relays) == 0 {
-		return names[:min(relaysPerGroup, len(names))]
+		return names[:min(forwardersPerGroup, len(names))]
 	}
 	return relays
 }
@@ -151,6 +151,6 @@
 
 // SumTicks returns in how many ticks once a head tells the other heads its sum, and its group theirs.
 func (plan Plan) SumTicks() int {
-	ticks := (len(plan.Aggregators) + sumsPerTick - 1) / sumsPerTick
-	return min(max(1, ticks), slowestSumTicks)
+	ticks := (len(plan.Aggregators) + maxSumsPerTick - 1) / maxSumsPerTick
+	return min(max(1, ticks), maxSumTicks)
 }
--- a/topo/plan_test.go
+++ b/topo/plan_test.go
@@ -17,15 +17,15 @@
 }
 
 type view struct {
-	silent    map[string]bool
-	storeless map[string]bool
+	unreachable      map[string]bool
+	storeUnreachable map[string]bool
 }
 
-func (view view) IsUnreachable(name string) bool      { return view.silent[name] }
-func (view view) IsStoreUnreachable(name string) bool { return view.storeless[name] }
+func (view view) IsUnreachable(name string) bool      { return view.unreachable[name] }
+func (view view) IsStoreUnreachable(name string) bool { return view.storeUnreachable[name] }
 
-// fleet returns hosts in four zones, of which two a zone can carry five times as much as the others.
-func fleet(perZone int) []cherrykeel.Peer {
+// hosts returns hosts in four zones, of which two a zone can carry five times as much as the others.
+func hosts(perZone int) []cherrykeel.Peer {
 	var peers []cherrykeel.Peer
 	for _, zone := range []string{"a", "b", "c", "d"} {
 		for i := range perZone {
@@ -39,8 +39,8 @@
 	return peers
 }
 
-// messages counts what all hosts send in a round: a load, a report, and what heads and watchers send on.
-func messages(peers []cherrykeel.Peer) (all, most int) {
+// countMessages counts what all hosts send in a round: a load, a report, and what heads and watchers send on.
+func countMessages(peers []cherrykeel.Peer) (all, most int) {
 	for _, peer := range peers {
 		plan := topo.New(peer.Name, peers, view{})
 		sent := 0
@@ -64,7 +64,7 @@
 
 var _ = Describe("the plan of messages", func() {
 	It("is the same at all hosts that see the same", func() {
-		peers := fleet(18)
+		peers := hosts(18)
 		want := topo.New("a-0", peers, view{})
 		for _, peer := range peers {
 			plan := topo.New(peer.Name, peers, view{})
@@ -75,7 +75,7 @@
 	})
 
 	It("gives duties to the hosts that can carry most", func() {
-		peers := fleet(18)
+		peers := hosts(18)
 		plan := topo.New("a-9", peers, view{})
 		Expect(plan.Aggregator).To(BeElementOf("a-0", "a-1"))
 		Expect(plan.Aggregators).To(HaveLen(3))
@@ -85,13 +85,13 @@
 	})
 
 	It("keeps every host telling each other one while they are few", func() {
-		Expect(topo.New("a-0", fleet(3), view{}).FullMesh).To(BeTrue())
-		Expect(topo.New("a-0", fleet(4), view{}).FullMesh).To(BeFalse())
+		Expect(topo.New("a-0", hosts(3), view{}).FullMesh).To(BeTrue())
+		Expect(topo.New("a-0", hosts(4), view{}).FullMesh).To(BeFalse())
 	})
 
 	// Each host to each other one is 72 times 71 messages a round for loads, and as many for reports.
 	DescribeTable("grows about as the hosts do", func(perZone, atMost int) {
-		all, _ := messages(fleet(perZone))
+		all, _ := countMessages(hosts(perZone))
 		Expect(all).To(BeNumerically("<=", atMost))
 	},
 		Entry("72 hosts", 18, 72*15),
@@ -101,9 +101,9 @@
 	// A head dies, and with it what its group hears of the others. The next in order takes its place, and
 	// the other groups' heads find it there.
 	It("replaces a head that is silent", func() {
-		peers := fleet(18)
+		peers := hosts(18)
 		head := topo.New("a-9", peers, view{}).Aggregator
-		lost := view{silent: map[string]bool{head: true}}
+		lost := view{unreachable: map[string]bool{head: true}}
 		next := topo.New("a-9", peers, lost).Aggregator
 		Expect(next).NotTo(Equal(head))
 		Expect(topo.New(next, peers, lost).Aggregator).To(Equal(next))
@@ -111,12 +111,12 @@
 	})
 
 	It("replaces watchers that are silent", func() {
-		peers := fleet(18)
+		peers := hosts(18)
 		silent := map[string]bool{}
 		for _, name := range topo.New("a-9", peers, view{}).Hubs {
 			silent[name] = true
 		}
-		plan := topo.New("a-9", peers, view{silent: silent})
+		plan := topo.New("a-9", peers, view{unreachable: silent})
 		Expect(plan.Hubs).To(HaveLen(4))
 		for _, name := range plan.Hubs {
 			Expect(silent).NotTo(HaveKey(name))
@@ -126,28 +126,28 @@
 	// The store turns all watchers away. Somebody who can read it, and who hears enough hosts to keep the
 	// spans, has to hear the reports too.
 	It("adds watchers whom the store serves", func() {
-		peers := fleet(18)
+		peers := hosts(18)
 		storeless := map[string]bool{}
 		for _, name := range topo.New("a-9", peers, view{}).Hubs {
 			storeless[name] = true
 		}
-		plan := topo.New("a-9", peers, view{storeless: storeless})
+		plan := topo.New("a-9", peers, view{storeUnreachable: storeless})
 		Expect(plan.Hubs).To(HaveLen(8))
 	})
 
 	// Guards against watchers that follow each other in an outage until everyone tells everyone.
 	It("keeps the watchers few while the store serves nobody", func() {
-		peers := fleet(75)
+		peers := hosts(75)
 		storeless := map[string]bool{}
 		for _, peer := range peers {
 			storeless[peer.Name] = true
 		}
-		Expect(topo.New("a-9", peers, view{storeless: storeless}).Hubs).To(HaveLen(12))
+		Expect(topo.New("a-9", peers, view{storeUnreachable: storeless}).Hubs).To(HaveLen(12))
 		gone := map[string]bool{}
 		for _, name := range topo.New("a-9", peers, view{}).Order[:40] {
 			gone[name] = true
 		}
-		plan := topo.New("a-9", peers, view{silent: gone, storeless: storeless})
+		plan := topo.New("a-9", peers, view{unreachable: gone, storeUnreachable: storeless})
 		Expect(plan.Hubs).To(HaveLen(12))
 		for _, name := range plan.Hubs {
 			Expect(name == "a-9" || !gone[name]).To(BeTrue(), name)
@@ -155,7 +155,7 @@
 	})
 
 	It("divides a large zone into groups of bounded size", func() {
-		peers := fleet(75)
+		peers := hosts(75)
 		seen := map[string]bool{}
 		for _, peer := range peers {
 			plan := topo.New(peer.Name, peers, view{})
