--- a/cherrykeel.go
+++ b/cherrykeel.go
@@ -60,13 +60,13 @@
 // Option configures a Router that New creates.
 type Option func(*router)
 
-type prioritized struct {
+type prioritizedStage struct {
 	stage    Stage
 	priority int
 }
 
 type router struct {
-	stages    []prioritized
+	stages    []prioritizedStage
 	responder Responder
 	clock     Clock
 	serve     Next
@@ -75,7 +75,7 @@
 // WithStage adds a stage; lower priorities run first.
 func WithStage(stage Stage, priority int) Option {
 	return func(router *router) {
-		router.stages = append(router.stages, prioritized{stage: stage, priority: priority})
+		router.stages = append(router.stages, prioritizedStage{stage: stage, priority: priority})
 	}
 }
 
