--- a/grants/change.go
+++ b/grants/change.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// settleTime is how long a span stays with an owner before balance may move it again.
+	// settleTime is how long a span stays with an owner before it may be transferred again for balance.
 	settleTime = time.Second
-	// defaultProcessingTime is assumed of an upstream that no request has been answered by.
+	// defaultProcessingTime is assumed for an upstream that has not answered any request yet.
 	defaultProcessingTime = 100 * time.Millisecond
-	// coldCapacityShare is what an upstream that has just started can do of its usual work.
+	// coldCapacityShare is the share of its usual capacity that an upstream has just after its start.
 	coldCapacityShare = 0.5
 )
 
 type releaseState struct {
 	pending  bool
 	answered bool
-	// attemptEndedAt is when the last try was answered or given up.
+	// attemptEndedAt is when the last attempt was answered or abandoned.
 	attemptEndedAt cherrykeel.Instant
 	handover       string
 }
 
-// shouldRetry reports whether a release that went unanswered is to be sent once more. A release is never refused and
-// may be repeated; without it a lost answer would leave the keys without an owner until the hold has passed.
+// shouldRetry reports whether an unanswered release must be sent again. Upstreams never refuse a release, and it may be
+// repeated. Without the retry a lost answer would leave the keys without an owner until the lease has expired.
 func (state *releaseState) shouldRetry(now cherrykeel.Instant) bool {
 	return !state.pending && !state.answered && now.Sub(state.attemptEndedAt) >= retryInterval
 }
 
-// updateTable writes the next table if upstreams joined, left or were lost, or load has shifted.
+// updateTable writes the next table if upstreams have joined, left or become unavailable, or if the load has shifted.
 func (keeper *Keeper) updateTable(ctx context.Context, table spans.Table, next int64, now cherrykeel.Instant) {
 	keeper.releaseMoving(ctx, table, now)
 	if keeper.writing || now < keeper.writeAfter || keeper.reclaimAfterRefusal(ctx, table, next) || keeper.reclaimForReturned(ctx, table, next, now) {
@@ -62,11 +62,12 @@
 	keeper.writeTable(ctx, proposal, next)
 }
 
-// reclaimAfterRefusal claims anew after a refusal by a higher fence, since the same fence can never be taken.
+// reclaimAfterRefusal claims a new term if an upstream has refused a grant because it has seen a higher fence: it would
+// refuse the same fence again and again.
 func (keeper *Keeper) reclaimAfterRefusal(ctx context.Context, table spans.Table, next int64) bool {
 	for _, state := range keeper.grants {
 		if state.refused {
-			keeper.claim(ctx, table, next, "a grant met a higher fence")
+			keeper.claim(ctx, table, next, "a grant was refused because of a higher fence")
 			return true
 		}
 	}
@@ -97,8 +98,8 @@
 	return known && (contact.departed || contact.misses > 0 && now < contact.unavailableUntil)
 }
 
-// isSettled reports whether a span has been with its owner for long enough to be moved. A part of it that has
-// just been cut off has been there for as long as the whole.
+// isSettled reports whether a span has been with its owner for long enough to be transferred. A part that has just been
+// cut off a larger span has been there for as long as the whole.
 func (keeper *Keeper) isSettled(service string, owned spans.Owned, now cherrykeel.Instant) bool {
 	key := spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}
 	state, known := keeper.grants[key]
@@ -126,10 +127,10 @@
 	total := time.Duration(0)
 	upstreams := keeper.environment.Upstreams()
 	for _, upstream := range upstreams {
-		work := keeper.processingTime(upstream.ID, now)
-		if upstream.Service == service && work > 0 {
-			known = append(known, work)
-			total += work
+		processingTime := keeper.processingTime(upstream.ID, now)
+		if upstream.Service == service && processingTime > 0 {
+			known = append(known, processingTime)
+			total += processingTime
 		}
 	}
 	mean := defaultProcessingTime
@@ -146,18 +147,18 @@
 }
 
 func (keeper *Keeper) capacity(upstream cherrykeel.Upstream, mean time.Duration, now cherrykeel.Instant) float64 {
-	work := keeper.processingTime(upstream.ID, now)
-	if work == 0 {
-		work = mean
+	processingTime := keeper.processingTime(upstream.ID, now)
+	if processingTime == 0 {
+		processingTime = mean
 	}
-	capacity := float64(upstream.Slots) / work.Seconds()
+	capacity := float64(upstream.Slots) / processingTime.Seconds()
 	if now < upstream.ColdUntil {
 		capacity *= coldCapacityShare
 	}
 	return capacity
 }
 
-// releaseMoving asks owners to give back the spans that the table says are moving.
+// releaseMoving sends releases to the owners of the spans that the table marks as moving.
 func (keeper *Keeper) releaseMoving(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
 	wanted := map[spans.GrantedSpan]bool{}
 	for service, list := range table.Services {
@@ -165,12 +166,12 @@
 			if !owned.Moving {
 				continue
 			}
-			// Every grant of the span bears a fence at or below its own; the release is above them,
-			// so that none of them is taken after it.
+			// Every grant of the span has the span's fence or a lower one. The release has a higher one, so that the
+			// owner accepts none of them after it.
 			key := spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence + 1}
 			wanted[key] = true
-			state, under := keeper.releases[key]
-			if !under || state.shouldRetry(now) {
+			state, exists := keeper.releases[key]
+			if !exists || state.shouldRetry(now) {
 				keeper.releaseSpan(ctx, key, owned, now)
 			}
 		}
@@ -182,7 +183,7 @@
 	}
 }
 
-// isHandoverPending reports whether a handover has still to be passed on with a grant.
+// isHandoverPending reports whether the handover of a released span must still be passed on with a grant.
 func (keeper *Keeper) isHandoverPending(table spans.Table, key spans.GrantedSpan) bool {
 	for _, owned := range table.Services[key.Service] {
 		if owned.First > key.Span.Last || owned.Last < key.Span.First {
@@ -201,13 +202,13 @@
 	keeper.releases[key] = state
 	keeper.withdrawGrants(key)
 	upstream := cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.StartedAt}
-	hold := keeper.leaseFor(key.Service, key.Owner, now)
+	lease := keeper.leaseFor(key.Service, key.Owner, now)
 	events.Log(keeper.logger, events.SpanMoving,
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner), zap.Int("First", owned.First), zap.Int("Last", owned.Last),
-		zap.Int64("Fence", key.Fence), zap.Float64("Load", keeper.demandFor(key.Service).Load(owned.Span())), zap.Duration("Hold", hold))
+		zap.Int64("Fence", key.Fence), zap.Float64("Load", keeper.demandFor(key.Service).Load(owned.Span())), zap.Duration("Hold", lease))
 	term := keeper.term
 	keeper.workers.releases.Submit(func() {
-		ctx, cancel := context.WithTimeout(ctx, hold+releaseMargin)
+		ctx, cancel := context.WithTimeout(ctx, lease+releaseMargin)
 		defer cancel()
 		waited := keeper.clock.Now().Sub(now)
 		handover, err := keeper.sendRelease(ctx, waited, upstream, key)
@@ -224,7 +225,8 @@
 	})
 }
 
-// sendRelease sends a release, unless it has waited for long: its owner may have been granted the span again since.
+// sendRelease sends a release unless it has waited too long for a worker: its owner may have been granted the span
+// again in the meantime.
 func (keeper *Keeper) sendRelease(ctx context.Context, waited time.Duration, upstream cherrykeel.Upstream, key spans.GrantedSpan) (string, error) {
 	if waited > maxWorkerWait {
 		return "", errors.WithStack(errOverdue)
@@ -232,8 +234,9 @@
 	return keeper.granter.Release(ctx, upstream, key.Span, key.Fence)
 }
 
-// withdrawGrants takes back the grants of a span that wait for a worker while the span is released. The release leaves at
-// once and raises the fence; a grant that left after it would be refused, as by another keeper's fence.
+// withdrawGrants withdraws the grants of a span that still wait for a worker when the span is released. The release is
+// sent at once and raises the fence; the upstream would refuse a grant that is sent after it, which would look like a
+// refusal caused by another keeper's fence.
 func (keeper *Keeper) withdrawGrants(release spans.GrantedSpan) {
 	for key, state := range keeper.grants {
 		same := key.Service == release.Service && key.Owner == release.Owner && key.Fence < release.Fence
@@ -258,7 +261,7 @@
 	events.Log(keeper.logger, events.SpanFreed, fields...)
 }
 
-// handoverFor returns what the last owner gave for keys that another owner gets now.
+// handoverFor returns the handover that the previous owner returned for keys that another owner is granted now.
 func (keeper *Keeper) handoverFor(key spans.GrantedSpan) string {
 	for released, state := range keeper.releases {
 		covers := released.Service == key.Service && released.Span.Covers(key.Span)
--- a/grants/claim.go
+++ b/grants/claim.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// maxEvidenceAge is how old a host's word may be to count. A keeper that is cut off, or slept, stops
-	// granting this long after more than half of the hosts have learned of another term.
+	// maxEvidenceAge is the maximum age of another host's report that counts. A keeper that is isolated, or was
+	// suspended, stops granting this long after more than half of the hosts have learned of another term.
 	maxEvidenceAge = time.Second
 	// writeTimeout bounds one write of the table.
 	writeTimeout = time.Second
-	// maxReportDelay is how much later than it was sent a host may date another's report: it looks for a standstill of its
-	// own each 500 ms at the least.
+	// maxReportDelay bounds by how much later than it was sent a host may date a received report. A host checks at
+	// least every 500 ms whether it was itself suspended.
 	maxReportDelay = 500 * time.Millisecond
-	// firstClaimDelay is how long a host waits after its start to hear from the others.
+	// firstClaimDelay is how long a host waits after its start for reports of the other hosts before it may claim.
 	firstClaimDelay = 400 * time.Millisecond
-	// storelessClaimDelay is how long a keeper may be without the store while others have it.
+	// storelessClaimDelay is how long the store may be unavailable to the keeper, while other hosts can use it, before
+	// one of them claims.
 	storelessClaimDelay = time.Second
-	// maxAnnounceDelay is within what a host's announcement arrives that a table of its has overtaken.
+	// maxAnnounceDelay bounds how much later than its table a host's announcement may arrive.
 	maxAnnounceDelay = 500 * time.Millisecond
-	// writeRetryDelay is waited after a write that the store did not take.
+	// writeRetryDelay is the pause after a failed write.
 	writeRetryDelay = 500 * time.Millisecond
 )
 
-// considerClaim claims the duty if nobody has it or its holder cannot do it.
+// considerClaim claims the keeper's role if no host has it or its holder cannot fulfil it.
 func (keeper *Keeper) considerClaim(ctx context.Context, table spans.Table, next int64, now cherrykeel.Instant) {
 	if keeper.writing || now < keeper.writeAfter || !keeper.canKeep(now) {
 		keeper.vacant = false
@@ -46,14 +47,14 @@
 		keeper.vacant = true
 		keeper.vacantSince = now
 	}
-	stagger := time.Duration(keeper.environment.Rank()) * claimStagger
-	if now.Sub(keeper.vacantSince) < stagger {
+	delay := time.Duration(keeper.environment.Rank()) * claimStagger
+	if now.Sub(keeper.vacantSince) < delay {
 		return
 	}
 	keeper.claim(ctx, table, next, reason)
 }
 
-// canKeep reports whether this host could do the duty.
+// canKeep reports whether this host could fulfil the keeper's role.
 func (keeper *Keeper) canKeep(now cherrykeel.Instant) bool {
 	if keeper.resigned || keeper.environment.StoreAvailableFor() == 0 || now.Sub(keeper.startedAt) < firstClaimDelay {
 		return false
@@ -61,46 +62,46 @@
 	return len(keeper.environment.KeyedServices()) > 0 && len(keeper.environment.Upstreams()) > 0 && keeper.hasMajority()
 }
 
-// vacancyReason returns why another host should have the duty, or nothing.
+// vacancyReason returns why another host should take over the keeper's role, or "" if it should not.
 func (keeper *Keeper) vacancyReason(table spans.Table, now cherrykeel.Instant) string {
 	if table.Incarnation == "" {
-		return "nobody has it"
+		return "there is no keeper"
 	}
 	if keeper.hasKeeperRestarted(table, now) {
-		return "its holder started anew"
+		return "the keeper has restarted"
 	}
 	if keeper.isKeeperStoreless(table.Keeper, now) {
 		if now.Sub(keeper.keeperStorelessSince) < storelessClaimDelay {
 			return ""
 		}
-		return "the store does not serve its holder"
+		return "the store is unavailable to the keeper"
 	}
-	silence, heard := keeper.mesh.TimeSinceReport(table.Keeper)
-	if !heard {
+	silence, received := keeper.mesh.TimeSinceReport(table.Keeper)
+	if !received {
 		silence = min(now.Sub(keeper.startedAt)-firstClaimDelay, now.Sub(keeper.seenAt))
 	}
 	if silence < maxKeeperSilence {
 		return ""
 	}
-	return "its holder is silent"
+	return "the keeper sends no reports"
 }
 
-// hasKeeperRestarted reports whether the holder's process is another one than the table names. A table that is
-// newer than what the host last announced names the newer process, whose announcement is on its way.
+// hasKeeperRestarted reports whether the keeper's process is another incarnation than the table names. A table that is
+// newer than the host's last announcement names the newer process, whose announcement is on its way.
 func (keeper *Keeper) hasKeeperRestarted(table spans.Table, now cherrykeel.Instant) bool {
-	life, age, known := keeper.environment.PeerIncarnation(table.Keeper)
-	if !known || life == table.Incarnation {
+	incarnation, age, known := keeper.environment.PeerIncarnation(table.Keeper)
+	if !known || incarnation == table.Incarnation {
 		return false
 	}
 	tableAge := now.Sub(keeper.seenAt)
 	return age <= tableAge || tableAge > maxAnnounceDelay
 }
 
-// isKeeperStoreless reports whether the holder says that the store does not serve it, while it serves this host.
-// Such a keeper renews what there is and cannot move a key from a server that leaves or dies.
+// isKeeperStoreless reports whether the keeper reports that the store is unavailable to it, while this host can use it.
+// Such a keeper renews the existing grants, but cannot transfer a key from an upstream that leaves or crashes.
 func (keeper *Keeper) isKeeperStoreless(holder string, now cherrykeel.Instant) bool {
-	for _, heard := range keeper.mesh.Reports(maxEvidenceAge) {
-		if heard.Report.Host != holder || heard.Report.StoreAvailable {
+	for _, received := range keeper.mesh.Reports(maxEvidenceAge) {
+		if received.Report.Host != holder || received.Report.StoreAvailable {
 			continue
 		}
 		if !keeper.keeperStoreless {
@@ -113,11 +114,11 @@
 	return false
 }
 
-// hasMajority reports whether this host hears more than half of the hosts: one that does not would win
-// the duty in the store and could not use it.
+// hasMajority reports whether this host receives reports from enough hosts to form a majority with them. Without one it
+// would win the claim in the store, but could not grant anything.
 func (keeper *Keeper) hasMajority() bool {
-	heard := 1 + len(keeper.mesh.Reports(maxEvidenceAge))
-	return 2*heard > keeper.mesh.HostCount()
+	received := 1 + len(keeper.mesh.Reports(maxEvidenceAge))
+	return 2*received > keeper.mesh.HostCount()
 }
 
 func (keeper *Keeper) claim(ctx context.Context, table spans.Table, next int64, reason string) {
@@ -128,7 +129,7 @@
 	keeper.writeTable(ctx, claimed, next)
 }
 
-// writeTable proposes a table; what came of it is seen when the table is read.
+// writeTable proposes a table at an offset; if the outcome is unknown, the next read of the table shows it.
 func (keeper *Keeper) writeTable(ctx context.Context, table spans.Table, at int64) {
 	value, err := table.Encode()
 	if err != nil {
@@ -151,22 +152,23 @@
 				keeper.writeAfter = now.Add(writeRetryDelay)
 				events.Log(keeper.logger, events.WriteFailed, zap.Int64("At", at), zap.Error(err))
 			}
-			// Whether it was written, and what was written instead, is in the store.
+			// A read shows whether the table was written, or which one was written instead.
 			keeper.environment.RereadTable()
 		}
 	})
 }
 
-// writeResignation writes that nobody keeps, so that the next host need not wait for this one's silence.
+// writeResignation writes a table without a keeper, so that the next host need not wait until this one is silent for
+// long.
 func (keeper *Keeper) writeResignation(ctx context.Context) {
 	keeper.resigned = true
 	table, next, known := keeper.table.Current()
 	if !known || keeper.term < 0 || table.Keeper != keeper.self.Name {
 		return
 	}
-	left := table.Clone()
-	left.Incarnation = ""
-	value, err := left.Encode()
+	resigned := table.Clone()
+	resigned.Incarnation = ""
+	value, err := resigned.Encode()
 	if err == nil {
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		defer cancel()
@@ -179,18 +181,18 @@
 	keeper.table.ApplyOwnWrite(value, next)
 }
 
-// isConfirmed reports whether more than half of the hosts confirm that they know no newer term. It is asked
-// before each grant: without it a keeper that was cut off or asleep would go on beside its successor.
+// isConfirmed reports whether more than half of the hosts confirm that they know no newer term. It is checked before
+// each grant: without it a keeper that was isolated or suspended would go on granting beside its successor.
 func (keeper *Keeper) isConfirmed(term int64, now cherrykeel.Instant) bool {
 	confirming, knowing := 1, 1
-	for _, heard := range keeper.mesh.Reports(maxEvidenceAge) {
-		if heard.Report.Term > term {
+	for _, received := range keeper.mesh.Reports(maxEvidenceAge) {
+		if received.Report.Term > term {
 			return keeper.recordConfirmation(false, confirming)
 		}
-		if heard.Report.Term >= 0 {
+		if received.Report.Term >= 0 {
 			confirming++
 		}
-		if heard.Report.Term == term {
+		if received.Report.Term == term {
 			knowing++
 		}
 	}
@@ -202,16 +204,16 @@
 	return keeper.recordConfirmation(2*confirming > known, confirming)
 }
 
-func (keeper *Keeper) recordConfirmation(sure bool, confirming int) bool {
-	if !sure && !keeper.unconfirmed {
+func (keeper *Keeper) recordConfirmation(confirmed bool, confirming int) bool {
+	if !confirmed && !keeper.unconfirmed {
 		events.Log(keeper.logger, events.KeeperUnsure, zap.Int64("Term", keeper.term), zap.Int("Confirming", confirming), zap.Int("Hosts", keeper.mesh.HostCount()))
 	}
-	keeper.unconfirmed = !sure
-	return sure
+	keeper.unconfirmed = !confirmed
+	return confirmed
 }
 
-// boundEarlierLeases lowers what the keeper before may have granted to what it can have: it stopped when its
-// evidence had aged, and its last grant ends after the longest hold.
+// boundEarlierLeases replaces the unknown ends of leases from earlier terms by an upper bound: the previous keeper
+// stopped granting when its evidence had become too old, and its last grant ends after the longest lease.
 func (keeper *Keeper) boundEarlierLeases(now cherrykeel.Instant) {
 	if !keeper.majorityKnows {
 		return
--- a/grants/demand.go
+++ b/grants/demand.go
@@ -8,18 +8,18 @@
 	"cherrykeel/spans"
 )
 
-// speedReport is what one host says of an upstream's speed.
+// speedReport is the processing time that one host has reported for an upstream.
 type speedReport struct {
 	processingTime time.Duration
 	receivedAt     cherrykeel.Instant
 }
 
-// RecordDemand takes the keys that a host was asked for.
+// RecordDemand counts the keys for which a host has received requests; it drops them if too many wait to be counted.
 func (keeper *Keeper) RecordDemand(demand share.Demand) {
 	select {
 	case keeper.demands <- demand:
 	default:
-		// The next one is 100 ms away; a lost count only delays a move.
+		// The next report follows in 100 ms; a lost one only delays a transfer.
 	}
 }
 
@@ -29,27 +29,27 @@
 		counted.Add(key, 1)
 	}
 	now := keeper.clock.Now()
-	for id, work := range demand.ProcessingTimes {
-		words, known := keeper.speedReports[id]
+	for id, processingTime := range demand.ProcessingTimes {
+		reports, known := keeper.speedReports[id]
 		if !known {
-			words = map[string]speedReport{}
-			keeper.speedReports[id] = words
+			reports = map[string]speedReport{}
+			keeper.speedReports[id] = reports
 		}
-		words[demand.Host] = speedReport{processingTime: work, receivedAt: now}
+		reports[demand.Host] = speedReport{processingTime: processingTime, receivedAt: now}
 	}
 }
 
-// processingTime is the mean over what the hosts have said lately, or 0. Each host sees but a part of an
-// upstream's answers; together they notice within a second or two that it has turned slow.
+// processingTime is the mean of the recent reports of all hosts on an upstream, or 0 if there are none. Each host sees
+// only a part of an upstream's answers; together they detect within a second or two that it has become slow.
 func (keeper *Keeper) processingTime(id string, now cherrykeel.Instant) time.Duration {
 	var total time.Duration
 	count := 0
-	for host, word := range keeper.speedReports[id] {
-		if now.Sub(word.receivedAt) > maxSpeedReportAge {
+	for host, report := range keeper.speedReports[id] {
+		if now.Sub(report.receivedAt) > maxSpeedReportAge {
 			delete(keeper.speedReports[id], host)
 			continue
 		}
-		total += word.processingTime
+		total += report.processingTime
 		count++
 	}
 	if count == 0 {
--- a/grants/evidence.go
+++ b/grants/evidence.go
@@ -10,20 +10,22 @@
 	"cherrykeel/spans"
 )
 
-// evidence is what tells the keeper that an upstream holds a span no longer.
+// evidence is the reason why an upstream no longer holds a span.
 type evidence string
 
 const (
-	// releaseAnswered is the upstream's answer to a release, which comes when its work on the keys has ended.
+	// releaseAnswered means that the upstream has answered a release, which it does when its requests for the keys have
+	// ended.
 	releaseAnswered evidence = "released"
-	// processEnded is that the upstream's process is known to be gone.
+	// processEnded means that the upstream's process is known to have ended.
 	processEnded evidence = "process ended"
-	// leaseExpired is that the longest hold that it may have been granted has passed.
+	// leaseExpired means that the longest lease that the upstream may have been granted has expired.
 	leaseExpired evidence = "hold passed"
 )
 
-// logTransfer tells who had a span that a proposed table gives on, the first of the upstreams that get it, and by what
-// evidence it has been free for how long. Two owners of one key are traced from here: the evidence is named.
+// logTransfer logs the owner of a span that a proposed table transfers, the first of the upstreams that get it, and by
+// which evidence the span has been free for how long. If two upstreams ever own one key at once, this entry shows on
+// which evidence the transfer was based.
 func (keeper *Keeper) logTransfer(service string, before spans.Owned, proposal spans.Table, at int64, now cherrykeel.Instant) {
 	by, since := keeper.evidenceFor(service, before, now)
 	after, _ := proposal.Find(service, before.First)
@@ -34,7 +36,7 @@
 		zap.String("FreeBy", string(by)), zap.Duration("FreeFor", since))
 }
 
-// evidenceFor returns the evidence by which a span is free, and for how long it has been.
+// evidenceFor returns the evidence by which a span is free, and for how long it has been free.
 func (keeper *Keeper) evidenceFor(service string, before spans.Owned, now cherrykeel.Instant) (evidence, time.Duration) {
 	for key, state := range keeper.releases {
 		covers := key.Service == service && key.Owner == before.Owner && key.Fence > before.Fence && key.Span.Covers(before.Span())
--- a/grants/keeper.go
+++ b/grants/keeper.go
@@ -15,66 +15,69 @@
 )
 
 const (
-	// tickInterval is the pace at which the keeper looks at what changed, and idleEvery that of the other hosts,
-	// which only look whether there is one.
+	// tickInterval is the interval at which the keeper checks for changes, and idleInterval that of the other hosts,
+	// which only check whether there is a keeper.
 	tickInterval = 25 * time.Millisecond
 	idleInterval = 100 * time.Millisecond
-	// planInterval is the pace at which keys are moved for balance.
+	// planInterval is the interval at which keys are transferred for balance.
 	planInterval = 250 * time.Millisecond
-	// maxMoves bounds the spans that are without an owner for balance's sake; with many upstreams there
-	// may be one for each upstreamsPerMove of them. A move waits for the work that runs, up to seconds, and a
-	// neighbourhood that becomes hot for 26 of 111 upstreams must not wait for 7 rounds of 4 moves.
+	// maxMoves bounds the spans that are without an owner at once for the sake of balance; with many upstreams the
+	// bound is one span for each upstreamsPerMove of them. A transfer waits for running requests, for up to seconds,
+	// and a range of keys that becomes hot for 26 of 111 upstreams must not wait for 7 rounds of 4 transfers.
 	maxMoves         = 4
 	upstreamsPerMove = 16
-	// maxSpeedReportAge is how long a host's word on an upstream's speed counts.
+	// maxSpeedReportAge is the maximum age of a host's report on an upstream's speed that counts.
 	maxSpeedReportAge = 3 * time.Second
-	// maxKeeperSilence is when another host claims: reports come each 200 ms at the least.
+	// maxKeeperSilence is the time without a report from the keeper after which another host claims; reports follow
+	// each other within 200 ms.
 	maxKeeperSilence = 900 * time.Millisecond
-	// claimStagger spreads the claims of several hosts, so that mostly one is made.
+	// claimStagger delays the claims of hosts by their rank, so that usually only one host claims.
 	claimStagger = 120 * time.Millisecond
 )
 
-// Mesh is what the keeper needs to know of the other hosts.
+// Mesh provides the reports of the other hosts.
 type Mesh interface {
-	// Reports returns what other hosts told within an age.
+	// Reports returns the newest report of each other host that is at most as old as age.
 	Reports(age time.Duration) []share.ReceivedReport
-	// TimeSinceReport returns how long a host has not been heard; false if it never was in its present life.
+	// TimeSinceReport returns the time since a host's last report was received; false if its present incarnation has
+	// sent none.
 	TimeSinceReport(name string) (time.Duration, bool)
-	// HostCount returns how many hosts there are, this one included.
+	// HostCount returns the number of hosts, including this one.
 	HostCount() int
 }
 
-// Table is the view of the store's table.
+// Table is this host's view of the table in the store.
 type Table interface {
-	// Current returns the table and where the next one would stand; false until it is known.
+	// Current returns the table and the offset that the next one will get; false until the table has been read.
 	Current() (spans.Table, int64, bool)
-	// ApplyOwnWrite takes a table that this host has written.
+	// ApplyOwnWrite applies a table that this host has written.
 	ApplyOwnWrite(value []byte, offset int64)
-	// IsCorrupt reports whether another writer's record stands in the table's place.
+	// IsCorrupt reports whether the newest record of the table cannot be decoded; the keeper then writes the table again.
 	IsCorrupt() bool
 }
 
-// Environment is what the keeper sees of upstreams, settings and the store.
+// Environment provides the upstreams, the settings, and the state of the store as this host sees them.
 type Environment interface {
-	// KeyedServices returns the services whose keys are divided.
+	// KeyedServices returns the services whose keys are divided among their upstreams.
 	KeyedServices() []cherrykeel.RoutedService
-	// Upstreams returns all upstreams that are not gone.
+	// Upstreams returns all known upstreams, including those that leave.
 	Upstreams() []cherrykeel.Upstream
-	// IsReplaced reports whether another upstream has taken the address since.
+	// IsReplaced reports whether another upstream has been listed with the address since.
 	IsReplaced(id, address string) bool
-	// NotifyEnded is told that an upstream's process has ended.
+	// NotifyEnded is called when an upstream's process is found to have ended.
 	NotifyEnded(id string)
-	// RereadTable makes the host read the table anew.
+	// RereadTable makes the host read the table again.
 	RereadTable()
-	// StoreAvailableFor is how long the store has served this host without a failure.
+	// StoreAvailableFor returns for how long the store has been available to this host without a failure; 0 if it is
+	// not.
 	StoreAvailableFor() time.Duration
-	// PeerIncarnation is the life that a host last announced, and how long ago that was read.
+	// PeerIncarnation returns the incarnation that a host last announced, and how long ago the announcement was read.
 	PeerIncarnation(name string) (string, time.Duration, bool)
-	// Rank is this host's place among those that are heard, from 0.
+	// Rank returns this host's position among the reachable hosts, starting at 0.
 	Rank() int
 }
 
-// Keeper claims, grants and moves key spans.
+// Keeper claims, grants and transfers key spans.
 type Keeper struct {
 	self        cherrykeel.Peer
 	clock       cherrykeel.Clock
@@ -94,13 +97,13 @@
 	resignRequests chan chan struct{}
 	stopRequests   chan chan struct{}
 
-	// The rest belongs to the goroutine of Run.
+	// The fields below are used only by the goroutine of Run.
 	term         int64
 	unconfirmed  bool
 	ledger       spans.Ledger
 	demand       map[string]*spans.Demand
 	speedReports map[string]map[string]speedReport
-	// meanTimes are by service.
+	// meanTimes are the mean processing times by service.
 	meanTimes map[string]cachedMean
 	grants    map[spans.GrantedSpan]*grantState
 	releases  map[spans.GrantedSpan]*releaseState
@@ -108,10 +111,11 @@
 	// majorityKnowsSince is since when more than half of the hosts have known the term.
 	majorityKnowsSince cherrykeel.Instant
 	majorityKnows      bool
-	// receivedFinal are those of the present term while another host keeps, claimed is the last claim of this host.
+	// receivedFinal has the final grants of the present term while another host is the keeper; lastClaim is this host's
+	// last claim.
 	receivedFinal *finalGrants
 	lastClaim     claimAttempt
-	// transfers are what open writes give on.
+	// transfers are the transfers in tables whose writes are unconfirmed.
 	transfers   []unconfirmedTransfer
 	plannedAt   cherrykeel.Instant
 	writing     bool
@@ -120,41 +124,42 @@
 	tickedAt    cherrykeel.Instant
 	seenVersion int64
 	seenAt      cherrykeel.Instant
-	// writeAfter is when the next write may be tried.
+	// writeAfter is the earliest time for the next write.
 	writeAfter cherrykeel.Instant
-	// vacant says that the duty is to be claimed, since openSince.
+	// vacant means that the keeper's role should be claimed, since vacantSince.
 	vacant               bool
 	vacantSince          cherrykeel.Instant
 	keeperStoreless      bool
 	keeperStorelessSince cherrykeel.Instant
 
-	// needsTick says that the last result lets something be done that should not wait for the next tick. A renewal that
-	// was answered lets nothing be done: with 231 owners there are some 600 of them a second, and each look at
-	// everything takes half a millisecond; the keeper was the busiest host with 0.70 of its 0.8 cores.
+	// needsTick means that the last result allows an action that should not wait for the next tick. An answered renewal
+	// allows none: with 231 owners there are about 600 of them a second, and each tick takes half a millisecond, which
+	// made the keeper the busiest host, at 0.70 of its 0.8 cores.
 	needsTick bool
-	// storeUnavailable says that the store does not serve this host, since awaySince; barred, that holds are long for it.
+	// storeUnavailable means that the store has been unavailable to this host since storeUnavailableSince; longLeases,
+	// that leases are long for that reason.
 	storeUnavailable      bool
 	storeUnavailableSince cherrykeel.Instant
 	longLeases            bool
 
-	// publishedFinal is what reports say of grants that are made no more; any goroutine may read it.
+	// publishedFinal has the final grants that this host's reports include; any goroutine may read it.
 	publishedFinal atomic.Pointer[finalGrants]
 }
 
-// Option changes a Keeper under construction.
+// Option configures a Keeper that New creates.
 type Option func(*Keeper)
 
-// WithMetrics sets where orders and changes of owners are counted; without it they are not.
+// WithMetrics sets the scope for the counts of orders and transfers; without it they are not counted.
 func WithMetrics(scope tally.Scope) Option {
 	return func(keeper *Keeper) {
 		keeper.meter = meter{scope: scope}
 	}
 }
 
-// New returns a keeper that keeps nothing yet.
-func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, log cherrykeel.KeyedLog, key string, table Table, world Environment, mesh Mesh, granter cherrykeel.SpanGranter, bounds func() cherrykeel.Bounds, options ...Option) *Keeper {
+// New returns a Keeper that holds no spans yet; Run starts it.
+func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, log cherrykeel.KeyedLog, key string, table Table, environment Environment, mesh Mesh, granter cherrykeel.SpanGranter, bounds func() cherrykeel.Bounds, options ...Option) *Keeper {
 	keeper := &Keeper{
-		self: self, clock: clock, logger: logger, log: log, key: key, table: table, environment: world, mesh: mesh,
+		self: self, clock: clock, logger: logger, log: log, key: key, table: table, environment: environment, mesh: mesh,
 		granter: granter, bounds: bounds, workers: newWorkers(), meter: meter{scope: tally.NoopScope},
 		results: make(chan func(cherrykeel.Instant), 4*maxCalls), demands: make(chan share.Demand, maxCalls),
 		resignRequests: make(chan chan struct{}, 1), stopRequests: make(chan chan struct{}, 1),
@@ -167,7 +172,8 @@
 	return keeper
 }
 
-// Resign gives up the spans so that another host claims at once; it returns when that is written or failed.
+// Resign gives up the keeper's role so that another host can claim at once; it returns when that is written or has
+// failed.
 func (keeper *Keeper) Resign(ctx context.Context) {
 	done := make(chan struct{})
 	select {
@@ -181,7 +187,7 @@
 	}
 }
 
-// Run keeps spans until the context ends.
+// Run claims the keeper's role when it is vacant, and fulfils it, until the context ends or StopGranting is called.
 func (keeper *Keeper) Run(ctx context.Context) {
 	keeper.startedAt = keeper.clock.Now()
 	keeper.tickedAt = keeper.startedAt
@@ -222,9 +228,9 @@
 func (keeper *Keeper) tick(ctx context.Context) {
 	keeper.needsTick = false
 	now := keeper.clock.Now()
-	stood := now.Sub(keeper.tickedAt)
-	if stood > maxEvidenceAge {
-		events.Log(keeper.logger, events.Suspended, zap.Duration("For", stood), zap.Int64("Term", keeper.term))
+	suspended := now.Sub(keeper.tickedAt)
+	if suspended > maxEvidenceAge {
+		events.Log(keeper.logger, events.Suspended, zap.Duration("For", suspended), zap.Int64("Term", keeper.term))
 	}
 	keeper.tickedAt = now
 	table, next, known := keeper.table.Current()
@@ -256,7 +262,7 @@
 	keeper.renewGrants(ctx, table, now)
 }
 
-// leaveTerm leaves the duty when another host has it.
+// leaveTerm discards the state of the present term when another host has become the keeper.
 func (keeper *Keeper) leaveTerm(table spans.Table) {
 	if keeper.term < 0 {
 		return
@@ -270,8 +276,8 @@
 	keeper.ledger = spans.Ledger{}
 }
 
-// enterTerm takes up the duty of a term: whoever kept before may have granted all that the table says, and
-// may go on until enough hosts know the new term.
+// enterTerm starts a term of this host as the keeper: the previous keeper may have granted everything in the table, and
+// may go on granting until enough hosts know the new term.
 func (keeper *Keeper) enterTerm(table spans.Table, now cherrykeel.Instant) {
 	if keeper.term == table.Term {
 		return
--- a/grants/meter.go
+++ b/grants/meter.go
@@ -9,7 +9,7 @@
 	"cherrykeel"
 )
 
-// waitBuckets reach from a free worker to the time after which an order is not sent any more.
+// waitBuckets range from no wait for a worker up to the wait after which an order is no longer sent.
 var waitBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 12)
 
 const (
@@ -17,19 +17,19 @@
 	orderRelease = "release"
 )
 
-// meter counts orders to upstreams and what came of them, and the evidence by which spans changed hands.
+// meter counts orders to upstreams by their results, and transferred spans by the evidence that they were free.
 type meter struct {
 	scope tally.Scope
 }
 
-// countOrder counts an order by its result, and how long it waited for a worker.
+// countOrder counts an order by its result, and records how long it waited for a worker.
 func (meter meter) countOrder(order string, err error, waited time.Duration) {
 	scope := meter.scope.Tagged(map[string]string{"order": order, "result": resultLabel(err)})
 	scope.Counter("orders").Inc(1)
 	meter.scope.Tagged(map[string]string{"order": order}).Histogram("order_wait", waitBuckets).RecordDuration(waited)
 }
 
-// countTransfer counts a span that was given on.
+// countTransfer counts a transferred span.
 func (meter meter) countTransfer(by evidence) {
 	meter.scope.Tagged(map[string]string{"free_by": string(by)}).Counter("spans_given_on").Inc(1)
 }
--- a/grants/probe.go
+++ b/grants/probe.go
@@ -11,15 +11,15 @@
 	"cherrykeel/spans"
 )
 
-// probeInterval is how often each owner is asked whether it leaves, while the store cannot tell. A probe takes an
-// upstream some 6 ms; twelve owners during an outage of 8 s get about a hundred.
+// probeInterval is how often each owner is asked whether it leaves, while the store is unavailable. A probe takes an
+// upstream about 6 ms; twelve owners get about a hundred during an outage of 8 s.
 const probeInterval = time.Second
 
-// probeOwners asks the owners themselves whether they leave while the store is away, which would tell otherwise.
+// probeOwners asks the owners whether they leave while the store, which otherwise provides that, is unavailable.
 //
-// An upstream that ends during an outage takes its keys with it until its hold has passed, and holds are long
-// then. One that is known to leave gets short ones from then on. Without this a quarter of all keys had no
-// owner for 9 s after the outage, and for 20 s when the hosts were restarted meanwhile.
+// The keys of an upstream that ends during an outage have no owner until its lease has expired, and leases are long
+// then. An upstream that is known to leave gets short ones from then on. Without this a quarter of all keys had no
+// owner for 9 s after the outage, and for 20 s if the hosts were restarted in the meantime.
 func (keeper *Keeper) probeOwners(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
 	if keeper.environment.StoreAvailableFor() > 0 {
 		return
--- a/grants/renew.go
+++ b/grants/renew.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// minLease is the shortest hold: the keys of a dead upstream whose work is short are free after it, and it
-	// outlives four lost renewals.
+	// minLease is the shortest lease: after it, the keys of a crashed upstream with short processing times are free,
+	// and it is long enough to outlast four lost renewals.
 	minLease      = 2500 * time.Millisecond
 	renewInterval = 600 * time.Millisecond
-	// retryInterval is the pace of tries while grants go unanswered.
+	// retryInterval is the interval between attempts while grants are not answered.
 	retryInterval = 200 * time.Millisecond
-	// unavailableAfter is how many grants in a row go unanswered before an upstream counts as lost. Those within
-	// lostWithin of the first say no more than that one: upstreams that had reset the connections of two spans'
-	// grants in one moment, and lived, lost their keys for 5 s.
+	// unavailableAfter is the number of consecutive unanswered grants after which an upstream counts as unavailable.
+	// Those within minMissInterval of the first count no more than the first alone: otherwise a running upstream that
+	// reset the connections of two spans' grants at the same time would lose its keys for 5 s.
 	unavailableAfter = 2
 	minMissInterval  = 150 * time.Millisecond
-	// unavailableFor is how long a lost upstream gets no grants, so that its hold ends and its keys become free:
-	// a grant without an answer may have been taken and starts the hold anew. Then it is tried again.
+	// unavailableFor is how long an unavailable upstream gets no grants, so that its lease expires and its keys become
+	// free: an unanswered grant may have been accepted, which starts the lease again. After that it is granted its keys
+	// again.
 	unavailableFor = 5 * time.Second
 )
 
@@ -33,38 +34,39 @@
 	sent       bool
 	accepted   bool
 	acceptedAt cherrykeel.Instant
-	// remainder says that the span is the rest of a larger one, and takenAt that one's.
+	// remainder means that the span is the remainder of a larger one, from which acceptedAt was copied.
 	remainder bool
 	pending   bool
 	refused   bool
-	// overdue says that the last one went unanswered for want of time on this host.
+	// overdue means that the last attempt was not answered because this host left it too little time.
 	overdue bool
-	// withdrawn grants are not to be sent any more; workers read it.
+	// withdrawn grants must no longer be sent; workers read it.
 	withdrawn atomic.Bool
 }
 
-// contact is what is known of an upstream's answers to grants.
+// contact holds what is known of an upstream's process and of its answers to grants.
 type contact struct {
-	// answering says that it has answered the last grant.
+	// answering means that it has answered the last grant.
 	answering bool
 	misses    int
-	// missedAt is when the first of the misses in a row came.
+	// missedAt is when the first of the consecutive misses was recorded.
 	missedAt         cherrykeel.Instant
 	unavailableUntil cherrykeel.Instant
-	// probing says that it is being asked whether it leaves; leaving is what it said last.
+	// probing means that a probe is under way; leaving is the result of the last one.
 	probing  bool
 	probed   bool
 	probedAt cherrykeel.Instant
 	leaving  bool
-	// departed says that it is granted nothing any more in this term, as this host has known since departedAt.
+	// departed means that it gets no more grants in this term, as this host has known since departedAt.
 	departed   bool
 	departedAt cherrykeel.Instant
-	// processEnded says that its process is known to be gone, since endedAt.
+	// processEnded means that its process is known to have ended, since processEndedAt.
 	processEnded   bool
 	processEndedAt cherrykeel.Instant
-	// heldUntil is the latest end of all that it was granted in this term.
+	// heldUntil is the latest end of all leases that it was granted in this term.
 	heldUntil cherrykeel.Instant
-	// startedAt is when its present life began, if it says so, and reborn that there was another before in this term.
+	// startedAt is the start of its present incarnation, if known; restarted means that there was another incarnation
+	// before in this term.
 	startedAt int64
 	restarted bool
 }
@@ -78,18 +80,18 @@
 	return known
 }
 
-// recordAnswer notes that the upstream has recordAnswer a grant.
+// recordAnswer records that the upstream has answered a grant.
 func (contact *contact) recordAnswer() {
 	contact.misses = 0
 	contact.answering = true
 }
 
-// recordLease notes that the upstream may hold keys until a time.
+// recordLease records that the upstream may hold keys until a time.
 func (contact *contact) recordLease(until cherrykeel.Instant) {
 	contact.heldUntil = max(contact.heldUntil, until)
 }
 
-// recordProcessEnd notes that the upstream's process is gone.
+// recordProcessEnd records that the upstream's process has ended.
 func (contact *contact) recordProcessEnd(now cherrykeel.Instant) {
 	if contact.processEnded {
 		return
@@ -98,7 +100,7 @@
 	contact.processEndedAt = now
 }
 
-// recordMiss notes that a grant went unanswered, which may make the upstream count as lost.
+// recordMiss records that a grant was not answered, which may make the upstream count as unavailable.
 func (contact *contact) recordMiss(now cherrykeel.Instant) {
 	if contact.misses == 0 {
 		contact.missedAt = now
@@ -110,12 +112,12 @@
 	}
 }
 
-// isUnresponsive reports whether enough grants went unanswered, for long enough.
+// isUnresponsive reports whether enough consecutive grants were not answered, over a long enough time.
 func (contact *contact) isUnresponsive(now cherrykeel.Instant) bool {
 	return contact.misses >= unavailableAfter && now.Sub(contact.missedAt) >= minMissInterval
 }
 
-// renewGrants grants each span of the table to its owner, again before its hold ends.
+// renewGrants grants each span of the table to its owner, and renews the grant before its lease expires.
 func (keeper *Keeper) renewGrants(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
 	wanted := map[spans.GrantedSpan]bool{}
 	for service, list := range table.Services {
@@ -158,7 +160,7 @@
 	keeper.sendGrant(ctx, key, state, now)
 }
 
-// newGrant notes a grant that is to be sent.
+// newGrant creates the state of a grant that is to be sent.
 func (keeper *Keeper) newGrant(key spans.GrantedSpan, owned spans.Owned) *grantState {
 	state := &grantState{upstream: cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.StartedAt}, handover: keeper.handoverFor(key)}
 	whole, cut := keeper.coveringGrant(key)
@@ -177,7 +179,8 @@
 	}
 }
 
-// recordIncarnationEnd takes it that a life of an upstream has ended, unless the next one is known: that may hold keys.
+// recordIncarnationEnd records that an incarnation of an upstream has ended. It does nothing if the next one is already
+// known, since that one may hold keys.
 func (keeper *Keeper) recordIncarnationEnd(upstream cherrykeel.Upstream, now cherrykeel.Instant) {
 	if keeper.contact(upstream.ID).startedAt > upstream.StartedAt {
 		return
@@ -187,8 +190,9 @@
 	keeper.environment.NotifyEnded(upstream.ID)
 }
 
-// recordIncarnations notes the upstreams' lives. What was learned of an earlier life, that it does not answer or leaves, is not
-// said of the next one; what the earlier one may hold stays in the ledger, under the same ID.
+// recordIncarnations records the upstreams' present incarnations. What was recorded about an earlier one, for instance
+// that it does not answer or leaves, does not apply to the next one. What the earlier one may hold stays in the ledger,
+// under the same ID.
 func (keeper *Keeper) recordIncarnations() {
 	for _, upstream := range keeper.environment.Upstreams() {
 		known := keeper.contact(upstream.ID)
@@ -202,7 +206,7 @@
 	}
 }
 
-// hasProcessEnded reports whether the upstream's process is known to be gone.
+// hasProcessEnded reports whether the upstream's process is known to have ended, and records it.
 func (keeper *Keeper) hasProcessEnded(id, address string, now cherrykeel.Instant) bool {
 	if !keeper.environment.IsReplaced(id, address) {
 		return false
--- a/grants/send.go
+++ b/grants/send.go
@@ -12,7 +12,7 @@
 	"cherrykeel/spans"
 )
 
-// grantResult is what came of a grant: how long it waited for a worker, and how long it took from its decision on.
+// grantResult is the result of a grant, with its wait for a worker and the time from its decision to its end.
 type grantResult struct {
 	err    error
 	waited time.Duration
@@ -26,29 +26,30 @@
 	state.pending = true
 	state.sent = true
 	state.sentAt = now
-	// The grant's time counts from here, for the ledger and for the call: while the call had its whole time from when a
-	// worker took it, up to half a second later, an upstream could hold keys for that long after they were given on.
+	// The lease and the call's timeout count from here, both for the ledger and for the call. If the call's timeout
+	// counted from when a worker started it, up to half a second later, the upstream could hold keys for that long
+	// after they were transferred.
 	until := spans.LatestLeaseEnd(now.Add(maxArrivalDelay), grant.LeaseDuration)
 	call := keeper.ledger.RecordSent(key, until)
 	keeper.contact(key.Owner).recordLease(until)
 	term := keeper.term
 	keeper.workers.grants.Submit(func() {
-		outcome := keeper.attemptGrant(ctx, state, grant, now)
-		keeper.meter.countOrder(orderGrant, outcome.err, outcome.waited)
+		result := keeper.attemptGrant(ctx, state, grant, now)
+		keeper.meter.countOrder(orderGrant, result.err, result.waited)
 		keeper.results <- func(now cherrykeel.Instant) {
 			state.pending = false
 			if keeper.term != term {
 				return
 			}
-			if isConcluded(outcome.err) {
+			if isConcluded(result.err) {
 				keeper.ledger.RecordAnswer(call)
 			}
-			keeper.handleGrantResult(key, state, grant, outcome, now)
+			keeper.handleGrantResult(key, state, grant, result, now)
 		}
 	})
 }
 
-// attemptGrant sends a grant that was decided on at a time, if it is still wanted and has time left.
+// attemptGrant sends a grant that was decided on at the given time, unless it was withdrawn or has waited too long.
 func (keeper *Keeper) attemptGrant(ctx context.Context, state *grantState, grant cherrykeel.SpanGrant, decided cherrykeel.Instant) grantResult {
 	waited := keeper.clock.Now().Sub(decided)
 	if state.withdrawn.Load() {
@@ -63,21 +64,21 @@
 	return grantResult{err: err, waited: waited, took: keeper.clock.Now().Sub(decided)}
 }
 
-// handleGrantResult notes what came of a grant.
-func (keeper *Keeper) handleGrantResult(key spans.GrantedSpan, state *grantState, grant cherrykeel.SpanGrant, outcome grantResult, now cherrykeel.Instant) {
+// handleGrantResult records the result of a grant.
+func (keeper *Keeper) handleGrantResult(key spans.GrantedSpan, state *grantState, grant cherrykeel.SpanGrant, result grantResult, now cherrykeel.Instant) {
 	fields := []zap.Field{
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner),
 		zap.Int("First", key.Span.First), zap.Int("Last", key.Span.Last), zap.Int64("Fence", key.Fence),
 	}
-	err := outcome.err
+	err := result.err
 	state.overdue = false
 	switch {
 	case err == nil:
 		keeper.recordGrantAccepted(key, state, grant, fields, now)
 	case errors.Is(err, errWithdrawn):
 	case errors.Is(err, cherrykeel.ErrFenced) && state.withdrawn.Load():
-		// The fence may be that of this keeper's own release, or of a grant that joins the span with others; another
-		// keeper's is met again by the next grant.
+		// The refusal may be due to the fence of this keeper's own release, or of a grant of a larger span that
+		// includes this one. If it is due to another keeper's fence, the next grant is refused as well.
 	case errors.Is(err, cherrykeel.ErrFenced):
 		keeper.needsTick = true
 		state.refused = true
@@ -86,11 +87,11 @@
 		keeper.needsTick = true
 		keeper.recordIncarnationEnd(state.upstream, now)
 	default:
-		keeper.recordNoAnswer(key.Owner, state, outcome, fields, now)
+		keeper.recordNoAnswer(key.Owner, state, result, fields, now)
 	}
 }
 
-// recordGrantAccepted notes that an upstream has taken a grant.
+// recordGrantAccepted records that an upstream has accepted a grant.
 func (keeper *Keeper) recordGrantAccepted(key spans.GrantedSpan, state *grantState, grant cherrykeel.SpanGrant, fields []zap.Field, now cherrykeel.Instant) {
 	until := spans.LatestLeaseEnd(now, grant.LeaseDuration)
 	keeper.ledger.RecordLease(key, until)
@@ -104,13 +105,13 @@
 	state.handover = ""
 }
 
-// recordNoAnswer notes that a grant brought no answer. That says nothing of the upstream if the grant had too little time,
-// or was meant for an earlier life of it.
-func (keeper *Keeper) recordNoAnswer(owner string, state *grantState, outcome grantResult, fields []zap.Field, now cherrykeel.Instant) {
+// recordNoAnswer records that a grant was not answered. That is no evidence against the upstream if the grant had too
+// little time, or was meant for an earlier incarnation.
+func (keeper *Keeper) recordNoAnswer(owner string, state *grantState, result grantResult, fields []zap.Field, now cherrykeel.Instant) {
 	contact := keeper.contact(owner)
-	fields = append(fields, zap.Duration("Waited", outcome.waited), zap.Error(outcome.err))
+	fields = append(fields, zap.Duration("Waited", result.waited), zap.Error(result.err))
 	switch {
-	case outcome.isOverdue():
+	case result.isOverdue():
 		state.overdue = true
 		events.Log(keeper.logger, events.GrantOverdue, fields...)
 	case contact.startedAt > state.upstream.StartedAt:
@@ -123,14 +124,14 @@
 	}
 }
 
-// isOverdue reports whether a grant had too little time for an upstream that lives to answer: it waited for a worker, or
+// isOverdue reports whether a grant had too little time for a running upstream to answer: it waited for a worker, or
 // the machine was suspended before it could be sent.
-func (outcome grantResult) isOverdue() bool {
-	suspended := errors.Is(outcome.err, cherrykeel.ErrNotSent) && outcome.took > maxGrantTime
-	return outcome.waited > maxFairWait || suspended
+func (result grantResult) isOverdue() bool {
+	suspended := errors.Is(result.err, cherrykeel.ErrNotSent) && result.took > maxGrantTime
+	return result.waited > maxFairWait || suspended
 }
 
-// isConcluded reports whether a grant has been carried out or never will be.
+// isConcluded reports whether it is certain that a grant has already been carried out or never will be.
 func isConcluded(err error) bool {
 	return err == nil || errors.Is(err, cherrykeel.ErrFenced) || errors.Is(err, cherrykeel.ErrNotSent)
 }
--- a/grants/transfer.go
+++ b/grants/transfer.go
@@ -7,12 +7,13 @@
 	"cherrykeel/spans"
 )
 
-// A table that was written and whose outcome is not known may be carried out seconds later. What it gives on is then
-// granted to the next owner by whoever reads it, at once: the table names no owner that came before. So an owner that
-// is to lose a span is granted it no more, though the table that is known still names it: one that was lost and answers
-// again would hold its span beside the owner that a successor grants it.
+// A table whose write has an unknown outcome may still be written seconds later. Any keeper that reads it then grants
+// the transferred spans to the next owner at once, because the table does not name the previous one. So an owner that
+// is about to lose a span gets no more grants of it, though the last known table still names it as the owner. Otherwise
+// an owner that was unavailable and answers again would hold its span at the same time as the owner to which a
+// successor grants it.
 
-// unconfirmedTransfer is a span that an open write gives on.
+// unconfirmedTransfer is a span that a table transfers whose write is unconfirmed.
 type unconfirmedTransfer struct {
 	service string
 	owner   string
@@ -21,7 +22,7 @@
 	offset int64
 }
 
-// recordTransfers notes what a proposed table gives on, once for each offset.
+// recordTransfers records and logs the transfers of a proposed table, once for each offset.
 func (keeper *Keeper) recordTransfers(table, proposal spans.Table, at int64, now cherrykeel.Instant) {
 	for service, list := range table.Services {
 		for _, before := range list {
@@ -35,8 +36,8 @@
 	}
 }
 
-// removeSettledTransfers forgets the writes whose offset is taken: their outcome is in the table that is known, unless another
-// writer's record stands in its place.
+// removeSettledTransfers removes the transfers of writes whose offset is taken by now: the known table shows their
+// outcome, unless the newest record of the table cannot be decoded.
 func (keeper *Keeper) removeSettledTransfers(next int64) {
 	if keeper.table.IsCorrupt() {
 		return
@@ -50,7 +51,7 @@
 	keeper.transfers = kept
 }
 
-// isTransferPending reports whether an open write gives a key of the span from its owner to another.
+// isTransferPending reports whether an unconfirmed write transfers a key of the span away from its owner.
 func (keeper *Keeper) isTransferPending(key spans.GrantedSpan) bool {
 	for _, transfer := range keeper.transfers {
 		same := transfer.service == key.Service && transfer.owner == key.Owner
--- a/grants/workers.go
+++ b/grants/workers.go
@@ -10,34 +10,39 @@
 )
 
 const (
-	// maxCalls bounds the grants, and the probes, that are under way to upstreams.
+	// maxCalls bounds the grants, and likewise the probes, that are under way at once.
 	maxCalls = 64
-	// maxReleases bounds the releases, which wait for running work, up to the longest hold.
+	// maxReleases bounds the releases that are under way at once; each waits for running requests, up to the longest
+	// lease.
 	maxReleases = 256
-	// callTimeout bounds one grant from its decision on, the wait for a worker included.
+	// callTimeout bounds one grant from its decision, including the wait for a worker.
 	callTimeout = 600 * time.Millisecond
-	// maxCancelDelay is how much later a grant may still leave whose time has passed: a host that has used up its part
-	// of the processor does nothing for up to a tenth of a second, and then ends the call.
+	// maxCancelDelay bounds how long after its timeout a grant may still be sent: a host that has used up its processor
+	// quota does nothing for up to a tenth of a second, and cancels the call only then.
 	maxCancelDelay = 100 * time.Millisecond
-	// maxArrivalDelay is how long after its decision a grant is taken to arrive at the latest; its way, some milliseconds,
-	// is within cancelLate. One that a full link holds up for longer is not counted.
+	// maxArrivalDelay is the assumed maximum of the time from a grant's decision until its arrival. Its transmission
+	// takes some milliseconds, which maxCancelDelay includes. Grants that a saturated link delays for longer are not
+	// covered.
 	maxArrivalDelay = callTimeout + maxCancelDelay
-	// maxWorkerWait is how long a grant may wait for a worker; the evidence that it rests on is too old then.
+	// maxWorkerWait is how long a grant may wait for a worker; after that, the evidence on which it is based is too
+	// old.
 	maxWorkerWait = maxEvidenceAge / 2
-	// maxFairWait leaves a grant enough of its time that an upstream which lives answers.
+	// maxFairWait is the longest wait for a worker that leaves a running upstream enough time to answer the grant.
 	maxFairWait = 200 * time.Millisecond
-	// maxGrantTime is more than a grant takes on a busy host; the machine was suspended meanwhile.
+	// maxGrantTime is longer than a grant takes on a busy host; if one takes longer, the machine was suspended.
 	maxGrantTime = 2 * callTimeout
 )
 
-// errOverdue means that a grant waited too long for a worker and was not sent: it says nothing of the upstream.
-var errOverdue = errors.WithMessage(cherrykeel.ErrNotSent, "it waited too long for a worker")
+// errOverdue means that a grant waited too long for a worker and was not sent, which is no evidence against the
+// upstream.
+var errOverdue = errors.WithMessage(cherrykeel.ErrNotSent, "the order waited too long for a worker")
 
-// errWithdrawn means that a grant was not sent, since its span is released or granted otherwise.
-var errWithdrawn = errors.WithMessage(cherrykeel.ErrNotSent, "its span is granted otherwise")
+// errWithdrawn means that a grant was not sent because its span is being released or is granted otherwise.
+var errWithdrawn = errors.WithMessage(cherrykeel.ErrNotSent, "its span is released or granted otherwise")
 
-// workers carry out what waits for others. Each kind has its own, so that none waits for one that takes longer: with
-// one pool for all, 64 releases that wait for running work would hold back all grants, and the writes of the table.
+// workers are the pools that run calls to upstreams and writes to the store. Each kind has its own pool, so that none
+// waits for another kind that takes longer: with one pool for all, 64 releases that wait for running requests would
+// hold back all grants, and the writes of the table.
 type workers struct {
 	grants   pond.Pool
 	releases pond.Pool
