--- a/grants/bench_test.go
+++ b/grants/bench_test.go
@@ -15,8 +15,8 @@
 	"cherrykeel/share"
 )
 
-// BenchmarkKeeper is a keeper of 231 owners whose keys are asked for 350 times a second; it tells the part of a core
-// that its looks and grants take, without what sending them takes.
+// BenchmarkKeeper runs a keeper of 231 owners whose keys get 350 requests a second. It reports the share of a core that
+// the keeper's ticks and grants use, without the cost of sending the grants.
 func BenchmarkKeeper(b *testing.B) {
 	var ids []string
 	for i := range 231 {
--- a/grants/departed_test.go
+++ b/grants/departed_test.go
@@ -13,7 +13,7 @@
 	"cherrykeel/spans"
 )
 
-var _ = Describe("owners that have departed", func() {
+var _ = Describe("departed owners", func() {
 	var (
 		store   *fakeStore
 		mesh    *fakeMesh
@@ -29,21 +29,21 @@
 		runKeeper(keeper)
 	}
 
-	// resigned is a table whose keeper has given up, with u2's keys held for one second more.
-	resigned := func(finals *share.FinalGrants) {
+	// resigned sets a table whose keeper has resigned, and a lease of u2 that expires in one second.
+	resigned := func(finalGrants *share.FinalGrants) {
 		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-2", Incarnation: "", Services: map[string][]spans.Owned{service: {
 			{First: 0, Last: 29999, Owner: "u1", Address: "u1", Fence: 0}, {First: 30000, Last: cherrykeel.MaxKey, Owner: "u2", Address: "u2", Fence: 0},
 		}}}
 		store.next = 1
-		mesh.finals = finals
+		mesh.finalGrants = finalGrants
 		mesh.reportFrom(store, 3, "host-2", "host-3")
 		granter.unresponsive["u2"] = true
 		granter.held["u2"] = map[cherrykeel.KeySpan]time.Time{{First: 30000, Last: cherrykeel.MaxKey}: time.Now().Add(time.Second)}
 	}
 
-	// The store is away, an owner says when it is asked that it leaves, and then answers no grant. Another grant
-	// would only start its hold anew, and a successor of this keeper could not know when its keys are free.
-	It("are told to the other hosts and granted nothing more", func() {
+	// The store is unavailable, and an owner answers a probe that it leaves, and then answers no grant. A further grant
+	// would only start its lease again, and a successor of this keeper could not know when its keys are free.
+	It("are reported to the other hosts and get no more grants", func() {
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
 		Expect(keeper.FinalGrants()).To(BeNil())
@@ -59,27 +59,28 @@
 		Consistently(func() int { return granter.attemptsTo("u1") }, "1s").Should(Equal(tries))
 	})
 
-	// The keeper stops while the store is away. Its successor finds an owner that does not answer; it would
-	// have to wait 12 s for whatever may have been granted to that, and each further grant would begin anew.
-	It("are not asked by a successor, whose keys of theirs are free when they were said to be", func() {
+	// The keeper stops while the store is unavailable. Its successor finds an owner that does not answer; without the
+	// report it would have to wait 12 s for any lease of it, and each further grant would start a lease again.
+	It("get no grants from a successor, which transfers their keys at the reported time", func() {
 		resigned(&share.FinalGrants{Term: 0, EndsWithin: map[string]time.Duration{"u2": time.Second}, Departed: []string{"u2"}})
 		run()
 		Eventually(store.ownerOf(40000), longTimeout).Should(Equal("u1"))
 		Expect(granter.attemptsTo("u2")).To(BeZero())
 	})
 
-	// The keeper's process ends while the store is away, and an owner dies after it. Nobody could grant that one
-	// anything since; its keys are given on when the successor's own grants to it, short ones, have ended.
-	It("need not be known as such when the keeper has told its end", func() {
+	// The keeper's process stops while the store is unavailable, and an owner crashes after that. No keeper can have
+	// granted it anything since, so its keys are transferred as soon as the successor's own short grants to it have
+	// expired.
+	It("lose their keys soon if the last keeper has reported its final grants", func() {
 		resigned(&share.FinalGrants{Term: 0, EndsWithin: map[string]time.Duration{"u1": time.Second, "u2": time.Second}})
 		store.set(func() { store.recovering = true })
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
 		Eventually(store.ownerOf(40000), longTimeout).Should(Equal("u1"))
-		Expect(granter.attemptsTo("u2")).To(BeNumerically("<=", 2), "it was not granted anew while its keys waited for the longest hold")
+		Expect(granter.attemptsTo("u2")).To(BeNumerically("<=", 2), "it got no further grants that would start its lease again")
 	})
 
-	It("are all told when the keeper ends", func() {
+	It("and all others have final grants when the keeper stops granting", func() {
 		run()
 		Eventually(granter.count("u2"), longTimeout).Should(BeNumerically(">=", 1))
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -91,17 +92,17 @@
 		Consistently(func() int { return granter.attemptsTo("u1") }, "1s").Should(BeNumerically("<=", tries+1))
 	})
 
-	// What was told of another term says nothing: between the two a keeper may have granted anything.
-	It("of another term are not believed", func() {
+	// A report on another term proves nothing: between the two terms a keeper may have granted anything.
+	It("of another term are ignored", func() {
 		resigned(&share.FinalGrants{Term: 7, EndsWithin: map[string]time.Duration{"u2": 0}, Departed: []string{"u2"}})
 		run()
 		Eventually(func() int { return granter.attemptsTo("u2") }, longTimeout).Should(BeNumerically(">=", 1))
 		Consistently(store.ownerOf(40000), "3s").Should(Equal("u2"))
 	})
 
-	// The health check lied, and messages to the owner were lost for a moment. The store lists it as staying
-	// when it is back; without a new term it would never own a key again.
-	It("own keys again in a new term if they stay", func() {
+	// The health check gave a wrong answer, and messages to the owner were lost for a moment. When the store is
+	// available again it lists the owner as staying; without a new term the owner would never get a key again.
+	It("are granted keys again in a new term if they stay", func() {
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
 		granter.set(func() { granter.leaving = map[string]bool{"u1": true} })
--- a/grants/fakes_test.go
+++ b/grants/fakes_test.go
@@ -19,7 +19,7 @@
 	selfName    = "host-1"
 )
 
-// shiftedClock is the process's clock, set forward by the test as a suspension does.
+// shiftedClock is the process's clock, which a test can set forward as a suspension would.
 type shiftedClock struct {
 	mutex sync.Mutex
 	shift time.Duration
@@ -35,13 +35,13 @@
 
 func (clock *shiftedClock) Wall() time.Time { return time.Time{} }
 
-// fakeStore is the log, the view of its table, and the world of one keeper.
+// fakeStore is the log, the view of its table, and the Environment of one keeper.
 type fakeStore struct {
 	mutex       sync.Mutex
 	table       spans.Table
 	next        int64
 	unavailable bool
-	// recovering stores have just come back.
+	// recovering means that the store has just become available again.
 	recovering bool
 	loseReply  bool
 	writes     int
@@ -160,7 +160,7 @@
 	change()
 }
 
-// claim writes a table of another host, as if it had claimed.
+// claim writes a table with another host as the keeper.
 func (store *fakeStore) claim(host string) {
 	store.set(func() {
 		store.table = store.table.ClaimedBy(host, "life-"+host, store.next)
@@ -173,22 +173,22 @@
 	return table.Keeper
 }
 
-// fakeMesh says what the test lets the other hosts say.
+// fakeMesh returns the reports that the test sets for the other hosts.
 type fakeMesh struct {
-	mutex     sync.Mutex
-	clock     *shiftedClock
-	hostCount int
-	reports   []share.ReceivedReport
-	finals    *share.FinalGrants
+	mutex       sync.Mutex
+	clock       *shiftedClock
+	hostCount   int
+	reports     []share.ReceivedReport
+	finalGrants *share.FinalGrants
 }
 
 func (mesh *fakeMesh) Reports(age time.Duration) []share.ReceivedReport {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	var fresh []share.ReceivedReport
-	for _, heard := range mesh.reports {
-		if mesh.clock.Now().Sub(heard.ReceivedAt) <= age {
-			fresh = append(fresh, heard)
+	for _, received := range mesh.reports {
+		if mesh.clock.Now().Sub(received.ReceivedAt) <= age {
+			fresh = append(fresh, received)
 		}
 	}
 	return fresh
@@ -197,9 +197,9 @@
 func (mesh *fakeMesh) TimeSinceReport(name string) (time.Duration, bool) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	for _, heard := range mesh.reports {
-		if heard.Report.Host == name {
-			return mesh.clock.Now().Sub(heard.ReceivedAt), true
+	for _, received := range mesh.reports {
+		if received.Report.Host == name {
+			return mesh.clock.Now().Sub(received.ReceivedAt), true
 		}
 	}
 	return 0, false
@@ -211,16 +211,16 @@
 	return mesh.hostCount
 }
 
-// reportFrom makes the hosts report the newest term of the store until the spec ends.
-func (mesh *fakeMesh) reportFrom(store *fakeStore, known int, names ...string) (stop func()) {
+// reportFrom makes the named hosts report the newest term in the store, until stop is called or the spec ends.
+func (mesh *fakeMesh) reportFrom(store *fakeStore, hostCount int, names ...string) (stop func()) {
 	mesh.mutex.Lock()
-	mesh.hostCount = known
+	mesh.hostCount = hostCount
 	mesh.mutex.Unlock()
 	done := make(chan struct{})
 	ended := make(chan struct{})
 	var once sync.Once
-	// Nothing is heard after stop has returned: a report that is still under way then would be dated by the
-	// clock that the test sets forward next.
+	// No report arrives after stop has returned: one that is still under way would be dated by the clock that the test
+	// sets forward next.
 	stop = func() {
 		once.Do(func() { close(done) })
 		<-ended
@@ -233,7 +233,7 @@
 			mesh.mutex.Lock()
 			mesh.reports = nil
 			for _, name := range names {
-				mesh.reports = append(mesh.reports, share.ReceivedReport{ReceivedAt: mesh.clock.Now(), Report: share.Report{Host: name, Term: table.Term, StoreAvailable: true, FinalGrants: mesh.finals}})
+				mesh.reports = append(mesh.reports, share.ReceivedReport{ReceivedAt: mesh.clock.Now(), Report: share.Report{Host: name, Term: table.Term, StoreAvailable: true, FinalGrants: mesh.finalGrants}})
 			}
 			mesh.mutex.Unlock()
 			select {
@@ -251,7 +251,7 @@
 	grant cherrykeel.SpanGrant
 }
 
-// fakeGranter keeps what servers hold and checks that no key has two owners.
+// fakeGranter records what upstreams hold and counts keys with two owners.
 type fakeGranter struct {
 	mutex        sync.Mutex
 	sent         []sentGrant
@@ -263,13 +263,13 @@
 	finishWork   chan struct{}
 	leaving      map[string]bool
 	probed       int
-	// resets is how many of the next grants to a server end with their connection, and releasesLost how many of
-	// the next releases are carried out without an answer.
+	// resets is the number of the next grants to an upstream whose connections are reset; lostReleaseAnswers is the
+	// number of the next releases that are carried out but not answered.
 	resets             map[string]int
 	lostReleaseAnswers int
-	// keepsLonger servers keep the longer one of two holds; others go by the last grant.
+	// keepsLonger makes upstreams keep the longer of two leases; otherwise the last grant counts.
 	keepsLonger bool
-	// attempts counts all grants that were sent, answered or not.
+	// attempts counts all grants that were sent, by upstream, whether answered or not.
 	attempts map[string]int
 }
 
--- a/grants/freed_test.go
+++ b/grants/freed_test.go
@@ -12,11 +12,11 @@
 	"cherrykeel/spans"
 )
 
-var _ = Describe("the answer of a release", func() {
-	// A release waits for running work, and its answer is late. Meanwhile the hold has passed, and the table gives the
-	// span to the same owner again, under a higher fence; that grant's answer is lost. The late answer speaks of the
-	// grants before it only. Taken for all, it frees keys that the owner holds, and if it leaves then they are given on.
-	It("does not free what the owner was granted after it", func() {
+var _ = Describe("the answer to a release", func() {
+	// A release waits for running requests, so its answer is late. In the meantime the lease has expired, and the table
+	// assigns the span to the same owner again under a higher fence; the answer to that grant is lost. If the late
+	// answer to the release counted for that grant too, the keys would be transferred while the owner holds them.
+	It("does not free what the owner was granted after the release", func() {
 		const service = "halls"
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		granter := &lateGranter{clock: clock, arrivals: make(chan cherrykeel.Instant, 1), release: make(chan struct{})}
--- a/grants/grants_test.go
+++ b/grants/grants_test.go
@@ -36,7 +36,7 @@
 		runKeeper(keeper)
 	}
 
-	It("claims, divides the keys and renews its grants", func() {
+	It("claims its role, divides the keys and renews its grants", func() {
 		run()
 		Eventually(store.keeper, longTimeout).Should(Equal(selfName))
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 2))
@@ -45,18 +45,18 @@
 		Expect(granter.last("u1").Fence).To(Equal(table.Services[service][0].Fence))
 	})
 
-	// The reply to the claim is lost. The table that was written says who keeps, and nothing else does.
-	It("finds its claim in the store when the reply was lost", func() {
+	// The reply to the claim is lost. Only the table in the store tells which host is the keeper.
+	It("finds its claim in the store if the reply was lost", func() {
 		store.loseReply = true
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
 		Expect(store.keeper()).To(Equal(selfName))
 	})
 
-	// The keeper is cut off from the other hosts, or sleeps. It cannot know whether another has claimed, so
-	// it grants nothing more; with its grants going on, a server cut off with it would keep keys that the
-	// next keeper has given away.
-	It("stops granting when too few hosts confirm it, and goes on when they do", func() {
+	// The keeper is isolated from the other hosts, or suspended. It cannot know whether another host has claimed, so it
+	// must stop granting: otherwise an upstream that is isolated with it would keep keys that the next keeper has
+	// transferred.
+	It("stops granting while too few hosts confirm it, and continues when they do", func() {
 		stop := mesh.reportFrom(store, 3, "host-2", "host-3")
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
@@ -68,7 +68,7 @@
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">", before))
 	})
 
-	It("grants nothing after a suspension before it has looked again", func() {
+	It("grants nothing after a suspension until other hosts confirm it again", func() {
 		stop := mesh.reportFrom(store, 3, "host-2", "host-3")
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
@@ -81,7 +81,7 @@
 		Consistently(granter.count("u1"), "1s").Should(Equal(before))
 	})
 
-	It("leaves the duty to another host that has claimed it", func() {
+	It("stops granting when another host has claimed the role", func() {
 		mesh.reportFrom(store, 3, "host-2", "host-3")
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
@@ -91,10 +91,10 @@
 		Consistently(granter.count("u1"), "1s").Should(Equal(before))
 	})
 
-	// The keeper before this one may have granted until a moment ago, and a server that does not answer may
-	// hold its keys until then. They go to another server only when the longest hold has passed; the servers
-	// that answer go on at once under the higher fence.
-	It("takes over owners that answer at once, and waits for those that do not", func() {
+	// The previous keeper may have granted until a moment ago, and an upstream that does not answer may hold its keys
+	// until the longest lease has expired. Only then may they go to another upstream; the upstreams that answer
+	// continue at once under the higher fence.
+	It("takes over owners that answer at once, and waits for the leases of those that do not", func() {
 		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-9", Incarnation: "", Services: map[string][]spans.Owned{service: {
 			{First: 0, Last: 29999, Owner: "u1", Address: "u1", Fence: 0}, {First: 30000, Last: cherrykeel.MaxKey, Owner: "u2", Address: "u2", Fence: 0},
 		}}}
@@ -117,9 +117,9 @@
 		}, longTimeout).Should(Equal("u1"))
 	})
 
-	// Another server answers at the address of one that was granted keys: that one has ended, and its keys
-	// are free without waiting.
-	It("gives an ended server's keys on at once", func() {
+	// Another upstream answers at the address of one that was granted keys. The process of that one has ended, so its
+	// keys are free without a wait.
+	It("transfers the keys of an upstream that has ended at once", func() {
 		run()
 		Eventually(granter.count("u2"), longTimeout).Should(BeNumerically(">=", 1))
 		store.set(func() {
@@ -139,7 +139,7 @@
 		_ = begun
 	})
 
-	It("moves a leaving server's keys with the handover, after its running work", func() {
+	It("transfers a leaving upstream's keys with the handover, after its running requests", func() {
 		granter.finishWork = make(chan struct{})
 		run()
 		Eventually(granter.count("u2"), longTimeout).Should(BeNumerically(">=", 1))
@@ -158,9 +158,9 @@
 		Eventually(func() string { return granter.last("u1").Handover }, longTimeout).Should(Equal("token-u2"))
 	})
 
-	// The store is away. Nothing changes hands, and holds are as long as they may be, so that the owners go
-	// on if this keeper dies before the store is back.
-	It("grants long holds while the store is away, and short ones after", func() {
+	// The store is unavailable. No transfers are possible, and leases are as long as allowed, so that the owners
+	// continue if this keeper crashes before the store is available again.
+	It("grants long leases while the store is unavailable, and short ones after", func() {
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
 		Expect(granter.last("u1").LeaseDuration).To(BeNumerically("<", 3*time.Second))
@@ -170,26 +170,26 @@
 		Eventually(func() time.Duration { return granter.last("u1").LeaseDuration }, longTimeout).Should(BeNumerically("<", 3*time.Second))
 	})
 
-	// The store is away and an owner is being shut down, which it could tell the store only. When it has ended
-	// its keys wait for the end of its hold, 10 s, though the store is back. Asked itself, it says that it
-	// leaves, and is granted short holds; an owner that stays keeps the long ones.
-	It("grants short holds to an owner that leaves while the store is away", func() {
+	// An owner is shut down while the store is unavailable, which is where it would announce that. After its end its
+	// keys would have no owner until its lease of 10 s has expired. When it is probed it answers that it leaves, and is
+	// granted short leases; an owner that stays keeps the long ones.
+	It("grants short leases to an owner that leaves while the store is unavailable", func() {
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
 		granter.mutex.Lock()
 		granter.leaving = map[string]bool{"u1": true}
 		probed := granter.probed
 		granter.mutex.Unlock()
-		Expect(probed).To(BeZero(), "the store tells while it is well")
+		Expect(probed).To(BeZero(), "no probes while the store is available")
 		store.set(func() { store.unavailable = true })
 		Eventually(func() time.Duration { return granter.last("u2").LeaseDuration }, longTimeout).Should(Equal(10 * time.Second))
 		Eventually(func() time.Duration { return granter.last("u1").LeaseDuration }, longTimeout).Should(BeNumerically("<", 3*time.Second))
 		Expect(granter.last("u2").LeaseDuration).To(Equal(10 * time.Second))
 	})
 
-	// A grant meets a higher fence though this host keeps. The same fence can never be taken; a new claim
-	// raises it, and the server is not asked with the old one again.
-	It("claims anew after a refusal by a higher fence", func() {
+	// An upstream has seen a higher fence though this host is the keeper. It would refuse the same fence again and
+	// again; a new claim raises the fence.
+	It("claims a new term after a refusal because of a higher fence", func() {
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
 		table, _, _ := store.Current()
@@ -200,9 +200,9 @@
 		Eventually(func() int64 { return granter.last("u1").Fence }, longTimeout).Should(BeNumerically(">", table.Version))
 	})
 
-	// A server turns five times slower. Each host has few answers from it; the keeper takes all hosts' word
-	// and moves keys to the others, which have time for them.
-	It("moves keys from a server that the hosts find slow", func() {
+	// An upstream becomes five times slower. Each host gets few answers from it; the keeper uses the reports of all
+	// hosts and transfers keys to the other upstreams, which have capacity for them.
+	It("transfers keys from an upstream that the hosts report as slow", func() {
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
 		width := func() int {
@@ -216,14 +216,14 @@
 			return width
 		}
 		before := width()
-		work := map[string]time.Duration{"u1": 300 * time.Millisecond, "u2": 60 * time.Millisecond}
+		processingTimes := map[string]time.Duration{"u1": 300 * time.Millisecond, "u2": 60 * time.Millisecond}
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
-		asked := keeper
+		running := keeper
 		go func() {
 			for key := 0; ctx.Err() == nil; key += 1009 {
 				for _, host := range []string{"host-1", "host-2"} {
-					asked.RecordDemand(share.Demand{Host: host, Service: service, Keys: []int{key % (cherrykeel.MaxKey + 1)}, ProcessingTimes: work})
+					running.RecordDemand(share.Demand{Host: host, Service: service, Keys: []int{key % (cherrykeel.MaxKey + 1)}, ProcessingTimes: processingTimes})
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -231,7 +231,7 @@
 		Eventually(width, longTimeout).Should(BeNumerically("<", before/2))
 	})
 
-	It("resigns so that another may claim", func() {
+	It("resigns so that another host may claim", func() {
 		run()
 		Eventually(store.keeper, longTimeout).Should(Equal(selfName))
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
--- a/grants/hold_test.go
+++ b/grants/hold_test.go
@@ -12,8 +12,8 @@
 	"cherrykeel/spans"
 )
 
-var _ = Describe("holds", func() {
-	const longest = 8 * time.Second
+var _ = Describe("leases", func() {
+	const maxLease = 8 * time.Second
 	var (
 		store   *fakeStore
 		mesh    *fakeMesh
@@ -22,7 +22,7 @@
 	)
 
 	BeforeEach(func() {
-		_, store, mesh, granter, keeper = newKeeper(longest)
+		_, store, mesh, granter, keeper = newKeeper(maxLease)
 	})
 
 	run := func() {
@@ -31,39 +31,39 @@
 		Eventually(granter.count("u2"), longTimeout).Should(BeNumerically(">=", 1))
 	}
 
-	lastHold := func(id string) func() time.Duration {
+	lastLease := func(id string) func() time.Duration {
 		return func() time.Duration { return granter.last(id).LeaseDuration }
 	}
 
-	// The store is away and owners get long holds; it is back, and one short grant is answered before the owner
-	// falls silent. Whether the upstream goes by the longer grant or by the last one, its keys go to another one
-	// only when the longer has passed.
-	DescribeTable("long ones are waited for though a short grant came after them",
+	// An owner gets long leases while the store is unavailable; when it is available again, the owner answers one short
+	// grant and then crashes. Whether upstreams keep the longer lease or the last one, its keys may go to another
+	// upstream only when the longer lease has expired.
+	DescribeTable("that are long must expire before a transfer, even after a later short grant",
 		func(keepsLonger bool) {
 			granter.keepsLonger = keepsLonger
 			run()
 			store.set(func() { store.unavailable = true })
-			Eventually(lastHold("u2"), longTimeout).Should(Equal(longest))
+			Eventually(lastLease("u2"), longTimeout).Should(Equal(maxLease))
 			store.set(func() { store.unavailable = false })
-			Eventually(lastHold("u2"), longTimeout).Should(BeNumerically("<", longest))
+			Eventually(lastLease("u2"), longTimeout).Should(BeNumerically("<", maxLease))
 			granter.set(func() { granter.unresponsive["u2"] = true })
 			Eventually(store.ownerOf(cherrykeel.MaxKey), longTimeout).Should(Equal("u1"))
 			Eventually(func() int { return granter.last("u1").Span.Last }, longTimeout).Should(Equal(cherrykeel.MaxKey))
 		},
-		Entry("upstreams keep the longer of two holds", true),
-		Entry("upstreams go by the last grant", false),
+		Entry("upstreams keep the longer of two leases", true),
+		Entry("the last grant counts for upstreams", false),
 	)
 
-	// The store does not serve this keeper but another host, which takes over a second later. Long holds would
-	// only delay the keys of owners that are lost.
-	It("stay short while another host has the store", func() {
+	// The store is unavailable to this keeper but not to another host, which takes over a second later. Long leases
+	// would only delay the transfer of the keys of owners that become unavailable.
+	It("stay short while the store is available to another host", func() {
 		mesh.reportFrom(store, 3, "host-2", "host-3")
 		run()
 		store.set(func() { store.unavailable = true })
-		Consistently(lastHold("u1"), "2s").Should(BeNumerically("<", longest))
+		Consistently(lastLease("u1"), "2s").Should(BeNumerically("<", maxLease))
 	})
 
-	It("stay short when the store is away for a moment", func() {
+	It("stay short when the store is unavailable for a moment", func() {
 		run()
 		for range 3 {
 			store.set(func() { store.unavailable = true })
@@ -71,12 +71,12 @@
 			store.set(func() { store.unavailable = false })
 			time.Sleep(100 * time.Millisecond)
 		}
-		Expect(granter.last("u1").LeaseDuration).To(BeNumerically("<", longest))
+		Expect(granter.last("u1").LeaseDuration).To(BeNumerically("<", maxLease))
 	})
 
-	// An upstream forgets its rested connections, so that the grants of two of its spans end at once. It lives
-	// and takes the next grants; called lost, it would be without its keys for 5 s.
-	It("are renewed for an upstream whose grants were reset in one moment", func() {
+	// An upstream drops its idle connections, so that the grants of two of its spans fail at the same time. It is
+	// running and accepts the next grants; if it counted as unavailable, it would be without its keys for 5 s.
+	It("are renewed for an upstream whose grants were reset at the same time", func() {
 		store.table = spans.Table{Version: 0, Term: 0, Keeper: "host-2", Incarnation: "", Services: map[string][]spans.Owned{service: {
 			{First: 0, Last: 29999, Owner: "u1", Address: "u1"},
 			{First: 30000, Last: 49999, Owner: "u2", Address: "u2"},
@@ -90,9 +90,9 @@
 		Expect(store.ownerOf(cherrykeel.MaxKey)()).To(Equal("u2"))
 	})
 
-	// An owner that has said that it leaves has departed, and starts again under its ID. It may be granted keys, though
-	// this term's keeper has told all hosts that it gets none any more: in a new term.
-	It("are granted to the next life of an owner that had departed", func() {
+	// An owner that has announced that it leaves has departed, and starts again under its ID. This term's keeper has
+	// reported to all hosts that it gets no more grants in the term, so it may be granted keys only in a new term.
+	It("are granted to the next incarnation of a departed owner", func() {
 		store.set(func() { store.upstreams[0].StartedAt = 100 })
 		run()
 		granter.set(func() { granter.leaving = map[string]bool{"u1": true} })
@@ -110,9 +110,9 @@
 		Expect(granter.last("u1").Fence).To(BeNumerically(">=", after.Term))
 	})
 
-	// An owner crashes and starts again. Its entry says that it was born later; its keys come to it at once under a
-	// higher fence, while another upstream would have to wait for the hold of its earlier life.
-	It("are granted anew to an owner that has started again", func() {
+	// An owner crashes and starts again. Its entry has a later start time, so its keys are granted to it at once under
+	// a higher fence, while another upstream would have to wait until the lease of the earlier incarnation has expired.
+	It("are granted again to an owner that has started again", func() {
 		store.set(func() { store.upstreams[1].StartedAt = 100 })
 		run()
 		fence := granter.last("u2").Fence
@@ -122,31 +122,32 @@
 		Expect(store.ownerOf(cherrykeel.MaxKey)()).To(Equal("u2"))
 	})
 
-	// A request takes 2 s of an upstream whose work takes 0.7 s in the mean. An upstream ends work that outlasts the
-	// hold which was in force when it began, so the hold of each owner is long enough for its own work; that of one
-	// whose work is short is no longer than it has to be when the owner is lost.
-	It("are long enough for the work of their owner, also while it leaves", func() {
+	// A request takes 2 s at an upstream whose mean processing time is 0.7 s. An upstream fails requests that run
+	// longer than the lease that was in force at their start, so each owner's lease must be long enough for its
+	// processing times, and no longer than that, since it delays the transfer of its keys if the owner becomes
+	// unavailable.
+	It("are long enough for the processing times of their owner, also while it leaves", func() {
 		run()
-		tell := func(work time.Duration) {
-			times := map[string]time.Duration{"u1": work, "u2": work}
+		report := func(processingTime time.Duration) {
+			times := map[string]time.Duration{"u1": processingTime, "u2": processingTime}
 			keeper.RecordDemand(share.Demand{Host: "host-1", Service: service, Keys: []int{1}, ProcessingTimes: times})
 		}
-		tell(60 * time.Millisecond)
-		Consistently(lastHold("u2"), "700ms").Should(Equal(2500 * time.Millisecond))
-		tell(9 * time.Second)
-		Eventually(lastHold("u2"), longTimeout).Should(Equal(longest))
-		tell(700 * time.Millisecond)
-		Eventually(lastHold("u2"), longTimeout).Should(Equal(3500 * time.Millisecond))
+		report(60 * time.Millisecond)
+		Consistently(lastLease("u2"), "700ms").Should(Equal(2500 * time.Millisecond))
+		report(9 * time.Second)
+		Eventually(lastLease("u2"), longTimeout).Should(Equal(maxLease))
+		report(700 * time.Millisecond)
+		Eventually(lastLease("u2"), longTimeout).Should(Equal(3500 * time.Millisecond))
 		granter.finishWork = make(chan struct{})
 		store.set(func() { store.upstreams[1].Leaving = true })
-		Consistently(store.ownerOf(cherrykeel.MaxKey), "2800ms").Should(Equal("u2"), "its work may take as long as its hold")
+		Consistently(store.ownerOf(cherrykeel.MaxKey), "2800ms").Should(Equal("u2"), "its requests may run as long as its lease")
 		close(granter.finishWork)
 		Eventually(store.ownerOf(cherrykeel.MaxKey), longTimeout).Should(Equal("u1"))
 	})
 
-	// The answer to a release is lost. Asked again, the upstream answers at once; not asked, its keys would have
-	// no owner until the hold has passed.
-	It("end with a release that is repeated when its answer was lost", func() {
+	// The answer to a release is lost. If the release is repeated, the upstream answers at once; otherwise its keys
+	// would have no owner until the lease has expired.
+	It("end with a release that is repeated if its answer was lost", func() {
 		granter.lostReleaseAnswers = 2
 		run()
 		store.set(func() { store.upstreams[1].Leaving = true })
--- a/grants/keeper_test.go
+++ b/grants/keeper_test.go
@@ -12,26 +12,26 @@
 	"cherrykeel/grants"
 )
 
-// newKeeper returns a keeper among fakes; when the spec has ended no key may have had two owners.
-func newKeeper(longest time.Duration) (*shiftedClock, *fakeStore, *fakeMesh, *fakeGranter, *grants.Keeper) {
+// newKeeper returns a keeper with fakes; at the end of the spec it checks that no key has had two owners.
+func newKeeper(maxLease time.Duration) (*shiftedClock, *fakeStore, *fakeMesh, *fakeGranter, *grants.Keeper) {
 	clock := &shiftedClock{}
 	store := newFakeStore("u1", "u2")
 	mesh := &fakeMesh{clock: clock, hostCount: 1}
 	granter := newFakeGranter()
-	bounds := func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: longest} }
+	bounds := func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: maxLease} }
 	keeper := grants.New(cherrykeel.Peer{Name: selfName, Incarnation: "life-" + selfName}, clock, zap.NewNop(), store, "table", store, store, mesh, granter, bounds)
 	DeferCleanup(func() { Expect(granter.overlaps).To(BeZero(), "a key had two owners") })
 	return clock, store, mesh, granter, keeper
 }
 
-// runKeeper runs a keeper until the spec has ended.
+// runKeeper runs a keeper until the end of the spec.
 func runKeeper(keeper *grants.Keeper) {
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	go keeper.Run(ctx)
 }
 
-// ownerOf returns who has a key by the store's table.
+// ownerOf returns a function that returns the owner of a key in the store's table.
 func (store *fakeStore) ownerOf(key int) func() string {
 	return func() string {
 		table, _, _ := store.Current()
--- a/grants/lives_test.go
+++ b/grants/lives_test.go
@@ -13,17 +13,17 @@
 	"cherrykeel/spans"
 )
 
-// restartedEnvironment lists u1 in a life of its.
+// restartedEnvironment lists u1 with a start time that the spec sets.
 type restartedEnvironment struct {
 	smallEnvironment
 	born int64
 }
 
-func (world *restartedEnvironment) Upstreams() []cherrykeel.Upstream {
-	return []cherrykeel.Upstream{{ID: "u1", Service: "halls", Address: "u1", Slots: 3, StartedAt: world.born}}
+func (environment *restartedEnvironment) Upstreams() []cherrykeel.Upstream {
+	return []cherrykeel.Upstream{{ID: "u1", Service: "halls", Address: "u1", Slots: 3, StartedAt: environment.born}}
 }
 
-// refusingGranter refuses connections to all but the second life.
+// refusingGranter refuses connections except to the second incarnation.
 type refusingGranter struct {
 	hungGranter
 	second int
@@ -37,14 +37,14 @@
 	return nil
 }
 
-var _ = Describe("the next life of an owner", func() {
-	// An owner starts again, and the table that names its new life is under way for 0.3 s. Meanwhile the known table's
-	// grants go on to the earlier life, which refuses connections: two misses, noted of the ID. The next life counts
-	// as lost, and when the table is there it is granted nothing for 5 s; nobody has its keys.
-	It("does not count as lost for grants that went to the one before", func() {
+var _ = Describe("the next incarnation of an owner", func() {
+	// An owner starts again, and the table that names its new incarnation arrives 0.3 s later. Until then the known
+	// table's grants go to the earlier incarnation, which refuses connections. If these two misses counted for the new
+	// incarnation too, it would count as unavailable for 5 s, and its keys would have no owner.
+	It("does not count as unavailable because of grants to the earlier one", func() {
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		world, granter := &restartedEnvironment{born: 1}, &refusingGranter{}
-		keeper := newSteppedKeeper("host-1", clock, nil, world, granter)
+		environment, granter := &restartedEnvironment{born: 1}, &refusingGranter{}
+		keeper := newSteppedKeeper("host-1", clock, nil, environment, granter)
 		owned := spans.Owned{First: 0, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", StartedAt: 1, Fence: 4}
 		renew := func() {
 			table := spans.Table{Version: 4, Term: 1, Services: map[string][]spans.Owned{"halls": {owned}}}
@@ -54,7 +54,7 @@
 			clock.Advance(200 * time.Millisecond)
 		}
 		keeper.recordIncarnations()
-		world.born = 2
+		environment.born = 2
 		renew()
 		renew()
 		owned.StartedAt, owned.Fence = 2, 5
--- a/grants/order_test.go
+++ b/grants/order_test.go
@@ -13,7 +13,7 @@
 	"cherrykeel/spans"
 )
 
-// lateGranter is an upstream that grants reach at the end of their time and whose answers are lost; its releases wait.
+// lateGranter is an upstream that grants reach only at their timeout and whose answers are lost; its releases wait.
 type lateGranter struct {
 	clock    cherrykeel.Clock
 	arrivals chan cherrykeel.Instant
@@ -54,10 +54,10 @@
 		key = spans.GrantedSpan{Service: service, Owner: owner, Span: cherrykeel.KeySpan{First: 0, Last: 99}, Fence: 4}
 	})
 
-	// All workers are busy for 400 ms. The grant that waited for one reaches its upstream at the end of its time, and
-	// the answer is lost. The keys are given on when the keeper counts the hold as passed; if it counts from too
-	// early, the upstream goes on working on them beside the next owner.
-	It("are counted until the hold of the latest arrival has passed", func() {
+	// All workers are busy for 400 ms. The grant that waited for one reaches its upstream at its timeout, and the
+	// answer is lost. If the keeper counted the lease from too early, it would transfer the keys while the upstream
+	// still processes requests for them.
+	It("count until the lease of the latest possible arrival has expired", func() {
 		busy := make(chan struct{})
 		keeper.workers.grants = pond.NewPool(1)
 		keeper.workers.grants.Submit(func() { <-busy })
@@ -69,9 +69,9 @@
 		Expect(keeper.ledger.FreeAt(service, "", key.Span)).To(BeNumerically(">=", spans.LatestLeaseEnd(arrived, keeper.shortLease())))
 	})
 
-	// The workers are busy for longer than a grant may wait, so nothing is sent to the upstream. It lives; called
-	// lost after two such grants, it would be without its keys for 5 s.
-	It("say nothing about the upstream when they were not sent", func() {
+	// The workers are busy for longer than a grant may wait, so nothing is sent to the upstream. It is running; if it
+	// counted as unavailable after two such grants, it would be without its keys for 5 s.
+	It("are no evidence against the upstream if they were not sent", func() {
 		busy := make(chan struct{})
 		keeper.workers.grants = pond.NewPool(1)
 		keeper.workers.grants.Submit(func() { <-busy })
@@ -83,9 +83,9 @@
 		Expect(keeper.contact(owner).misses).To(BeZero())
 	})
 
-	// Sixty-four owners leave at once, and their releases wait for work that runs. The other owners' grants must go
-	// out meanwhile: their holds are shorter than the longest work.
-	It("are not held up by releases that wait for running work", func() {
+	// Sixty-four owners leave at once, and their releases wait for running requests. The grants to the other owners
+	// must be sent in the meantime, because their leases are shorter than the longest requests.
+	It("are not delayed by releases that wait for running requests", func() {
 		for first := range maxCalls {
 			owned := spans.Owned{First: first, Last: first, Owner: "u2", Fence: 1}
 			keeper.releaseSpan(context.Background(), spans.GrantedSpan{Service: service, Owner: "u2", Span: owned.Span(), Fence: 2}, owned, clock.Now())
--- a/grants/overtaken_test.go
+++ b/grants/overtaken_test.go
@@ -43,11 +43,11 @@
 }
 
 var _ = Describe("grants that a release has overtaken", func() {
-	// The workers for grants are busy for 200 ms, since many upstreams do not answer. A renewal waits there while its
-	// span begins to move; the release has workers of its own and arrives first. The upstream refuses the renewal for
-	// the release's fence. Taken for another keeper's, that refusal makes this one claim anew, and for 12 s no key
-	// of an owner that is lost is given on.
-	It("do not make the keeper claim anew", func() {
+	// The workers for grants are busy for 200 ms because many upstreams don't answer. A renewal waits there while its
+	// span starts to move; the release has its own workers and arrives first. The upstream refuses the renewal because
+	// of the release's fence. If the keeper took that for another keeper's fence, it would claim a new term, and could
+	// transfer no key of an unavailable owner for 12 s.
+	It("do not make the keeper claim a new term", func() {
 		const service = "halls"
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		log := &unansweredLog{values: make(chan []byte, 1)}
--- a/grants/phases_test.go
+++ b/grants/phases_test.go
@@ -13,7 +13,7 @@
 	"cherrykeel/spans"
 )
 
-// hungGranter is an upstream that lives and whose kept connections hang: the grants on these end unanswered.
+// hungGranter is a running upstream whose existing connections hang: grants that use them are not answered.
 type hungGranter struct {
 	hung   map[int]chan struct{}
 	arrive chan int
@@ -38,10 +38,10 @@
 }
 
 var _ = Describe("an owner of two spans that are renewed 0.2 s apart", func() {
-	// Its two kept connections hang, and it answers on new ones. The first span's renewal goes unanswered at 0.6 s. The
-	// next try would be answered at once, but waits for the second span's renewal, which ends unanswered 0.2 s
-	// later: two misses, and an owner that lives counts as lost for 5 s, while its hold runs out.
-	It("is asked again on a new connection before it counts as lost", func() {
+	// The owner's two connections hang, and it answers on new ones. The first span's renewal times out after 0.6 s. The
+	// next attempt would be answered at once; if it waited for the second span's renewal, which times out 0.2 s later,
+	// there would be two misses, and a running owner would count as unavailable for 5 s while its lease expires.
+	It("gets another grant on a new connection before it counts as unavailable", func() {
 		const service = "halls"
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		granter := &hungGranter{hung: map[int]chan struct{}{}, arrive: make(chan int, 4)}
--- a/grants/standin_test.go
+++ b/grants/standin_test.go
@@ -13,7 +13,7 @@
 	"cherrykeel/spans"
 )
 
-// unansweredLog is a store that answers no write; it may carry them out later.
+// unansweredLog is a store that answers no write; the writes may be carried out later.
 type unansweredLog struct {
 	cherrykeel.KeyedLog
 	values chan []byte
@@ -48,13 +48,13 @@
 func (smallEnvironment) ApplyOwnWrite([]byte, int64)                          {}
 func (smallEnvironment) IsCorrupt() bool                                      { return false }
 
-// newSteppedKeeper returns a keeper whose clock and results the spec drives itself.
-func newSteppedKeeper(name string, clock cherrykeel.Clock, log cherrykeel.KeyedLog, world Environment, granter cherrykeel.SpanGranter) *Keeper {
+// newSteppedKeeper returns a keeper whose clock and results the spec controls.
+func newSteppedKeeper(name string, clock cherrykeel.Clock, log cherrykeel.KeyedLog, environment Environment, granter cherrykeel.SpanGranter) *Keeper {
 	bounds := func() cherrykeel.Bounds { return cherrykeel.Bounds{MaxLeaseDuration: 10 * time.Second} }
-	return New(cherrykeel.Peer{Name: name, Incarnation: "life"}, clock, zap.NewNop(), log, "table", smallEnvironment{}, world, smallEnvironment{}, granter, bounds)
+	return New(cherrykeel.Peer{Name: name, Incarnation: "life"}, clock, zap.NewNop(), log, "table", smallEnvironment{}, environment, smallEnvironment{}, granter, bounds)
 }
 
-// processResult takes the next result of an order or a write.
+// processResult runs the next result of an order or a write, as the keeper's goroutine would.
 func processResult(keeper *Keeper) {
 	var result func(cherrykeel.Instant)
 	Eventually(keeper.results, "20s").Should(Receive(&result))
--- a/grants/successor_test.go
+++ b/grants/successor_test.go
@@ -14,7 +14,7 @@
 	"cherrykeel/spans"
 )
 
-// countingGranter notes until when each upstream holds its keys, and whether two ever hold them at once.
+// countingGranter records until when each upstream holds its keys, and for how long two of them hold keys at once.
 type countingGranter struct {
 	clock   cherrykeel.Clock
 	mutex   sync.Mutex
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// isGrantedSoon waits for a second at the most for an upstream to be granted keys, and reports whether it was.
+// isGrantedSoon waits for up to one second for an upstream to be granted keys, and reports whether it was.
 func (granter *countingGranter) isGrantedSoon(id string) bool {
 	for range 100 {
 		granter.mutex.Lock()
@@ -61,11 +61,12 @@
 	const service = "halls"
 	whole := cherrykeel.KeySpan{First: 0, Last: cherrykeel.MaxKey}
 
-	// An owner is silent for some seconds and its hold passes. The keeper writes that its keys go to another one, and
-	// the store does not answer. The owner is tried again 5 s after it was lost, answers, and holds its keys under the
-	// old table. Then the store carries the write out, and the keeper ends. The table that its successor reads names
-	// the next owner only, who gets the keys at once beside the first one.
-	It("does not give keys to whom an open write has named while the owner before was granted them again", func() {
+	// An owner does not answer for some seconds and its lease expires. The keeper writes a table that transfers its
+	// keys, and the store does not answer. 5 s after it became unavailable the owner is granted its keys again,
+	// answers, and holds them under the old table. Then the store carries out the write, and the keeper stops. The
+	// table that its successor reads names only the next owner, which would be granted the keys while the first one
+	// holds them.
+	It("does not grant keys by an unconfirmed write whose previous owner was granted them again", func() {
 		ctx := context.Background()
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
 		granter := &countingGranter{clock: clock, until: map[string]cherrykeel.Instant{}}
@@ -98,10 +99,10 @@
 		}
 
 		clock.Advance(time.Second)
-		given, err := spans.Decode(written, 2)
+		transferred, err := spans.Decode(written, 2)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(given.Services[service][0].Owner).To(Equal("u2"))
-		claimed := given.ClaimedBy("host-2", "life", 3)
+		Expect(transferred.Services[service][0].Owner).To(Equal("u2"))
+		claimed := transferred.ClaimedBy("host-2", "life", 3)
 		second := newSteppedKeeper("host-2", clock, log, smallEnvironment{}, granter)
 		second.enterTerm(claimed, clock.Now())
 		second.renewGrants(ctx, claimed, clock.Now())
@@ -109,6 +110,6 @@
 			granter.mutex.Lock()
 			defer granter.mutex.Unlock()
 			return granter.overlap
-		}, "500ms").Should(BeZero(), "two upstreams hold the keys for that long")
+		}, "500ms").Should(BeZero(), "time for which two upstreams hold the keys")
 	})
 })
