--- a/member/doc.go
+++ b/member/doc.go
@@ -1,4 +1,4 @@
-// Package member decides which entry hosts and upstreams are there, from the
-// platform's lagging list, what peers say, and this host's own traffic, none
-// of them believed alone. It is pure.
+// Package member decides which entry hosts and upstreams are available. It combines the platform's list, which may be
+// out of date, the reports of peers, and the results of this host's own requests, and trusts none of them alone. It is
+// a pure package: time and input are arguments.
 package member
--- a/member/health.go
+++ b/member/health.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// failuresToEject is how many attempts in a row must fail before an upstream is passed over.
+	// failuresToEject is the number of consecutive failed attempts after which an upstream is ejected, that is, gets no
+	// requests for a while.
 	failuresToEject = 3
 	firstEjection   = time.Second
 	maxEjection     = 30 * time.Second
 	// warmupTime is how long an upstream that has joined or come back takes to get its full share.
 	warmupTime = 10 * time.Second
-	// maxDrainingAge is how long an upstream's own word that it is draining counts.
+	// maxDrainingAge is how long an upstream's announcement that it is draining counts.
 	maxDrainingAge = 10 * time.Second
-	// shedWeight is the weight of the newest request in the share that is shed.
+	// shedWeight is the weight of the newest request in the moving average of shed requests.
 	shedWeight = 0.1
 )
 
-// Health is what this host's own requests show of one upstream.
+// Health is the state of one upstream as the results of this host's own requests show it.
 type Health struct {
 	failures     int
 	ejections    int
@@ -28,11 +29,11 @@
 	warmSince    cherrykeel.Instant
 	drainedAt    cherrykeel.Instant
 	draining     bool
-	// shed is the running share of requests that the upstream refused for want of room.
+	// shed is the moving average of the share of requests that the upstream refused because it was overloaded.
 	shed float64
 }
 
-// NewHealth returns the health of an upstream first seen at an instant; one known from the start is warm.
+// NewHealth returns the health of an upstream that is first seen at now; a warm one needs no warm-up.
 func NewHealth(now cherrykeel.Instant, warm bool) *Health {
 	health := &Health{warmSince: now}
 	if warm {
@@ -41,7 +42,7 @@
 	return health
 }
 
-// RecordSuccess takes in an answer.
+// RecordSuccess records an answer.
 func (health *Health) RecordSuccess(now cherrykeel.Instant) {
 	if health.ejections > 0 && health.probing {
 		health.warmSince = now
@@ -52,15 +53,15 @@
 	health.shed -= shedWeight * health.shed
 }
 
-// RecordShed takes in that the upstream refused a request for want of room. Whatever load it
-// reports, it gets less from now on: a lying upstream that claims to be idle and sheds would
-// otherwise draw the most requests, since refusals leave the fewest in flight.
+// RecordShed records that the upstream refused a request because it was overloaded. It gets fewer requests from now on,
+// whatever load it reports: otherwise an upstream that sheds but reports that it is idle would attract the most
+// requests, since refusals leave the fewest in flight.
 func (health *Health) RecordShed() {
 	health.shed += shedWeight * (1 - health.shed)
 	health.probing = false
 }
 
-// RecordFailure takes in an attempt that got no answer; it ejects the upstream after several in a row.
+// RecordFailure records an attempt without an answer; after several in a row the upstream is ejected.
 func (health *Health) RecordFailure(now cherrykeel.Instant) {
 	health.failures++
 	if health.failures < failuresToEject && !health.probing {
@@ -72,21 +73,22 @@
 	health.ejectedUntil = now.Add(min(pause, maxEjection))
 }
 
-// RecordInconclusive takes in that an attempt ended without showing anything, as when its caller went away. The next request is the probe
-// then: without it an upstream whose probe ended so got nothing any more, while the service had others.
+// RecordInconclusive records an attempt whose end shows nothing, for instance because its caller has disconnected. The
+// next request is the probe then: otherwise an upstream with such a probe would get no more requests while the service
+// had other upstreams.
 func (health *Health) RecordInconclusive() {
 	health.probing = false
 }
 
-// RecordDraining takes in the upstream's own word that it takes no new work.
+// RecordDraining records the upstream's announcement that it accepts no new requests.
 func (health *Health) RecordDraining(now cherrykeel.Instant) {
 	health.draining = true
 	health.probing = false
 	health.drainedAt = now
 }
 
-// IsUsable reports whether a request may go to the upstream. When an ejection ends, one
-// request goes first as a probe: a probe of our own would cost several times as much.
+// IsUsable reports whether a request may be sent to the upstream. When an ejection ends, one request is sent first as a
+// probe; a separate probe request would cost several times as much.
 func (health *Health) IsUsable(now cherrykeel.Instant) bool {
 	if health.IsDraining(now) {
 		return false
@@ -97,12 +99,12 @@
 	return now >= health.ejectedUntil && !health.probing
 }
 
-// IsDraining reports whether the upstream has said of late that it takes no new work.
+// IsDraining reports whether the upstream has recently announced that it accepts no new requests.
 func (health *Health) IsDraining(now cherrykeel.Instant) bool {
 	return health.draining && now.Sub(health.drainedAt) < maxDrainingAge
 }
 
-// RecordAttempt notes that a request goes to the upstream.
+// RecordAttempt records that a request is sent to the upstream.
 func (health *Health) RecordAttempt() {
 	if health.ejections > 0 {
 		health.probing = true
@@ -114,7 +116,8 @@
 	return health.ejections > 0
 }
 
-// Weight goes from 0, for an upstream that has just come or sheds all, to 1.
+// Weight returns the share of its usual load that the upstream should get: from 0, if it has just joined or sheds all
+// requests, to 1.
 func (health *Health) Weight(now cherrykeel.Instant) float64 {
 	warmth := min(1, float64(now.Sub(health.warmSince))/float64(warmupTime))
 	return warmth * (1 - health.shed)
--- a/member/roster.go
+++ b/member/roster.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// goneAfter is how long a host must be off the list to count as destroyed.
+	// goneAfter is how long a host must be absent from the list to count as gone.
 	goneAfter = 10 * time.Second
-	// neighbourCount is how many peers a host tells how it fares.
+	// neighbourCount is the number of peers to which a host sends its reports.
 	neighbourCount = 8
-	// maxReportAge is how long a peer's word counts.
+	// maxReportAge is the maximum age of a peer's report that counts.
 	maxReportAge = 5 * time.Second
 )
 
@@ -25,16 +25,16 @@
 	Inner   string
 	Admin   string
 	Leaving bool
-	// ReceivedAt is when the peer itself last spoke to this host, or 0.
+	// ReceivedAt is when this host received the peer's last report, or 0.
 	ReceivedAt cherrykeel.Instant
 	Next       int64
 	Chain      uint64
-	// Version is the settings version in force on the peer.
+	// Version is the version of the settings in force on the peer.
 	Version      int64
 	LogAvailable bool
 }
 
-// PeerReport is what a peer says of itself and of upstreams.
+// PeerReport is a peer's report on itself and on upstreams.
 type PeerReport struct {
 	Host         string
 	Leaving      bool
@@ -43,7 +43,7 @@
 	Version      int64
 	LogAvailable bool
 	Unreachable  []string
-	// Refusing are upstreams that told the host that they take no new work.
+	// Refusing lists the upstreams that have announced to the peer that they accept no new requests.
 	Refusing []string
 }
 
@@ -52,18 +52,18 @@
 	receivedAt cherrykeel.Instant
 }
 
-// Roster is one host's view of all hosts. It is not safe for use by several goroutines.
+// Roster is one host's view of all hosts. It is not safe for concurrent use.
 type Roster struct {
 	self       string
 	members    map[string]cherrykeel.Member
 	lastListed map[string]cherrykeel.Instant
 	reports    map[string]receivedReport
 	listedAt   cherrykeel.Instant
-	// upstreams remembers every upstream that the list has ever shown.
+	// upstreams has every upstream that has ever been on the list.
 	upstreams map[string]bool
 }
 
-// NewRoster returns a roster that knows only the host itself.
+// NewRoster returns a roster that contains only the host itself.
 func NewRoster(self cherrykeel.Member) *Roster {
 	return &Roster{
 		self:       self.Name,
@@ -74,7 +74,7 @@
 	}
 }
 
-// ApplyList takes in the platform's list.
+// ApplyList applies the platform's list.
 func (roster *Roster) ApplyList(members []cherrykeel.Member, now cherrykeel.Instant) {
 	own := roster.members[roster.self]
 	roster.members = map[string]cherrykeel.Member{roster.self: own}
@@ -90,9 +90,9 @@
 	roster.listedAt = now
 }
 
-// RecordReport takes in a peer's word.
-func (roster *Roster) RecordReport(word PeerReport, now cherrykeel.Instant) {
-	roster.reports[word.Host] = receivedReport{report: word, receivedAt: now}
+// RecordReport records a peer's report.
+func (roster *Roster) RecordReport(report PeerReport, now cherrykeel.Instant) {
+	roster.reports[report.Host] = receivedReport{report: report, receivedAt: now}
 }
 
 // SetLeaving marks this host itself as leaving.
@@ -102,7 +102,7 @@
 	roster.members[roster.self] = own
 }
 
-// Peers returns the entry hosts on the list, this one included, by name.
+// Peers returns the entry hosts on the list, including this one, sorted by name.
 func (roster *Roster) Peers() []Peer {
 	var peers []Peer
 	for _, member := range roster.members {
@@ -110,13 +110,13 @@
 			continue
 		}
 		peer := Peer{Name: member.Name, Zone: member.Zone, Inner: member.InternalAddress, Admin: member.AdminAddress, Leaving: member.Leaving}
-		if said, known := roster.reports[member.Name]; known {
-			peer.ReceivedAt = said.receivedAt
-			peer.Leaving = peer.Leaving || said.report.Leaving
-			peer.Next = said.report.Next
-			peer.Chain = said.report.Chain
-			peer.Version = said.report.Version
-			peer.LogAvailable = said.report.LogAvailable
+		if received, known := roster.reports[member.Name]; known {
+			peer.ReceivedAt = received.receivedAt
+			peer.Leaving = peer.Leaving || received.report.Leaving
+			peer.Next = received.report.Next
+			peer.Chain = received.report.Chain
+			peer.Version = received.report.Version
+			peer.LogAvailable = received.report.LogAvailable
 		}
 		peers = append(peers, peer)
 	}
@@ -124,7 +124,7 @@
 	return peers
 }
 
-// Gone returns hosts that were on the list once and have been off it for long, while the list itself was fresh.
+// Gone returns the hosts that were on the list once and were then absent for long from lists that were read meanwhile.
 func (roster *Roster) Gone() map[string]bool {
 	gone := map[string]bool{}
 	for name, seen := range roster.lastListed {
@@ -135,7 +135,7 @@
 	return gone
 }
 
-// HasLeft reports whether an upstream is marked as leaving on the list, or has vanished from it.
+// HasLeft reports whether an upstream is marked as leaving on the list or has disappeared from it.
 func (roster *Roster) HasLeft(upstream string) bool {
 	member, present := roster.members[upstream]
 	if present {
@@ -144,17 +144,17 @@
 	return roster.upstreams[upstream]
 }
 
-// IsDown reports whether most of the hosts that have spoken of late, this one included, cannot reach an upstream.
-// One host's bad view moves nothing.
+// IsDown reports whether more than half of the hosts with recent reports, including this one, cannot reach an upstream.
+// The failures of a single host have no effect.
 func (roster *Roster) IsDown(service, upstream string, now cherrykeel.Instant) bool {
 	name := service + " " + upstream
 	votes, voters := 0, 0
-	for _, said := range roster.reports {
-		if now.Sub(said.receivedAt) > maxReportAge {
+	for _, received := range roster.reports {
+		if now.Sub(received.receivedAt) > maxReportAge {
 			continue
 		}
 		voters++
-		for _, unreachable := range said.report.Unreachable {
+		for _, unreachable := range received.report.Unreachable {
 			if unreachable == name {
 				votes++
 			}
@@ -163,15 +163,15 @@
 	return 2*votes > voters
 }
 
-// IsRefusing reports whether an upstream has told any host of late that it takes no new work.
-// Unlike silence, this is the upstream's own word, so one host that got it is enough.
+// IsRefusing reports whether an upstream has recently announced to any host that it accepts no new requests. Unlike a
+// missing answer, this comes from the upstream itself, so the report of one host is enough.
 func (roster *Roster) IsRefusing(service, upstream string, now cherrykeel.Instant) bool {
 	name := service + " " + upstream
-	for _, said := range roster.reports {
-		if now.Sub(said.receivedAt) > maxReportAge {
+	for _, received := range roster.reports {
+		if now.Sub(received.receivedAt) > maxReportAge {
 			continue
 		}
-		for _, refusing := range said.report.Refusing {
+		for _, refusing := range received.report.Refusing {
 			if refusing == name {
 				return true
 			}
@@ -180,9 +180,9 @@
 	return false
 }
 
-// Neighbours returns the peers that this host tells how it fares: the next few on a ring
-// in which all hosts stand in order of a hash of their names. Each host so speaks to, and
-// hears from, the same small number of others, however many there are.
+// Neighbours returns the peers to which this host sends its reports: the next few on a ring of all hosts that is
+// ordered by a hash of their names. So each host sends to, and receives from, the same small number of others, however
+// many hosts there are.
 func Neighbours(self string, names []string) []string {
 	ring := append([]string(nil), names...)
 	sort.Slice(ring, func(i, j int) bool {
