--- a/member/member_test.go
+++ b/member/member_test.go
@@ -24,18 +24,18 @@
 }
 
 var _ = Describe("a roster", func() {
-	It("takes an upstream for down only when most hosts say so", func() {
+	It("considers an upstream as down only if most hosts report it", func() {
 		roster := member.NewRoster(entry("a"))
 		for i, unreachable := range [][]string{{"s up"}, {}, {}} {
 			roster.RecordReport(member.PeerReport{Host: fmt.Sprint(i), Unreachable: unreachable}, oneSecond)
 		}
-		Expect(roster.IsDown("s", "up", oneSecond)).To(BeFalse(), "one host's bad view moves nothing")
+		Expect(roster.IsDown("s", "up", oneSecond)).To(BeFalse(), "the failures of a single host have no effect")
 		roster.RecordReport(member.PeerReport{Host: "1", Unreachable: []string{"s up"}}, oneSecond)
 		Expect(roster.IsDown("s", "up", oneSecond)).To(BeTrue())
-		Expect(roster.IsDown("s", "up", 10*oneSecond)).To(BeFalse(), "old words count for nothing")
+		Expect(roster.IsDown("s", "up", 10*oneSecond)).To(BeFalse(), "old reports do not count")
 	})
 
-	It("takes an upstream for leaving by its mark, or when it vanishes, but not when the list never had it", func() {
+	It("considers an upstream as leaving if the list marks it or no longer has it, but not if it never had it", func() {
 		roster := member.NewRoster(entry("a"))
 		up := cherrykeel.Member{Name: "up", Role: cherrykeel.RoleUpstream}
 		Expect(roster.HasLeft("up")).To(BeFalse())
@@ -48,7 +48,7 @@
 		Expect(roster.HasLeft("up")).To(BeTrue())
 	})
 
-	It("takes a host for gone only after long absence from a list that was read meanwhile", func() {
+	It("considers a host as gone only after a long absence from a list that was read meanwhile", func() {
 		roster := member.NewRoster(entry("a"))
 		roster.ApplyList([]cherrykeel.Member{entry("a"), entry("b")}, oneSecond)
 		roster.ApplyList([]cherrykeel.Member{entry("a")}, 5*oneSecond)
@@ -62,24 +62,24 @@
 		for i := range 100 {
 			names = append(names, fmt.Sprint("host-", i))
 		}
-		heard := map[string]int{}
+		receives := map[string]int{}
 		for _, name := range names {
 			neighbours := member.Neighbours(name, names)
 			Expect(neighbours).To(HaveLen(8))
 			Expect(neighbours).NotTo(ContainElement(name))
 			for _, neighbour := range neighbours {
-				heard[neighbour]++
+				receives[neighbour]++
 			}
 		}
 		for _, name := range names {
-			Expect(heard[name]).To(Equal(8))
+			Expect(receives[name]).To(Equal(8))
 		}
 		Expect(member.Neighbours("a", []string{"a", "b"})).To(Equal([]string{"b"}))
 	})
 })
 
 var _ = Describe("an upstream's health", func() {
-	It("passes over an upstream that fails, and tries it again with one request at a time", func() {
+	It("ejects an upstream that fails, and probes it with one request at a time", func() {
 		health := member.NewHealth(0, true)
 		for range 3 {
 			Expect(health.IsUsable(oneSecond)).To(BeTrue())
@@ -89,7 +89,7 @@
 		later := 3 * oneSecond
 		Expect(health.IsUsable(later)).To(BeTrue())
 		health.RecordAttempt()
-		Expect(health.IsUsable(later)).To(BeFalse(), "one probe is on its way")
+		Expect(health.IsUsable(later)).To(BeFalse(), "one probe is under way")
 		health.RecordFailure(later)
 		Expect(health.IsUsable(later+oneSecond)).To(BeFalse(), "the pause has doubled")
 		health.RecordAttempt()
@@ -98,9 +98,9 @@
 		Expect(health.Weight(10*oneSecond)).To(BeNumerically("<", 0.1), "it warms up again")
 	})
 
-	// Guards against an upstream that is passed over for ever, since the one request that was to show whether it is back
-	// showed nothing.
-	DescribeTable("is tried again when a probe showed nothing",
+	// Guards against an upstream that gets no requests any more because the one request that should have shown whether
+	// it is back was inconclusive.
+	DescribeTable("is probed again after an inconclusive probe",
 		func(end func(health *member.Health, now cherrykeel.Instant)) {
 			health := member.NewHealth(0, true)
 			for range 3 {
@@ -114,12 +114,12 @@
 			health.RecordAttempt()
 			Expect(health.IsUsable(now+30*oneSecond)).To(BeFalse(), "one at a time")
 		},
-		Entry("since its caller went away", func(health *member.Health, _ cherrykeel.Instant) { health.RecordInconclusive() }),
-		Entry("since the upstream had no room", func(health *member.Health, _ cherrykeel.Instant) { health.RecordShed() }),
-		Entry("since the upstream was draining", func(health *member.Health, now cherrykeel.Instant) { health.RecordDraining(now) }),
+		Entry("its caller disconnected", func(health *member.Health, _ cherrykeel.Instant) { health.RecordInconclusive() }),
+		Entry("the upstream was overloaded", func(health *member.Health, _ cherrykeel.Instant) { health.RecordShed() }),
+		Entry("the upstream was draining", func(health *member.Health, now cherrykeel.Instant) { health.RecordDraining(now) }),
 	)
 
-	It("lowers an upstream that sheds, whatever load it reports", func() {
+	It("lowers the weight of an upstream that sheds, whatever load it reports", func() {
 		health := member.NewHealth(0, true)
 		for range 50 {
 			health.RecordShed()
