--- a/topo/doc.go
+++ b/topo/doc.go
@@ -1,4 +1,4 @@
-// Package topo decides to whom a host sends its messages, so that they do not
-// grow with the square of the hosts: hosts are divided into groups, the head of
-// a group sums up its members' loads, and a few watchers hear from every host.
+// Package topo decides to which hosts a host sends its messages, so that their number does not grow with the square of
+// the number of hosts: hosts are divided into groups, the aggregator of a group sums the loads of its members, and a
+// few hubs receive the reports of all hosts.
 package topo
--- a/topo/fleet.go
+++ b/topo/fleet.go
@@ -9,19 +9,19 @@
 	"cherrykeel"
 )
 
-// Fleet is the part of the plan that changes only with the hosts there are. Plans are made every 80 ms; with the order
-// and the groups in them each took 0.16 ms for 195 hosts, 2 ms of a core in each second.
+// Fleet is the part of a plan that changes only when the set of hosts changes. Plans are computed every 80 ms; with the
+// order and the groups each would take 0.16 ms for 195 hosts, 2 ms of a core in each second.
 type Fleet struct {
 	self   string
 	names  []string
 	ranks  map[string]int
 	groups map[string][]string
 	labels []string
-	// ownLabel names the group of self.
+	// ownLabel is the label of the group of self.
 	ownLabel string
 }
 
-// NewFleet returns the order and the groups of the hosts, as the host named self sees them; peers include it.
+// NewFleet returns the order and the groups of the hosts for the host named self; peers include it.
 func NewFleet(self string, peers []cherrykeel.Peer) *Fleet {
 	ordered := sortByCapacity(peers)
 	fleet := &Fleet{self: self, ranks: map[string]int{}, groups: divideIntoGroups(ordered)}
@@ -54,19 +54,19 @@
 	return ordered
 }
 
-// divideIntoGroups returns the groups by label, each in the given order; an availability zone is one group, or
-// several of about equal size.
+// divideIntoGroups returns the groups by label, each in the given order; an availability zone is one group, or several
+// of about equal size.
 func divideIntoGroups(ordered []cherrykeel.Peer) map[string][]string {
 	sizes := map[string]int{}
 	for _, peer := range ordered {
 		sizes[peer.Zone]++
 	}
-	dealt := map[string]int{}
+	assigned := map[string]int{}
 	groups := map[string][]string{}
 	for _, peer := range ordered {
-		parts := (sizes[peer.Zone] + maxGroupHosts - 1) / maxGroupHosts
-		label := peer.Zone + "/" + strconv.Itoa(dealt[peer.Zone]%parts)
-		dealt[peer.Zone]++
+		groupCount := (sizes[peer.Zone] + maxGroupHosts - 1) / maxGroupHosts
+		label := peer.Zone + "/" + strconv.Itoa(assigned[peer.Zone]%groupCount)
+		assigned[peer.Zone]++
 		groups[label] = append(groups[label], peer.Name)
 	}
 	return groups
--- a/topo/plan.go
+++ b/topo/plan.go
@@ -5,53 +5,54 @@
 )
 
 const (
-	// MaxFullMeshHosts is up to how many hosts each tells each other one: 12 send some 130 messages in the time in
-	// which 72 would send 5,100, and 72 did not play a quiet day to its end that way.
+	// MaxFullMeshHosts is the largest number of hosts at which each host sends to every other one. 12 hosts send about
+	// 130 messages in the time in which 72 would send 5,100; 72 hosts that did so failed even under light traffic.
 	MaxFullMeshHosts = 12
-	// maxGroupHosts bounds a group. Its head sends one sum to each member about six times a second; 24 sums of
-	// 2 KB are 290 KB/s, a quarter of the smallest link seen, 10 Mbit/s.
+	// maxGroupHosts bounds the size of a group. Its aggregator sends one sum to each member about six times a second;
+	// 24 sums of 2 KB are 290 KB/s, a quarter of the smallest link, 10 Mbit/s.
 	maxGroupHosts = 24
-	// hubCount is how many hosts hear from all. They are spread over the hosts by a hash, so that the loss of
-	// a quarter of them at once takes all four in 1 case of 250; others take their places a second later.
+	// hubCount is the number of hubs. They are spread over the hosts by a hash, so that a failure of a quarter of the
+	// hosts includes all four in 1 case of 250; others replace them a second later.
 	hubCount = 4
-	// maxSumsPerTick bounds how many sums a head sends to other heads in a tick of 80 ms: up to four groups hear of each
-	// other in each one. A request takes 0.1 to 0.5 s, and older counts say little.
+	// maxSumsPerTick bounds the sums that an aggregator sends to other aggregators in a tick of 80 ms: up to four
+	// groups exchange their sums in each tick. A request takes 0.1 to 0.5 s, so older counts are of little use.
 	maxSumsPerTick = 3
-	// maxSumTicks bounds how old counts of other groups become.
+	// maxSumTicks bounds the age of the counts of other groups, in ticks.
 	maxSumTicks = 4
-	// forwardersPerGroup is how many hosts of each group pass on what is told to all, so that neither one that has died
-	// unnoticed nor a lost datagram leaves a group without it.
+	// forwardersPerGroup is the number of hosts of each group that forward announcements to it. With two, neither an
+	// undetected crash nor a lost datagram leaves a group without an announcement.
 	forwardersPerGroup = 2
-	// maxHubs bounds them with those whom the store does not serve. While it serves nobody, each that said so was
-	// followed by the next one, and in 3 s of an outage dozens of 195 hosts told all others; of twelve that are spread
-	// over the hosts one is served unless nearly nobody is.
+	// maxHubs bounds the hubs including those to which the store is unavailable. Without it, while the store serves no
+	// host, each hub that reports this adds the next host as a hub: within 3 s of an outage dozens of 195 hosts sent to
+	// all others. Of twelve hubs that are spread over the hosts, the store serves at least one unless it serves almost
+	// no host.
 	maxHubs = 3 * hubCount
 )
 
-// View is what a host knows of the others' state.
+// View is what a host knows of the state of the other hosts.
 type View interface {
-	// IsUnreachable reports whether a host should have been heard and has not.
+	// IsUnreachable reports whether an expected report of a host is missing.
 	IsUnreachable(name string) bool
-	// IsStoreUnreachable reports whether a host says that the store does not serve it.
+	// IsStoreUnreachable reports whether a host reports that the store is unavailable to it.
 	IsStoreUnreachable(name string) bool
 }
 
-// Plan says to whom one host sends.
+// Plan determines to which hosts one host sends.
 type Plan struct {
-	// FullMesh means that each host tells each other one, and nothing else of the plan counts.
+	// FullMesh means that each host sends to every other one; the rest of the plan does not apply then.
 	FullMesh bool
-	// Order has all hosts: those that can carry most first, the others by a hash.
+	// Order has all hosts: first those with the highest capacity, and by a hash of their names among equals.
 	Order []string
-	// Hubs hear the reports of all hosts and send theirs to all.
+	// Hubs receive the reports of all hosts and send theirs to all.
 	Hubs []string
-	// Group has the hosts of this host's group, itself included, and Head sums up their loads.
+	// Group has the hosts of this host's group, including itself; Aggregator sums their loads.
 	Group      []string
 	Aggregator string
-	// Aggregators are the heads of the other groups, as far as this host can tell.
+	// Aggregators are the aggregators of the other groups, as far as this host can tell.
 	Aggregators []string
-	// Forwarders are the hosts of the other groups that pass on to their groups what is told to all.
+	// Forwarders are the hosts of the other groups that forward announcements to their groups.
 	Forwarders []string
-	// GroupLabel names this host's group.
+	// GroupLabel is the label of this host's group.
 	GroupLabel string
 
 	ranks map[string]int
@@ -62,7 +63,7 @@
 	return NewFleet(self, peers).Plan(view)
 }
 
-// Plan returns the present plan by what is known of the hosts.
+// Plan returns the plan for the present state of the hosts.
 func (fleet *Fleet) Plan(view View) Plan {
 	plan := Plan{
 		FullMesh: len(fleet.names) <= MaxFullMeshHosts,
@@ -82,12 +83,12 @@
 	return plan
 }
 
-// IsHub reports whether a host is a watcher.
+// IsHub reports whether a host is a hub.
 func (plan Plan) IsHub(name string) bool {
 	return contains(plan.Hubs, name)
 }
 
-// Rank returns a host's place in the order, or the number of hosts if it is not there.
+// Rank returns a host's position in the order, from 0, or the number of hosts if it is not there.
 func (plan Plan) Rank(name string) int {
 	place, known := plan.ranks[name]
 	if !known {
@@ -96,8 +97,8 @@
 	return place
 }
 
-// chooseHubs takes the first hosts that are heard. One whom the store does not serve is kept, but does
-// not count: it could not read the store for the others, nor claim the keeping of spans.
+// chooseHubs returns the first reachable hosts. A host to which the store is unavailable is included but does not count
+// toward hubCount: it could not read the store for the others, nor claim the keeper's role.
 func chooseHubs(self string, order []string, view View) []string {
 	var chosen []string
 	counted := 0
@@ -116,7 +117,7 @@
 	return chosen
 }
 
-// firstReachable returns the firstReachable host that is not silent, or the firstReachable if all are.
+// firstReachable returns the first reachable host, or the first of all if none is reachable.
 func firstReachable(self string, names []string, view View) string {
 	for _, name := range names {
 		if name == self || !view.IsUnreachable(name) {
@@ -126,7 +127,7 @@
 	return names[0]
 }
 
-// reachableForwarders returns the first hosts of a group that are not silent, or the first ones if all are.
+// reachableForwarders returns the first reachable hosts of a group, or the first ones if none is reachable.
 func reachableForwarders(names []string, view View) []string {
 	var relays []string
 	for _, name := range names {
@@ -149,7 +150,8 @@
 	return false
 }
 
-// SumTicks returns in how many ticks once a head tells the other heads its sum, and its group theirs.
+// SumTicks returns the interval, in ticks, at which an aggregator sends its sum to the other aggregators, and their
+// sums to its group.
 func (plan Plan) SumTicks() int {
 	ticks := (len(plan.Aggregators) + maxSumsPerTick - 1) / maxSumsPerTick
 	return min(max(1, ticks), maxSumTicks)
