--- a/topo/bench_test.go
+++ b/topo/bench_test.go
@@ -8,7 +8,7 @@
 	"cherrykeel/topo"
 )
 
-// BenchmarkPlan is the plan of one host of 195 in six availability zones, which each host makes anew every 80 ms.
+// BenchmarkPlan computes the plan of one host of 195 in six availability zones, as each host does every 80 ms.
 func BenchmarkPlan(b *testing.B) {
 	var peers []cherrykeel.Peer
 	for i := range 195 {
@@ -21,7 +21,7 @@
 	}
 }
 
-// allReachable is a fleet in which nobody is silent.
+// allReachable is a View in which every host and the store are reachable.
 type allReachable struct{}
 
 func (allReachable) IsUnreachable(string) bool      { return false }
--- a/topo/plan_test.go
+++ b/topo/plan_test.go
@@ -24,7 +24,7 @@
 func (view view) IsUnreachable(name string) bool      { return view.unreachable[name] }
 func (view view) IsStoreUnreachable(name string) bool { return view.storeUnreachable[name] }
 
-// hosts returns hosts in four zones, of which two a zone can carry five times as much as the others.
+// hosts returns hosts in four availability zones, of which two in each zone have five times the capacity of the others.
 func hosts(perZone int) []cherrykeel.Peer {
 	var peers []cherrykeel.Peer
 	for _, zone := range []string{"a", "b", "c", "d"} {
@@ -39,7 +39,7 @@
 	return peers
 }
 
-// countMessages counts what all hosts send in a round: a load, a report, and what heads and watchers send on.
+// countMessages counts what all hosts send in a round: a load, a report, and what aggregators and hubs send.
 func countMessages(peers []cherrykeel.Peer) (all, most int) {
 	for _, peer := range peers {
 		plan := topo.New(peer.Name, peers, view{})
@@ -63,7 +63,7 @@
 }
 
 var _ = Describe("the plan of messages", func() {
-	It("is the same at all hosts that see the same", func() {
+	It("is the same on all hosts with the same view", func() {
 		peers := hosts(18)
 		want := topo.New("a-0", peers, view{})
 		for _, peer := range peers {
@@ -74,7 +74,7 @@
 		}
 	})
 
-	It("gives duties to the hosts that can carry most", func() {
+	It("assigns roles to the hosts with the highest capacity", func() {
 		peers := hosts(18)
 		plan := topo.New("a-9", peers, view{})
 		Expect(plan.Aggregator).To(BeElementOf("a-0", "a-1"))
@@ -84,13 +84,14 @@
 		}
 	})
 
-	It("keeps every host telling each other one while they are few", func() {
+	It("is a full mesh for few hosts", func() {
 		Expect(topo.New("a-0", hosts(3), view{}).FullMesh).To(BeTrue())
 		Expect(topo.New("a-0", hosts(4), view{}).FullMesh).To(BeFalse())
 	})
 
-	// Each host to each other one is 72 times 71 messages a round for loads, and as many for reports.
-	DescribeTable("grows about as the hosts do", func(perZone, atMost int) {
+	// If each host sent to every other one, that would be 72 times 71 messages a round for loads, and as many for
+	// reports.
+	DescribeTable("needs messages about in proportion to the hosts", func(perZone, atMost int) {
 		all, _ := countMessages(hosts(perZone))
 		Expect(all).To(BeNumerically("<=", atMost))
 	},
@@ -98,34 +99,34 @@
 		Entry("300 hosts", 75, 300*30),
 	)
 
-	// A head dies, and with it what its group hears of the others. The next in order takes its place, and
-	// the other groups' heads find it there.
-	It("replaces a head that is silent", func() {
+	// An aggregator crashes, and its group no longer receives the loads of the others. The next host in order must
+	// replace it, and the aggregators of the other groups must send to that one.
+	It("replaces an unreachable aggregator", func() {
 		peers := hosts(18)
-		head := topo.New("a-9", peers, view{}).Aggregator
-		lost := view{unreachable: map[string]bool{head: true}}
-		next := topo.New("a-9", peers, lost).Aggregator
-		Expect(next).NotTo(Equal(head))
-		Expect(topo.New(next, peers, lost).Aggregator).To(Equal(next))
-		Expect(topo.New("b-9", peers, lost).Aggregators).To(ContainElement(next))
+		aggregator := topo.New("a-9", peers, view{}).Aggregator
+		failed := view{unreachable: map[string]bool{aggregator: true}}
+		next := topo.New("a-9", peers, failed).Aggregator
+		Expect(next).NotTo(Equal(aggregator))
+		Expect(topo.New(next, peers, failed).Aggregator).To(Equal(next))
+		Expect(topo.New("b-9", peers, failed).Aggregators).To(ContainElement(next))
 	})
 
-	It("replaces watchers that are silent", func() {
+	It("replaces unreachable hubs", func() {
 		peers := hosts(18)
-		silent := map[string]bool{}
+		unreachable := map[string]bool{}
 		for _, name := range topo.New("a-9", peers, view{}).Hubs {
-			silent[name] = true
+			unreachable[name] = true
 		}
-		plan := topo.New("a-9", peers, view{unreachable: silent})
+		plan := topo.New("a-9", peers, view{unreachable: unreachable})
 		Expect(plan.Hubs).To(HaveLen(4))
 		for _, name := range plan.Hubs {
-			Expect(silent).NotTo(HaveKey(name))
+			Expect(unreachable).NotTo(HaveKey(name))
 		}
 	})
 
-	// The store turns all watchers away. Somebody who can read it, and who hears enough hosts to keep the
-	// spans, has to hear the reports too.
-	It("adds watchers whom the store serves", func() {
+	// The store refuses all hubs. A host that can read it, and that receives enough reports to be the keeper, must
+	// become a hub as well.
+	It("adds hubs to which the store is available", func() {
 		peers := hosts(18)
 		storeless := map[string]bool{}
 		for _, name := range topo.New("a-9", peers, view{}).Hubs {
@@ -135,8 +136,8 @@
 		Expect(plan.Hubs).To(HaveLen(8))
 	})
 
-	// Guards against watchers that follow each other in an outage until everyone tells everyone.
-	It("keeps the watchers few while the store serves nobody", func() {
+	// Guards against an outage in which each hub adds another one until every host sends to every other.
+	It("bounds the hubs while the store is unavailable to all", func() {
 		peers := hosts(75)
 		storeless := map[string]bool{}
 		for _, peer := range peers {
@@ -166,10 +167,11 @@
 	})
 })
 
-// Guards against sums among groups that grow with the square of the groups at the pace that few groups need.
-var _ = DescribeTable("how often a head tells the others its sum",
-	func(heads, ticks int) {
-		Expect(topo.Plan{Aggregators: make([]string, heads)}.SumTicks()).To(Equal(ticks))
+// Guards against sums that grow with the square of the number of groups because they are sent as often as for few
+// groups.
+var _ = DescribeTable("the interval at which an aggregator sends its sum",
+	func(aggregators, ticks int) {
+		Expect(topo.Plan{Aggregators: make([]string, aggregators)}.SumTicks()).To(Equal(ticks))
 	},
 	Entry("one group", 0, 1),
 	Entry("four groups", 3, 1),
