--- a/cold/part.go
+++ b/cold/part.go
@@ -4,34 +4,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// listsAtOnce is how many different lists of hosts may be in use at once without the bound being broken. Hosts that are
-// cut off go on by an older list than the others.
-const listsAtOnce = 2
+// maxHostLists is how many different lists of hosts may be in use at once without exceeding the bound. Hosts that are
+// disconnected keep an older list than the others.
+const maxHostLists = 2
 
-// Quota returns how many requests a second the host named self may send to a cold upstream that bears bound requests a
+// Quota returns how many requests a second the host self may send to a cold upstream that tolerates bound requests a
 // second from all hosts together.
 //
-// A few hosts have a part each, chosen by a hash of their names with the upstream's, so that no message is needed and
-// each cold upstream has others. A host counts itself in or out by its own list: from one list never more than a
-// listsAtOnce-th of the bound is given out, so hosts with two different ones still keep to it. A host that knows no list,
-// or one without itself, has no part.
+// The hosts with a quota are chosen by a hash of their names with the upstream's (rendezvous hashing), so that no
+// message is needed, and different upstreams have different hosts. Each host computes its quota from its own list. With
+// one list, at most 1/maxHostLists of the bound is assigned, so hosts with two different lists still stay within it. A
+// host without a list, or with one that does not contain itself, has no quota.
 func Quota(self string, hosts []string, upstream string, bound float64) int {
-	parts := int(bound) / listsAtOnce
-	if len(hosts) == 0 || parts < 1 {
+	total := int(bound) / maxHostLists
+	if len(hosts) == 0 || total < 1 {
 		return 0
 	}
 	rank, listed := rankOf(self, hosts, upstream)
 	if !listed {
 		return 0
 	}
-	each, rest := parts/len(hosts), parts%len(hosts)
-	if rank < rest {
-		each++
+	quota, remainder := total/len(hosts), total%len(hosts)
+	if rank < remainder {
+		quota++
 	}
-	return each
+	return quota
 }
 
-// rankOf returns the host's place among the hosts in their order for an upstream, and whether it is among them.
+// rankOf returns the host's rank among the hosts by their weight for an upstream, and whether the host is listed.
 func rankOf(self string, hosts []string, upstream string) (int, bool) {
 	own := weight(self, upstream)
 	rank, listed := 0, false
@@ -48,6 +48,7 @@
 	return rank, listed
 }
 
+// weight returns the rendezvous weight of a host for an upstream.
 func weight(host, upstream string) uint64 {
 	return xxhash.Sum64String(host + "\x00" + upstream)
 }
--- a/entry/counts.go
+++ b/entry/counts.go
@@ -8,11 +8,12 @@
 	"cherrykeel/share"
 )
 
-// gatherPace is how often the other hosts' counts are summed up at the most. Counts are 80 to 320 ms old in any case;
-// the head of a group of 24 gets some 250 messages with counts a second, each of which was summed up for all upstreams.
-const gatherPace = 20 * time.Millisecond
+// countsInterval bounds how often the other hosts' counts are summed up. Counts are 80 to 320 ms old in any case; the
+// aggregator of a group of 24 receives some 250 messages with counts a second, and each of them led to new sums for all
+// upstreams.
+const countsInterval = 20 * time.Millisecond
 
-// shortNames are the names under which upstreams stand in counts, worked out when the upstreams change.
+// shortNames maps the short names of upstreams in counts to their IDs. It is computed when the upstreams change.
 type shortNames map[string]string
 
 func newShortNames(upstreams []cherrykeel.Upstream) shortNames {
@@ -23,8 +24,8 @@
 	return names
 }
 
-// full returns counts by the upstreams' whole names; what no upstream here is called by is left out.
-func (names shortNames) full(counts map[string]int) map[string]int {
+// expand returns counts by the upstreams' IDs; counts of unknown upstreams are left out.
+func (names shortNames) expand(counts map[string]int) map[string]int {
 	full := make(map[string]int, len(counts))
 	for short, count := range counts {
 		id, known := names[short]
@@ -35,15 +36,15 @@
 	return full
 }
 
-// gather takes what the other hosts do.
-func (host *Host) gather() {
+// updateOtherCounts passes the sums of the other hosts' counts to the relay.
+func (host *Host) updateOtherCounts() {
 	sums := host.mesh.OtherCounts()
-	names := *host.names.Load()
-	others := relay.NewRequestCounts()
-	others.Running = names.full(sums.Running)
-	others.Waiting = names.full(sums.Waiting)
+	names := *host.shortNames.Load()
+	counts := relay.NewRequestCounts()
+	counts.Running = names.expand(sums.Running)
+	counts.Waiting = names.expand(sums.Waiting)
 	for _, service := range host.relay.Services() {
-		others.Queued[service] = sums.Queued[share.ShortName(service)]
+		counts.Queued[service] = sums.Queued[share.ShortName(service)]
 	}
-	host.relay.SetOtherCounts(others)
+	host.relay.SetOtherCounts(counts)
 }
--- a/entry/denied.go
+++ b/entry/denied.go
@@ -15,60 +15,62 @@
 )
 
 const (
-	// topicDenied names, among the hosts, what they tell each other of requests that stand at upstreams' ends.
+	// topicDenied names, in messages between hosts, the records of requests that ran when upstreams crashed.
 	topicDenied = "denied"
-	// deniedPrefix begins the keys of such requests in the topic of the hosts, which each host reads at its start
-	// anyway: a topic of their own would cost one call more for each host there is.
+	// deniedPrefix begins the keys of such records in the topic of the hosts, which each host reads at its start
+	// anyway: a topic of their own would cost one more call for each host.
 	deniedPrefix = "denied/"
-	// keptEnds is how many ends a request stands at when it is written there. One end is told from host to host alone:
-	// each loss of an upstream leaves some dozens of requests that stand at one, and next to none at two.
-	keptEnds = 2
-	// newcomersPace bounds how often hosts that have just started are told: when all start at once, each of them is one.
-	newcomersPace = 250 * time.Millisecond
-	// deniedPatience is how long a host that knows all else waits for that topic before it is ready.
-	deniedPatience = 2 * time.Second
+	// minStoredCrashes is how many crashes a request's record must have to be written to that topic. Records with one
+	// crash are only sent from host to host: each loss of an upstream leaves some dozens of requests with one crash,
+	// and next to none with two.
+	minStoredCrashes = 2
+	// newcomersInterval bounds how often all records are sent because hosts have started: when all start at once, each
+	// of them would cause that.
+	newcomersInterval = 250 * time.Millisecond
+	// denyListTimeout is how long a host that has everything else waits for the topic of the hosts before it is ready.
+	denyListTimeout = 2 * time.Second
 )
 
-// toldAgain is when the others are told once more: datagrams are lost, a few in a hundred on bad links, and all hosts
-// have to know within a second or two.
-var toldAgain = []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 900 * time.Millisecond}
+// denialRepeatDelays are the delays after which a record is sent again: a few datagrams in a hundred are lost on bad
+// links, and all hosts have to receive the record within a second or two.
+var denialRepeatDelays = []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 900 * time.Millisecond}
 
-// tellDenied tells the other hosts of a request, now and some more times.
-func (host *Host) tellDenied(record poison.Record) {
-	host.tellRecords(record)
-	for _, pause := range toldAgain {
-		time.AfterFunc(pause, func() {
-			newest, known := host.denied.Find(record.Identity)
+// announceDenial sends the record of a request to the other hosts, now and several times later.
+func (host *Host) announceDenial(record poison.Record) {
+	host.announceDenials(record)
+	for _, delay := range denialRepeatDelays {
+		time.AfterFunc(delay, func() {
+			newest, known := host.denyList.Find(record.Identity)
 			if known {
-				host.tellRecords(newest)
+				host.announceDenials(newest)
 			}
 		})
 	}
 }
 
-func (host *Host) tellRecords(records ...poison.Record) {
-	var told []cherrykeel.KeyedRecord
+func (host *Host) announceDenials(records ...poison.Record) {
+	var encoded []cherrykeel.KeyedRecord
 	for _, record := range records {
 		value, err := record.Encode()
 		if err != nil {
 			events.Log(host.logger, events.WriteFailed, zap.Error(err))
 			continue
 		}
-		told = append(told, cherrykeel.KeyedRecord{Key: deniedPrefix + record.Identity.String(), Value: value})
+		encoded = append(encoded, cherrykeel.KeyedRecord{Key: deniedPrefix + record.Identity.String(), Value: value})
 	}
-	host.mesh.Announce(topicDenied, told, share.NoPreviousChange)
+	host.mesh.Announce(topicDenied, encoded, share.NoPreviousChange)
 }
 
-// tellNewcomers tells all that is known to hosts that have just started. Among many hosts only those do that hear from
-// all.
-func (host *Host) tellNewcomers() {
-	if host.denied.Empty() || host.mesh.HubDuration() == 0 {
+// announceToNewcomers sends all records to the other hosts after some of them have started. Among many hosts only hubs
+// do that.
+func (host *Host) announceToNewcomers() {
+	if host.denyList.Empty() || host.mesh.HubDuration() == 0 {
 		return
 	}
-	host.tellRecords(host.denied.Records()...)
+	host.announceDenials(host.denyList.Records()...)
 }
 
-// applyHosts takes what the topic of the hosts brought: the hosts themselves, and the requests to refuse.
+// applyHosts applies an update of the hosts' topic: the records of hosts and of requests to refuse.
 func (host *Host) applyHosts(update watch.Update) {
 	var peers, denied []cherrykeel.KeyedRecord
 	for _, record := range update.Records {
@@ -79,39 +81,40 @@
 		peers = append(peers, record)
 	}
 	update.Records = peers
-	host.applyDenied(denied, host.denied.MergeKept)
+	host.applyDenials(denied, host.denyList.MergeKept)
 	host.peers.Apply(update)
 	if update.Snapshot {
-		// A host is ready once it has read the whole list; until it is in force it would spend the retries of all hosts.
-		host.putPeersInForce()
+		// A host may be ready once it has read the whole list. Until the list is in force, it counts itself as the only
+		// host and would use the retry budget of all.
+		host.applyPeers()
 	}
 }
 
-// applyDenied takes what other hosts have seen, as they told it or as it is kept in the store.
-func (host *Host) applyDenied(records []cherrykeel.KeyedRecord, merge func(record poison.Record)) {
+// applyDenials merges the records of requests that other hosts have sent or stored.
+func (host *Host) applyDenials(records []cherrykeel.KeyedRecord, merge func(record poison.Record)) {
 	for _, record := range records {
 		if len(record.Value) == 0 {
 			continue
 		}
-		told, err := poison.DecodeRecord(strings.TrimPrefix(record.Key, deniedPrefix), record.Value)
+		decoded, err := poison.DecodeRecord(strings.TrimPrefix(record.Key, deniedPrefix), record.Value)
 		if err != nil {
 			events.Log(host.logger, events.RecordInvalid, zap.String("Key", record.Key), zap.Int64("Offset", record.Offset), zap.Error(err))
 			continue
 		}
-		merge(told)
+		merge(decoded)
 	}
 }
 
-// knowsDenied reports whether this host has read which requests end upstreams. It does not wait for that for ever:
-// one partition of the store may be away while the others are not, and nobody would be served.
-func (host *Host) knowsDenied() bool {
-	return host.topics.hosts.HasAppliedSnapshot() || host.clock.Now().Sub(host.started) > deniedPatience
+// hasDenyList reports whether this host has read which requests crash upstreams. It stops waiting for that after a
+// while: one partition of the store may be unavailable while the others are not, and no caller would be served.
+func (host *Host) hasDenyList() bool {
+	return host.topics.hosts.HasAppliedSnapshot() || host.clock.Now().Sub(host.started) > denyListTimeout
 }
 
-// forgetDenied drops what is too old, at one host from the store too, and shows how much is left.
-func (host *Host) forgetDenied(ctx context.Context) {
-	host.denied.Count(host.scope)
-	dropped := host.denied.Forget()
+// removeExpiredDenials removes records that are too old, on one host from the store too, and updates the metrics.
+func (host *Host) removeExpiredDenials(ctx context.Context) {
+	host.denyList.Count(host.scope)
+	dropped := host.denyList.Forget()
 	if len(dropped) == 0 || host.rank() > 0 {
 		return
 	}
@@ -123,22 +126,22 @@
 	}
 }
 
-// keepDenied writes records until the context ends, each until the store has taken it.
-func (host *Host) keepDenied(ctx context.Context) {
+// writePendingDenials writes records until the context ends, each until the store has accepted it.
+func (host *Host) writePendingDenials(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, identity := range host.kept.Take(ctx) {
-			wait := announcePause
-			for ctx.Err() == nil && !host.writeDenied(ctx, identity) {
-				pause(ctx, wait)
-				wait = min(2*wait, longestAnnouncePause)
+		for _, identity := range host.pendingDenials.Take(ctx) {
+			wait := announceInterval
+			for ctx.Err() == nil && !host.writeDenial(ctx, identity) {
+				sleepContext(ctx, wait)
+				wait = min(2*wait, maxAnnounceInterval)
 			}
 		}
 	}
 }
 
-// writeDenied reports whether nothing is left to write of a request.
-func (host *Host) writeDenied(ctx context.Context, identity poison.Identity) bool {
-	record, known := host.denied.Find(identity)
+// writeDenial writes a request's record and reports whether nothing is left to write.
+func (host *Host) writeDenial(ctx context.Context, identity poison.Identity) bool {
+	record, known := host.denyList.Find(identity)
 	if !known {
 		return true
 	}
@@ -157,7 +160,7 @@
 	unread := host.topics.hosts.NextOffset() < offset
 	host.topics.hosts.ApplyReceived(written)
 	if unread {
-		// Another host may have written of the same request at the same moment.
+		// Another host may have written a record of the same request at the same moment.
 		host.topics.hosts.TriggerRead()
 	}
 	host.mesh.Announce(topicHosts, written, share.NoPreviousChange)
--- a/entry/world.go
+++ b/entry/world.go
@@ -9,14 +9,14 @@
 	"cherrykeel/watch"
 )
 
-// world shows the keeper what its host knows.
-type world struct {
+// environment gives the keeper access to what its host knows.
+type environment struct {
 	host *Host
 }
 
-// KeyedServices implements grants.World.
-func (world *world) KeyedServices() []cherrykeel.RoutedService {
-	routes, known := world.host.routes.Current()
+// KeyedServices implements grants.Environment.
+func (environment *environment) KeyedServices() []cherrykeel.RoutedService {
+	routes, known := environment.host.routes.Current()
 	if !known {
 		return nil
 	}
@@ -29,46 +29,46 @@
 	return keyed
 }
 
-// Upstreams implements grants.World.
-func (world *world) Upstreams() []cherrykeel.Upstream {
-	return world.host.usable.current()
+// Upstreams implements grants.Environment.
+func (environment *environment) Upstreams() []cherrykeel.Upstream {
+	return environment.host.usable.current()
 }
 
-// IsReplaced implements grants.World.
-func (world *world) IsReplaced(id, address string) bool {
-	return world.host.upstreams.IsReplaced(id, address)
+// IsReplaced implements grants.Environment.
+func (environment *environment) IsReplaced(id, address string) bool {
+	return environment.host.upstreams.IsReplaced(id, address)
 }
 
-// NotifyEnded implements grants.World.
-func (world *world) NotifyEnded(id string) {
-	world.host.upstreams.MarkEnded(id)
+// NotifyEnded implements grants.Environment.
+func (environment *environment) NotifyEnded(id string) {
+	environment.host.upstreams.MarkEnded(id)
 }
 
-// RereadTable implements grants.World.
-func (world *world) RereadTable() {
-	world.host.topics.spans.TriggerRead()
+// RereadTable implements grants.Environment.
+func (environment *environment) RereadTable() {
+	environment.host.topics.spans.TriggerRead()
 }
 
-// StoreAvailableFor implements grants.World.
-func (world *world) StoreAvailableFor() time.Duration {
-	if !world.host.topics.spans.HasRead() {
+// StoreAvailableFor implements grants.Environment.
+func (environment *environment) StoreAvailableFor() time.Duration {
+	if !environment.host.topics.spans.HasRead() {
 		return 0
 	}
-	return world.host.storeWell()
+	return environment.host.storeAvailableFor()
 }
 
-// PeerIncarnation implements grants.World.
-func (world *world) PeerIncarnation(name string) (string, time.Duration, bool) {
-	life, known := world.host.peers.Incarnation(name)
-	return life, world.host.peers.RecordAge(name), known
+// PeerIncarnation implements grants.Environment.
+func (environment *environment) PeerIncarnation(name string) (string, time.Duration, bool) {
+	incarnation, known := environment.host.peers.Incarnation(name)
+	return incarnation, environment.host.peers.RecordAge(name), known
 }
 
-// Rank implements grants.World.
-func (world *world) Rank() int {
-	return world.host.mesh.Rank(func(share.Report) bool { return true })
+// Rank implements grants.Environment.
+func (environment *environment) Rank() int {
+	return environment.host.mesh.Rank(func(share.Report) bool { return true })
 }
 
-// ownTable is the keeper's view of the table; what it writes counts as read and is told.
+// ownTable is the keeper's view of the table; what the keeper writes counts as read and is announced.
 type ownTable struct {
 	host *Host
 }
@@ -90,6 +90,6 @@
 	table.host.topics.spans.ApplyReceived([]cherrykeel.KeyedRecord{record})
 	after, _, _ := table.host.spans.Current()
 	if after.Version == offset {
-		table.host.tellSpans(after.Diff(before), before.Version)
+		table.host.announceSpans(after.Diff(before), before.Version)
 	}
 }
--- a/flow/service.go
+++ b/flow/service.go
@@ -7,88 +7,99 @@
 	"cherrykeel"
 )
 
-// Service schedules the requests to one service. It is not safe for use by several goroutines.
+// Service schedules the requests to one service. It is not safe for concurrent use.
 type Service struct {
+	// discipline chooses upstreams: for all requests from one queue, or for each key from its owner's queue.
 	discipline discipline
-	members    map[string]*member
-	waiting    []*Ticket
-	works      works
-	arrivals   uint64
-	// target is the time to the target that the last request had.
+	// members holds the state of each upstream by its ID.
+	members map[string]*member
+	// waiting holds the waiting tickets in the order in which they are served.
+	waiting []*Ticket
+	// processingTimes is the mean processing time over the upstreams that have answered.
+	processingTimes processingTimes
+	// arrivals numbers the tickets in the order of their arrival.
+	arrivals uint64
+	// target is the time from arrival to target of the last ticket that was submitted.
 	target time.Duration
+	// random returns a number in [0, 1).
 	random func() float64
-	// doubt is how far counts are wrong.
-	doubt  doubt
-	trials trials
+	// uncertainty is the error of the request counts.
+	uncertainty uncertainty
+	// probes limits requests that are sent although the estimate rules out an answer in time.
+	probes probes
 }
 
-// New returns a scheduler for a service; owner is nil unless its keys are divided.
-func New(zone string, owner func(key int) Owner, random func() float64) *Service {
+// New returns a scheduler for a service on a host in the given availability zone. findOwner returns the owner of a key;
+// it is nil unless the service's keys are divided among its upstreams.
+func New(zone string, findOwner func(key int) Owner, random func() float64) *Service {
 	service := &Service{members: map[string]*member{}, random: random}
-	all := &shared{service: service, zone: zone}
-	service.discipline = all
-	if owner != nil {
-		service.discipline = &owned{service: service, find: owner, keyless: all}
+	keyless := &shared{service: service, zone: zone}
+	service.discipline = keyless
+	if findOwner != nil {
+		service.discipline = &owned{service: service, findOwner: findOwner, keyless: keyless}
 	}
 	return service
 }
 
-// SetUpstreams replaces the upstreams that may get requests; those that leave are not among them.
+// SetUpstreams replaces the upstreams that may get requests. Upstreams that are shutting down must not be among them.
 func (service *Service) SetUpstreams(upstreams []cherrykeel.Upstream, now cherrykeel.Instant) {
 	members := map[string]*member{}
 	for _, upstream := range upstreams {
-		old, known := service.members[upstream.ID]
-		if !known || old.upstream.StartedAt != upstream.StartedAt {
-			// Another life of an upstream knows nothing, and nothing that was learned is about it.
-			old = &member{decayed: now}
-			if service.answered() {
-				old.tryAt = now.Add(time.Duration(service.random() * float64(newcomerWithin)))
+		current, known := service.members[upstream.ID]
+		if !known || current.upstream.StartedAt != upstream.StartedAt {
+			// A new incarnation runs none of the previous one's requests, and nothing learned about that one applies to
+			// it.
+			current = &member{decayedAt: now}
+			if service.hasAnswers() {
+				current.firstSendAt = now.Add(time.Duration(service.random() * float64(firstSendSpread)))
 			}
 		}
-		old.upstream = upstream
-		members[upstream.ID] = old
+		current.upstream = upstream
+		members[upstream.ID] = current
 	}
 	service.members = members
-	service.works = works{}
+	service.processingTimes = processingTimes{}
 	for _, member := range members {
-		service.works.add(member.work)
+		service.processingTimes.add(member.processingTime)
 	}
-	service.discipline.changed()
+	service.discipline.upstreamsChanged()
 	service.Dispatch(now)
 }
 
-// answered reports whether any upstream has answered yet. Before that all are unknown, and none has joined.
-func (service *Service) answered() bool {
-	return service.works.known > 0
+// hasAnswers reports whether any upstream has answered yet. Before that, all upstreams are unknown, and none counts as
+// newly joined.
+func (service *Service) hasAnswers() bool {
+	return service.processingTimes.count > 0
 }
 
-// usual is the mean work time over the upstreams that have answered.
-func (service *Service) usual() time.Duration {
-	return service.works.mean()
+// meanProcessingTime returns the mean over the upstreams that have answered, or a default if none has.
+func (service *Service) meanProcessingTime() time.Duration {
+	return service.processingTimes.mean()
 }
 
-// SetRemoteCounts replaces what the other hosts say: requests at upstreams, and requests waiting.
+// SetRemoteCounts replaces the counts that the other hosts have reported: requests at each upstream, requests that wait
+// for each owner, and the total of waiting requests.
 func (service *Service) SetRemoteCounts(running, waiting map[string]int, total int, now cherrykeel.Instant) {
 	for id, member := range service.members {
-		member.count(running[id], waiting[id], now)
+		member.setRemoteCounts(running[id], waiting[id], now)
 	}
-	service.discipline.setOthers(total)
-	service.discipline.observe(now)
+	service.discipline.setRemoteWaiting(total)
+	service.discipline.observeQueues(now)
 	service.Dispatch(now)
 }
 
-// Running returns this host's requests by upstream.
+// Running returns the number of this host's requests at each upstream that has any.
 func (service *Service) Running() map[string]int {
 	running := map[string]int{}
 	for id, member := range service.members {
-		if member.own > 0 {
-			running[id] = member.own
+		if member.localLoad > 0 {
+			running[id] = member.localLoad
 		}
 	}
 	return running
 }
 
-// HasFullUpstream reports whether some upstream has no free slot.
+// HasFullUpstream reports whether an upstream whose availability zone is not evacuated has no free slot.
 func (service *Service) HasFullUpstream() bool {
 	for _, member := range service.members {
 		if member.upstream.EvacuateAt == 0 && member.load() >= member.upstream.Slots {
@@ -98,97 +109,102 @@
 	return false
 }
 
-// Waiting returns this host's waiting requests by owner, and in all.
+// Waiting returns the number of this host's waiting requests by owner, and their total.
 func (service *Service) Waiting() (map[string]int, int) {
-	return service.discipline.waitingFor(), len(service.waiting)
+	return service.discipline.waitingByOwner(), len(service.waiting)
 }
 
-// HasWaiting reports whether any request waits.
+// HasWaiting reports whether any request of this host waits.
 func (service *Service) HasWaiting() bool {
 	return len(service.waiting) > 0
 }
 
-// ProcessingTimes returns the mean time that a request spends in a slot of each upstream that has answered.
+// ProcessingTimes returns the mean processing time of each upstream that has answered.
 func (service *Service) ProcessingTimes() map[string]time.Duration {
 	times := map[string]time.Duration{}
 	for id, member := range service.members {
-		if member.work > 0 {
-			times[id] = member.work.Round(time.Millisecond)
+		if member.processingTime > 0 {
+			times[id] = member.processingTime.Round(time.Millisecond)
 		}
 	}
 	return times
 }
 
-// Submit gives a ticket a place, lets it wait, or refuses it at once; Wake tells which, now or later.
+// Submit assigns a slot to a ticket, queues the ticket, or refuses it at once. The decision is passed to the ticket's
+// Notify, at once or later.
 func (service *Service) Submit(ticket *Ticket, now cherrykeel.Instant) {
 	service.arrivals++
 	service.target = ticket.Target.Sub(ticket.Arrived)
 	ticket.order = service.arrivals
-	service.discipline.count()
-	answer := now.Add(service.discipline.wait(ticket, now))
-	stood := service.discipline.standing(ticket).note(ticket, answer, now)
-	place := service.discipline.place(ticket, now)
-	if place != nil && !service.overtakes(ticket) {
-		ticket.Notify(service.granted(ticket, place, now))
+	service.discipline.refreshCounts()
+	answerAt := now.Add(service.discipline.estimateTimeToAnswer(ticket, now))
+	standingFor := service.discipline.queueFor(ticket).recordArrival(ticket, answerAt, now)
+	chosen := service.discipline.chooseUpstream(ticket, now)
+	if chosen != nil && !service.isOvertaken(ticket) {
+		ticket.Notify(service.assignSlot(ticket, chosen, now))
 		return
 	}
-	member := service.trial(ticket, now)
+	member := service.chooseProbe(ticket, now)
 	if member != nil {
-		ticket.Notify(service.grantedTrial(ticket, member, now))
+		ticket.Notify(service.assignProbeSlot(ticket, member, now))
 		return
 	}
-	reason, refused := service.refuse(ticket, answer, stood, now)
+	reason, refused := service.refusalReason(ticket, answerAt, standingFor, now)
 	if refused {
-		ticket.Notify(service.refusal(ticket, reason, now))
+		ticket.Notify(service.newRefusal(ticket, reason, now))
 		return
 	}
-	service.insert(ticket)
+	service.enqueue(ticket)
 }
 
-// refuse reports whether a ticket that finds no place should not even wait.
-func (service *Service) refuse(ticket *Ticket, answer cherrykeel.Instant, stood time.Duration, now cherrykeel.Instant) (Reason, bool) {
+// refusalReason reports whether a ticket that gets no slot now is refused instead of queued, and why. Its answer is
+// expected at answerAt, and its queue has been standing for standingFor.
+func (service *Service) refusalReason(ticket *Ticket, answerAt cherrykeel.Instant, standingFor time.Duration, now cherrykeel.Instant) (Reason, bool) {
 	switch {
 	case len(service.members) == 0:
 		return NoUpstream, true
-	case service.allClosed(now):
+	case service.areAllClosed(now):
 		return Evacuated, true
-	case service.discipline.hopeless(ticket, now):
+	case service.discipline.willMissDeadline(ticket, now):
 		return TooLate, true
-	case answer > ticket.latest(stood):
+	case answerAt > ticket.latestAnswer(standingFor):
 		return Crowded, true
 	default:
 		return "", false
 	}
 }
 
-// allClosed reports whether every upstream is in an availability zone that is evacuated.
-func (service *Service) allClosed(now cherrykeel.Instant) bool {
+// areAllClosed reports whether every upstream is in an evacuated availability zone. It is false if there is no
+// upstream.
+func (service *Service) areAllClosed(now cherrykeel.Instant) bool {
 	for _, member := range service.members {
-		if !member.closed(now) {
+		if !member.isClosed(now) {
 			return false
 		}
 	}
 	return len(service.members) > 0
 }
 
-// overtakes reports whether a waiting request should go before the ticket.
-func (service *Service) overtakes(ticket *Ticket) bool {
+// isOvertaken reports whether a waiting request that competes with the ticket goes before it.
+func (service *Service) isOvertaken(ticket *Ticket) bool {
 	for _, other := range service.waiting {
-		if other.before(ticket) && service.discipline.rivals(other, ticket) {
+		if other.isBefore(ticket) && service.discipline.isCompeting(other, ticket) {
 			return true
 		}
 	}
 	return false
 }
 
-func (service *Service) insert(ticket *Ticket) {
-	i := sort.Search(len(service.waiting), func(i int) bool { return ticket.before(service.waiting[i]) })
+// enqueue inserts a ticket into the waiting tickets at its place in their order.
+func (service *Service) enqueue(ticket *Ticket) {
+	i := sort.Search(len(service.waiting), func(i int) bool { return ticket.isBefore(service.waiting[i]) })
 	service.waiting = append(service.waiting, nil)
 	copy(service.waiting[i+1:], service.waiting[i:])
 	service.waiting[i] = ticket
 }
 
-// Cancel takes back a ticket whose caller has gone; it reports false if the ticket was woken already.
+// Cancel removes a waiting ticket whose caller has left. It returns false if the ticket does not wait any more because
+// its decision has been made.
 func (service *Service) Cancel(ticket *Ticket) bool {
 	for i, other := range service.waiting {
 		if other == ticket {
@@ -199,120 +215,125 @@
 	return false
 }
 
-// Dispatch gives places to waiting requests in their order and refuses those that became hopeless.
+// Dispatch assigns slots to waiting requests in their order, and refuses those that can no longer meet their deadline.
 func (service *Service) Dispatch(now cherrykeel.Instant) {
 	if len(service.waiting) == 0 {
 		return
 	}
-	service.discipline.count()
+	service.discipline.refreshCounts()
 	kept := make([]*Ticket, 0, len(service.waiting))
-	var woken []func()
+	var callbacks []func()
 	for _, ticket := range service.waiting {
-		verdict, done := service.decide(ticket, now)
-		if !done {
+		decision, decided := service.decide(ticket, now)
+		if !decided {
 			kept = append(kept, ticket)
 			continue
 		}
-		woken = append(woken, func() { ticket.Notify(verdict) })
+		callbacks = append(callbacks, func() { ticket.Notify(decision) })
 	}
 	service.waiting = kept
-	for _, wake := range woken {
-		wake()
+	for _, notify := range callbacks {
+		notify()
 	}
 }
 
+// decide returns the decision on a waiting ticket, or false if the ticket has to keep waiting.
 func (service *Service) decide(ticket *Ticket, now cherrykeel.Instant) (Decision, bool) {
-	member := service.discipline.place(ticket, now)
+	member := service.discipline.chooseUpstream(ticket, now)
 	if member != nil {
-		return service.granted(ticket, member, now), true
+		return service.assignSlot(ticket, member, now), true
 	}
-	if service.allClosed(now) {
-		return service.refusal(ticket, Evacuated, now), true
+	if service.areAllClosed(now) {
+		return service.newRefusal(ticket, Evacuated, now), true
 	}
-	if service.discipline.hopeless(ticket, now) {
-		return service.refusal(ticket, TooLate, now), true
+	if service.discipline.willMissDeadline(ticket, now) {
+		return service.newRefusal(ticket, TooLate, now), true
 	}
 	return Decision{}, false
 }
 
-func (service *Service) granted(ticket *Ticket, member *member, now cherrykeel.Instant) Decision {
+// assignSlot returns the decision that gives a ticket a slot at an upstream.
+func (service *Service) assignSlot(ticket *Ticket, member *member, now cherrykeel.Instant) Decision {
 	inputs := service.inputs(ticket, member, now)
-	inputs.TimeToAnswer = member.expected(service.usual(), now)
-	return Decision{Slot: member.take(ticket, now), Inputs: inputs}
+	inputs.TimeToAnswer = member.expectedTime(service.meanProcessingTime(), now)
+	return Decision{Slot: member.acquireSlot(ticket, now), Inputs: inputs}
 }
 
-func (service *Service) refusal(ticket *Ticket, reason Reason, now cherrykeel.Instant) Decision {
+// newRefusal returns the decision that refuses a ticket.
+func (service *Service) newRefusal(ticket *Ticket, reason Reason, now cherrykeel.Instant) Decision {
 	owner := service.discipline.owner(ticket)
 	inputs := service.inputs(ticket, service.members[owner.ID], now)
-	inputs.Ahead = service.discipline.ahead(ticket)
-	inputs.TimeToAnswer = service.discipline.wait(ticket, now)
+	inputs.Ahead = service.discipline.countAhead(ticket)
+	inputs.TimeToAnswer = service.discipline.estimateTimeToAnswer(ticket, now)
 	return Decision{Reason: reason, Inputs: inputs}
 }
 
-// inputs gathers what is known of the upstream in question, which may be nil.
+// inputs returns the figures behind a decision about an upstream, which may be nil.
 func (service *Service) inputs(ticket *Ticket, member *member, now cherrykeel.Instant) Inputs {
 	owner := service.discipline.owner(ticket)
-	inputs := Inputs{Owner: owner.ID, InTransfer: owner.InTransfer, Fence: owner.Fence, ProcessingTime: service.usual()}
+	inputs := Inputs{Owner: owner.ID, InTransfer: owner.InTransfer, Fence: owner.Fence, ProcessingTime: service.meanProcessingTime()}
 	if member != nil {
 		inputs.Load = member.load()
-		inputs.RemoteLoad = member.others
-		inputs.ProcessingTime = member.workTime(inputs.ProcessingTime, now)
+		inputs.RemoteLoad = member.remoteLoad
+		inputs.ProcessingTime = member.expectedProcessingTime(inputs.ProcessingTime, now)
 	}
 	return inputs
 }
 
-func (member *member) take(ticket *Ticket, now cherrykeel.Instant) *Slot {
-	member.own++
-	member.sentAt = now
-	member.tryAt = 0
+// acquireSlot counts a request that this host sends to the upstream now.
+func (member *member) acquireSlot(ticket *Ticket, now cherrykeel.Instant) *Slot {
+	member.localLoad++
+	member.lastSentAt = now
+	member.firstSendAt = 0
 	if member.upstream.IsColdLimited(now) {
-		member.sent.Record(now)
+		member.sendWindow.Record(now)
 	}
 	return &Slot{Upstream: member.upstream, Load: member.load(), StartedAt: now, Deadline: ticket.Deadline, member: member}
 }
 
-// Release ends a place and gives it to the next request.
-func (service *Service) Release(place *Slot, ending Result, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
-	member := place.member
-	member.own--
-	member.decay(now)
-	switch ending {
+// Release ends the use of a slot and records the result and the load that the upstream reported with it. Then it
+// assigns slots to waiting requests.
+func (service *Service) Release(slot *Slot, result Result, load cherrykeel.UpstreamLoad, now cherrykeel.Instant) {
+	member := slot.member
+	member.localLoad--
+	member.decayCounts(now)
+	switch result {
 	case Answered:
 		member.answers++
-		member.breaks = 0
-		service.learn(place, max(place.Load, load.Running+load.Waiting), now)
+		member.connectFailures = 0
+		service.recordAnswer(slot, max(slot.Load, load.Running+load.Waiting), now)
 	case Failed, Refused:
 		member.failures++
 	case Unreachable:
 		member.failures++
-		member.broke(now)
+		member.recordConnectFailure(now)
 	case Abandoned:
 	}
 	if load.Known {
-		service.doubt.note(member.load(), load.Running+load.Waiting-1, member.upstream.Slots)
-		member.tell(load, now)
+		service.uncertainty.record(member.load(), load.Running+load.Waiting-1, member.upstream.Slots)
+		member.recordReportedLoad(load, now)
 	}
 	service.Dispatch(now)
 }
 
-// learn takes the time of an answer, unless its upstream has left meanwhile.
+// recordAnswer records the processing time of an answer, unless its upstream has been removed or replaced since.
 //
-// An attempt ends when its request's time is up. An answer that is read later was there before: this host stood still, or
-// had no processor. One that stood still for 6 s believed that its upstreams were as slow, so such an answer tells of no more
-// than the request's time, and of that little.
-func (service *Service) learn(place *Slot, load int, now cherrykeel.Instant) {
-	member := place.member
+// An attempt is canceled at its request's deadline, so an answer that is read later had already arrived: this host was
+// suspended or got no CPU time. If the whole time counted, a host suspended for 6 s would take its upstreams to be that
+// slow. So for such an answer only the time until the deadline counts, with a low weight.
+func (service *Service) recordAnswer(slot *Slot, load int, now cherrykeel.Instant) {
+	member := slot.member
 	if service.members[member.upstream.ID] != member {
 		return
 	}
-	took, weight := now.Sub(place.StartedAt), workWeight
-	given := place.Deadline.Sub(place.StartedAt)
-	if took > given {
-		took, weight = given, lateWeight
-	} else if place.Probe {
-		service.noteTrial(place, now)
+	took, weight := now.Sub(slot.StartedAt), answerWeight
+	allowed := slot.Deadline.Sub(slot.StartedAt)
+	if took > allowed {
+		took, weight = allowed, lateAnswerWeight
+	} else if slot.Probe {
+		service.recordProbeAnswered(slot, now)
 	}
-	service.works.remove(member.work)
-	member.learn(took, load, weight)
-	service.works.add(member.work)
+	service.processingTimes.remove(member.processingTime)
+	member.recordProcessingTime(took, load, weight)
+	service.processingTimes.add(member.processingTime)
 }
--- a/flow/trial.go
+++ b/flow/trial.go
@@ -7,75 +7,80 @@
 )
 
 const (
-	// quietFor is how long this host has to have sent nothing to an owner, or to a service without keys, before it sends a
-	// request there that the estimate rules out. It is also the pause between the first two of such trials.
-	quietFor = time.Second
-	// maxTrialPause bounds how long a trial waits after others that brought no answer in time: an upstream that is quick
-	// again is found within that time, and 200 hosts that all ask for one key send its owner 40 trials a second, some 12 in
-	// the 300 ms that counts are old.
-	maxTrialPause = 5 * time.Second
-	// trialSpread is the part of a pause by which it is longer or shorter by chance: hosts that learned the same at once
-	// would otherwise all send at once.
-	trialSpread = 0.25
+	// minProbePause is how long this host must have sent nothing to an owner, or to an upstream of a service without
+	// keys, before it sends a request there that the estimate rules out. It is also the pause between the first two
+	// such probes.
+	minProbePause = time.Second
+	// maxProbePause limits the pause after probes that were not answered in time. An upstream that is fast again is
+	// detected within that time, and 200 hosts with requests for the same key send its owner 40 probes a second, about
+	// 12 in the 300 ms by which counts lag.
+	maxProbePause = 5 * time.Second
+	// probeJitter is the share by which a pause is randomly longer or shorter. Hosts that detected a slow upstream at
+	// the same time would otherwise all send their probes at the same time.
+	probeJitter = 0.25
 )
 
-// trials says when this host may send a request of a service though the estimate rules it out.
+// probes decides when this host may send a request of a service although the estimate rules it out.
 //
-// An estimate that refuses every request is renewed by none. Upstreams that were slow for a while, or seemed so to a host
-// that was slow itself, would be refused for ever: callers got "too-late" at once from such a host until it was restarted,
-// while other hosts served the same requests. A trial whose answer comes in time replaces the estimate, and the next may
-// follow at once; while none does, the pauses grow, so that a service that is too slow refuses nearly all at once.
-type trials struct {
-	// next is when a trial may be sent, and pause how long after the one before.
-	next  cherrykeel.Instant
-	pause time.Duration
+// An estimate that refuses every request is never updated. Upstreams that were slow for a while, or seemed so to a host
+// that was slow itself, would be refused forever: callers of such a host got "too-late" at once until it was restarted,
+// while other hosts served the same requests. A probe that is answered in time replaces the estimate, and the next one
+// may follow at once. While no probe is, the pauses grow, so that a service that is too slow refuses nearly all
+// requests at once.
+type probes struct {
+	// nextAt is when the next probe may be sent, pause the time from the last one to it without jitter.
+	nextAt cherrykeel.Instant
+	pause  time.Duration
 }
 
-// sent takes note of a trial; draw is random, from 0 to 1.
-func (trials *trials) sent(draw float64, now cherrykeel.Instant) {
-	trials.pause = min(max(quietFor, 2*trials.pause), maxTrialPause)
-	trials.next = now.Add(time.Duration((1 - trialSpread + 2*trialSpread*draw) * float64(trials.pause)))
+// recordSent records that a probe is sent now; sample is random, from 0 to 1.
+func (probes *probes) recordSent(sample float64, now cherrykeel.Instant) {
+	probes.pause = min(max(minProbePause, 2*probes.pause), maxProbePause)
+	probes.nextAt = now.Add(time.Duration((1 - probeJitter + 2*probeJitter*sample) * float64(probes.pause)))
 }
 
-// trial returns the upstream that a ticket is sent to though no answer is expected in time, or nil. Only a request that has
-// all of its time is worth it: one that was sent before is ruled out by the time that it has left. It may go before requests
-// that wait: what has room for it, and would not rule it out, has been given to them.
-func (service *Service) trial(ticket *Ticket, now cherrykeel.Instant) *member {
-	if now < service.trials.next || len(ticket.Tried) > 0 {
+// chooseProbe returns the upstream that a ticket is sent to although no answer is expected in time, or nil. Only a
+// first attempt can be a probe, since a later one may be ruled out only by the little time that it has left. A probe
+// may overtake waiting requests: each upstream that has room for them and does not rule them out has already been
+// assigned to them.
+func (service *Service) chooseProbe(ticket *Ticket, now cherrykeel.Instant) *member {
+	if now < service.probes.nextAt || len(ticket.Tried) > 0 {
 		return nil
 	}
-	return service.discipline.trial(ticket, now)
+	return service.discipline.chooseProbe(ticket, now)
 }
 
-// ruledOut reports whether a ticket that had all of its time left would not be sent to the upstream either, as much as is
-// there now. One that has waited says nothing of the estimate.
-func (member *member) ruledOut(ticket *Ticket, usual time.Duration, now cherrykeel.Instant) bool {
-	return ticket.outlasts(member.expected(usual, now), ticket.Arrived)
+// isRuledOut reports whether the upstream, with its current load, is not expected to answer in time even a ticket with
+// all of its time left. The time that the ticket has waited is ignored, since it shows nothing about the estimate.
+func (member *member) isRuledOut(ticket *Ticket, serviceMean time.Duration, now cherrykeel.Instant) bool {
+	return ticket.expiresWithin(member.expectedTime(serviceMean, now), ticket.Arrived)
 }
 
-// grantedTrial gives a place to a ticket that the estimate rules out.
-func (service *Service) grantedTrial(ticket *Ticket, member *member, now cherrykeel.Instant) Decision {
-	service.trials.sent(service.random(), now)
-	verdict := service.granted(ticket, member, now)
-	verdict.Slot.Probe = true
-	return verdict
+// assignProbeSlot assigns a slot to a ticket that the estimate rules out.
+func (service *Service) assignProbeSlot(ticket *Ticket, member *member, now cherrykeel.Instant) Decision {
+	service.probes.recordSent(service.random(), now)
+	decision := service.assignSlot(ticket, member, now)
+	decision.Slot.Probe = true
+	return decision
 }
 
-// noteTrial takes note of a trial's answer that came in time. Every estimate that would have ruled it out is forgotten: all
-// were learned at about the same time, likely for one reason, and with a trial for each of hundreds of upstreams it would
-// take minutes until all are used again. One that is as slow as it seemed is learned anew by the answers that come in time.
-func (service *Service) noteTrial(place *Slot, now cherrykeel.Instant) {
-	service.trials = trials{}
-	given := place.Deadline.Sub(place.StartedAt)
+// recordProbeAnswered records that a probe was answered in time. It resets every processing time that would have ruled
+// the probe out: all were learned at about the same time, probably for the same reason, and with a probe for each of
+// hundreds of upstreams it would take minutes until all are used again. If an upstream is as slow as it seemed, the
+// answers that come in time show it again.
+func (service *Service) recordProbeAnswered(slot *Slot, now cherrykeel.Instant) {
+	service.probes = probes{}
+	allowed := slot.Deadline.Sub(slot.StartedAt)
 	for _, member := range service.members {
-		if member == place.member || time.Duration(hopelessShare*float64(member.work)) > given {
-			service.works.remove(member.work)
-			member.work = 0
+		if member == slot.member || time.Duration(minTimeShare*float64(member.processingTime)) > allowed {
+			service.processingTimes.remove(member.processingTime)
+			member.processingTime = 0
 		}
 	}
 }
 
-// quiet reports whether this host has sent it nothing lately whose answer will tell how fast it is.
-func (member *member) quiet(now cherrykeel.Instant) bool {
-	return member.own == 0 && now.Sub(member.sentAt) >= quietFor
+// isIdle reports whether this host has no request at the upstream and has sent none within minProbePause, so that no
+// answer is due that would show its speed.
+func (member *member) isIdle(now cherrykeel.Instant) bool {
+	return member.localLoad == 0 && now.Sub(member.lastSentAt) >= minProbePause
 }
--- a/keeper/term.go
+++ b/keeper/term.go
@@ -10,112 +10,123 @@
 )
 
 const (
-	// renewShare is the share of a lease after which it is renewed.
+	// renewShare is the share of the lease duration after which leases are renewed.
 	renewShare = 0.25
-	teachAgain = 150 * time.Millisecond
-	// assignPatience is how long the log may take before a lost upstream's successors are promoted without it.
-	assignPatience = 200 * time.Millisecond
-	assignAgain    = time.Second
-	overlayAgain   = 500 * time.Millisecond
-	// balanceEvery is the time between rounds that move work for the sake of balance.
-	balanceEvery = 2 * time.Second
-	// moveShare is the share of partitions that one round may move by choice.
-	moveShare = 1.0 / 32
-	// returnPatience is how long a lost upstream must answer before it gets work again; it doubles with each loss.
-	returnPatience    = 3 * time.Second
-	maxReturnPatience = 5 * time.Minute
+	// announceRetryAfter is the time between term notices to witnesses that have not recorded the new term.
+	announceRetryAfter = 150 * time.Millisecond
+	// assignTimeout is how long the log may take before the successors of an unavailable upstream are promoted
+	// without it.
+	assignTimeout = 200 * time.Millisecond
+	// assignRetryAfter is how long the keeper waits for the log before it proposes a placement again.
+	assignRetryAfter = time.Second
+	// overlayResendAfter is the time after which an overlay is sent to all hosts again.
+	overlayResendAfter = 500 * time.Millisecond
+	// balanceInterval is the time between rounds that move keys for balance.
+	balanceInterval = 2 * time.Second
+	// maxMoveShare is the share of the partitions that one round may move for balance.
+	maxMoveShare = 1.0 / 32
+	// returnDelay is how long an upstream that was unavailable must answer before it gets work again. It doubles with
+	// each loss, up to maxReturnDelay.
+	returnDelay    = 3 * time.Second
+	maxReturnDelay = 5 * time.Minute
 )
 
-// term is what a keeper knows while its term lasts.
+// term is the state of a keeper during its term.
 type term struct {
-	number    int64
-	service   string
-	self      string
-	placer    cherrykeel.Placer
-	ledger    *lease.Ledger
-	quorum    *lease.Quorum
-	earlier   []*earlier
+	number       int64
+	service      string
+	self         string
+	placer       cherrykeel.Placer
+	ledger       *lease.Ledger
+	quorum       *lease.Quorum
+	earlierTerms []*earlierTerm
+	// failures counts the failed orders of each lessee.
 	failures  map[string]int
 	addresses map[string]string
-	lost      map[string]cherrykeel.Instant
-	losses    map[string]int
-	renewedAt cherrykeel.Instant
-	taughtAt  cherrykeel.Instant
+	// unavailable is when each unavailable upstream was last found to be so, and unavailableCounts how often each one
+	// became unavailable.
+	unavailable       map[string]cherrykeel.Instant
+	unavailableCounts map[string]int
+	renewedAt         cherrykeel.Instant
+	announcedAt       cherrykeel.Instant
 
-	// sequence is the block's at which proposed was computed.
-	sequence   int64
-	proposed   *cherrykeel.Placement
-	proposedAt cherrykeel.Instant
-	overlay    *cherrykeel.Placement
-	overlayAt  cherrykeel.Instant
-	balancedAt cherrykeel.Instant
-	reclaimAt  cherrykeel.Instant
-	adopted    bool
-	promoted   int
+	// sequence is the sequence of the block from which proposed was computed.
+	sequence    int64
+	proposed    *cherrykeel.Placement
+	proposedAt  cherrykeel.Instant
+	overlay     *cherrykeel.Placement
+	overlayAt   cherrykeel.Instant
+	balancedAt  cherrykeel.Instant
+	reclaimedAt cherrykeel.Instant
+	// adopted is true once the assignments of earlier terms were adopted.
+	adopted bool
+	// promoted counts the partitions whose owner in force differs from the one in the log.
+	promoted int
 }
 
-// earlier is a term whose witnesses must learn of the new one.
-type earlier struct {
+// earlierTerm is a replaced term whose witnesses must learn of the new one.
+type earlierTerm struct {
 	fold.EarlierTerm
-	taught map[string]cherrykeel.Instant
+	learnedAt map[string]cherrykeel.Instant
 }
 
 func newTerm(keeper *Keeper, input Input) *term {
 	service := input.Service
 	options := []lease.Option{}
 	if !service.ChecksFences {
-		options = append(options, lease.LeaseToHosts(boundOf(input.Block.Timeout, service)))
+		options = append(options, lease.LeaseToHosts(requestTimeout(input.Block.Timeout, service)))
 	}
 	term := &term{
-		number:    input.Block.Term,
-		service:   keeper.service,
-		self:      keeper.self,
-		placer:    keeper.placer,
-		ledger:    lease.NewLedger(keeper.service, input.Block.Term, input.Block.LeaseLength, partitionOf(service.Partitions), options...),
-		quorum:    lease.NewQuorum(input.Block.Witnesses),
-		failures:  map[string]int{},
-		addresses: map[string]string{},
-		lost:      map[string]cherrykeel.Instant{},
-		losses:    map[string]int{},
+		number:            input.Block.Term,
+		service:           keeper.service,
+		self:              keeper.self,
+		placer:            keeper.placer,
+		ledger:            lease.NewLedger(keeper.service, input.Block.Term, input.Block.LeaseLength, partitionOf(service.Partitions), options...),
+		quorum:            lease.NewQuorum(input.Block.Witnesses),
+		failures:          map[string]int{},
+		addresses:         map[string]string{},
+		unavailable:       map[string]cherrykeel.Instant{},
+		unavailableCounts: map[string]int{},
 	}
 	for _, replaced := range input.Block.Earlier {
-		term.earlier = append(term.earlier, &earlier{EarlierTerm: replaced, taught: map[string]cherrykeel.Instant{}})
+		term.earlierTerms = append(term.earlierTerms, &earlierTerm{EarlierTerm: replaced, learnedAt: map[string]cherrykeel.Instant{}})
 	}
 	return term
 }
 
-// issued reports whether an order was made in this term.
-func (term *term) issued(order lease.Order) bool {
+// hasIssued reports whether an order belongs to this term.
+func (term *term) hasIssued(order lease.Order) bool {
 	return order.Query || order.Grant.Fence.Term == term.number
 }
 
-func (term *term) failed(order lease.Order) {
+func (term *term) recordFailure(order lease.Order) {
 	term.failures[order.Lessee]++
 	term.ledger.RecordFailure(order)
 }
 
 func (term *term) tick(input Input, actions *Actions) {
-	term.teach(input, actions)
-	term.free(input)
-	term.watchAddresses(input)
+	term.announceTerm(input, actions)
+	term.updateFreeAt(input)
+	term.recordAddressChanges(input)
 	term.ledger.SetLessees(term.lessees(input))
-	term.watchUpstreams(input)
-	term.place(input, actions)
+	term.updateUnavailable(input)
+	term.updatePlacement(input, actions)
 	term.renew(input, actions)
 	term.refreshWitnesses(input, actions)
 }
 
-// watchAddresses tells the ledger of upstreams that are other processes now.
-func (term *term) watchAddresses(input Input) {
-	for _, server := range input.Service.Upstreams {
-		address, known := term.addresses[server.Name]
-		if known && address != server.Address && input.Service.ChecksFences {
-			term.ledger.RecordAddressChange(server.Name)
+// recordAddressChanges tells the ledger which upstreams have another address now, and so are other processes.
+func (term *term) recordAddressChanges(input Input) {
+	for _, upstream := range input.Service.Upstreams {
+		address, exists := term.addresses[upstream.Name]
+		if exists && address != upstream.Address && input.Service.ChecksFences {
+			term.ledger.RecordAddressChange(upstream.Name)
 		}
-		term.addresses[server.Name] = server.Address
+		term.addresses[upstream.Name] = upstream.Address
 	}
 }
 
+// lessees returns the upstreams, or the entry hosts if the upstreams do not check fences.
 func (term *term) lessees(input Input) []string {
 	var names []string
 	if !input.Service.ChecksFences {
@@ -124,135 +135,137 @@
 		}
 		return names
 	}
-	for _, server := range input.Service.Upstreams {
-		names = append(names, server.Name)
+	for _, upstream := range input.Service.Upstreams {
+		names = append(names, upstream.Name)
 	}
 	return names
 }
 
-// teach tells the witnesses of earlier terms that they are over.
-func (term *term) teach(input Input, actions *Actions) {
-	if term.ledger.FreeAt() != lease.Never || input.Now.Sub(term.taughtAt) < teachAgain && term.taughtAt != 0 {
+// announceTerm requests that the witnesses of earlier terms record the new one.
+func (term *term) announceTerm(input Input, actions *Actions) {
+	if term.ledger.FreeAt() != lease.Never || input.Now.Sub(term.announcedAt) < announceRetryAfter && term.announcedAt != 0 {
 		return
 	}
-	term.taughtAt = input.Now
-	for _, earlier := range term.earlier {
-		for _, host := range earlier.Witnesses {
-			if earlier.taught[host] != 0 {
+	term.announcedAt = input.Now
+	for _, earlierTerm := range term.earlierTerms {
+		for _, host := range earlierTerm.Witnesses {
+			if earlierTerm.learnedAt[host] != 0 {
 				continue
 			}
 			if input.RemovedHosts[host] {
-				// A host that the platform has taken off the list for long is destroyed,
-				// or was paused so long that it abstains when it wakes.
-				earlier.taught[host] = input.Now
+				// A host that the platform removed from its list long ago is destroyed, or was suspended for so long
+				// that it abstains when it resumes.
+				earlierTerm.learnedAt[host] = input.Now
 				continue
 			}
-			actions.TermNotices = append(actions.TermNotices, TermNotice{Host: host, EarlierTerm: earlier.Term, Term: term.number})
+			actions.TermNotices = append(actions.TermNotices, TermNotice{Host: host, EarlierTerm: earlierTerm.Term, Term: term.number})
 		}
 	}
 }
 
-func (term *term) taught(teaching TermNotice, now cherrykeel.Instant) {
-	for _, earlier := range term.earlier {
-		if earlier.Term == teaching.EarlierTerm && earlier.taught[teaching.Host] == 0 {
-			earlier.taught[teaching.Host] = now
+func (term *term) recordTermLearned(notice TermNotice, now cherrykeel.Instant) {
+	for _, earlierTerm := range term.earlierTerms {
+		if earlierTerm.Term == notice.EarlierTerm && earlierTerm.learnedAt[notice.Host] == 0 {
+			earlierTerm.learnedAt[notice.Host] = now
 		}
 	}
 }
 
-// free works out when the leases of all earlier terms have ended: a lease's length
-// after a majority of each term's witnesses stopped confirming it.
-func (term *term) free(input Input) {
+// updateFreeAt computes when the leases of all earlier terms have ended: a lease duration after a majority of each
+// term's witnesses stopped confirming it, and for upstreams that do not check fences also the time for which they may
+// still work on requests.
+func (term *term) updateFreeAt(input Input) {
 	if term.ledger.FreeAt() != lease.Never {
 		return
 	}
 	freeAt := cherrykeel.Instant(0)
-	for _, earlier := range term.earlier {
-		learned := earlier.learnedAt()
-		if learned == 0 {
+	for _, earlierTerm := range term.earlierTerms {
+		learnedAt := earlierTerm.majorityLearnedAt()
+		if learnedAt == 0 {
 			return
 		}
-		longest := lease.WithMaxDrift(earlier.LeaseLength)
-		if bound := boundOf(earlier.Timeout, input.Service); bound > 0 {
-			longest += lease.WithMaxDrift(lease.MaxProcessingTime(bound))
+		longest := lease.MaxElapsed(earlierTerm.LeaseLength)
+		if timeout := requestTimeout(earlierTerm.Timeout, input.Service); timeout > 0 {
+			longest += lease.MaxElapsed(lease.MaxProcessingTime(timeout))
 		}
-		freeAt = max(freeAt, learned.Add(longest))
+		freeAt = max(freeAt, learnedAt.Add(longest))
 	}
 	term.ledger.SetFreeAt(freeAt)
 }
 
-// boundOf returns the bound on the requests of a term: the claim's, not that of the settings, which may have
-// changed while requests run that were sent before. Claims of older programs name none.
-func boundOf(claimed time.Duration, service *cherrykeel.Service) time.Duration {
+// requestTimeout returns the limit on the requests of a term. It is the one in the claim, not in the settings, which
+// may have changed while earlier requests still run. Claims of older versions have none.
+func requestTimeout(claimed time.Duration, service *cherrykeel.Service) time.Duration {
 	if claimed > 0 {
 		return claimed
 	}
-	return timeoutOf(service)
+	return configuredTimeout(service)
 }
 
-// timeoutOf returns the bound that a claim names by the settings in force.
-func timeoutOf(service *cherrykeel.Service) time.Duration {
+// configuredTimeout returns the limit that a claim gets from the current settings, or 0 if upstreams check fences.
+func configuredTimeout(service *cherrykeel.Service) time.Duration {
 	if service.ChecksFences {
 		return 0
 	}
 	return service.Timeout
 }
 
-// learnedAt returns when a majority had learned, or 0.
-func (earlier *earlier) learnedAt() cherrykeel.Instant {
-	var at []cherrykeel.Instant
-	for _, host := range earlier.Witnesses {
-		if earlier.taught[host] != 0 {
-			at = append(at, earlier.taught[host])
+// majorityLearnedAt returns when a majority of the witnesses had learned of the new term, or 0.
+func (earlierTerm *earlierTerm) majorityLearnedAt() cherrykeel.Instant {
+	var instants []cherrykeel.Instant
+	for _, host := range earlierTerm.Witnesses {
+		if earlierTerm.learnedAt[host] != 0 {
+			instants = append(instants, earlierTerm.learnedAt[host])
 		}
 	}
-	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
-	needed := len(earlier.Witnesses)/2 + 1
-	if len(at) < needed {
+	sort.Slice(instants, func(i, j int) bool { return instants[i] < instants[j] })
+	needed := len(earlierTerm.Witnesses)/2 + 1
+	if len(instants) < needed {
 		return 0
 	}
-	return at[needed-1]
+	return instants[needed-1]
 }
 
-// renew asks the witnesses and sends the leases.
+// renew requests confirmations and renews the leases.
 func (term *term) renew(input Input, actions *Actions) {
-	every := time.Duration(renewShare * float64(input.Block.LeaseLength))
+	interval := time.Duration(renewShare * float64(input.Block.LeaseLength))
 	settled := term.ledger.IsSettled(input.Now)
-	if settled && term.renewedAt != 0 && input.Now.Sub(term.renewedAt) < every {
+	if settled && term.renewedAt != 0 && input.Now.Sub(term.renewedAt) < interval {
 		return
 	}
-	if term.renewedAt == 0 || !settled || input.Now.Sub(term.renewedAt) >= every {
-		// While something changes hands, the witnesses are asked at every tick: what a lost
-		// upstream held is free only once they have confirmed the term after its lease's end.
+	if term.renewedAt == 0 || !settled || input.Now.Sub(term.renewedAt) >= interval {
+		// During a transfer the witnesses are asked at every tick: what an unavailable upstream held is free only
+		// after they have confirmed the term after its lease's end.
 		term.renewedAt = input.Now
 		actions.RequestConfirmation = input.Block.Witnesses
 	}
 	actions.Orders = term.ledger.NextOrders(input.Now, term.quorum.ConfirmedAt())
 }
 
-// refreshWitnesses claims the term anew when witnesses have left, or requests may take another time than the
-// claim says: at leisure while most of them are there, and at once when most are lost, since nothing can be
-// renewed without them.
+// refreshWitnesses claims the term again when witnesses have left, more can be chosen, or the limit on requests has
+// changed. It waits until all leases are settled unless most witnesses are missing, since nothing can be renewed
+// without a majority.
 func (term *term) refreshWitnesses(input Input, actions *Actions) {
 	missing := term.missingWitnesses(input)
-	better := ChooseWitnesses(term.service, term.self, input.Hosts)
-	grown := len(better) > len(input.Block.Witnesses)
-	stuck := 2*missing > len(input.Block.Witnesses)
-	wanted := missing > 0 || grown || timeoutOf(input.Service) != input.Block.Timeout
-	recent := term.reclaimAt != 0 && input.Now.Sub(term.reclaimAt) < listPatience
-	if !wanted || recent || input.Leaving || !stuck && !term.ledger.IsSettled(input.Now) {
+	witnesses := ChooseWitnesses(term.service, term.self, input.Hosts)
+	moreAvailable := len(witnesses) > len(input.Block.Witnesses)
+	mostMissing := 2*missing > len(input.Block.Witnesses)
+	shouldClaim := missing > 0 || moreAvailable || configuredTimeout(input.Service) != input.Block.Timeout
+	recent := term.reclaimedAt != 0 && input.Now.Sub(term.reclaimedAt) < unlistedTimeout
+	if !shouldClaim || recent || input.Leaving || !mostMissing && !term.ledger.IsSettled(input.Now) {
 		return
 	}
-	term.reclaimAt = input.Now
+	term.reclaimedAt = input.Now
 	actions.Claim = &fold.Claim{
 		Service:     term.service,
 		Term:        term.number,
 		LeaseLength: input.Service.LeaseLength,
-		Timeout:     timeoutOf(input.Service),
-		Witnesses:   better,
+		Timeout:     configuredTimeout(input.Service),
+		Witnesses:   witnesses,
 	}
 }
 
+// missingWitnesses counts the witnesses that have left or are leaving.
 func (term *term) missingWitnesses(input Input) int {
 	staying := map[string]bool{}
 	for _, host := range input.Hosts {
@@ -269,7 +282,7 @@
 
 func (term *term) report(now cherrykeel.Instant) Report {
 	report := Report{Term: term.number, Settled: term.ledger.IsSettled(now), ConfirmedAge: now.Sub(term.quorum.ConfirmedAt())}
-	for name := range term.lost {
+	for name := range term.unavailable {
 		report.Unavailable = append(report.Unavailable, name)
 	}
 	sort.Strings(report.Unavailable)
--- a/share/mesh.go
+++ b/share/mesh.go
@@ -14,94 +14,98 @@
 )
 
 const (
-	// busyEvery is the pace of loads while some upstream is full or a request waits. A request takes 40 to
-	// 900 ms at an upstream, so counts of 80 ms ago are wrong by few requests, which its own queue takes up.
-	busyEvery = 80 * time.Millisecond
-	// calmEvery is the pace while every upstream has free slots and the counts decide little. Sent at the
-	// busy pace all day, loads made two thirds of the bytes between availability zones.
-	calmEvery = 160 * time.Millisecond
-	// reportEvery is the pace of reports, and of loads that do not change.
-	reportEvery = 250 * time.Millisecond
-	// reportSlowdown is by how much reports are slower once not every host tells every other; a silent keeper
-	// has to be missed within a second.
+	// busyLoadInterval is the interval of loads while an upstream is full or a request waits, and of the main loop. A
+	// request takes 40 to 900 ms at an upstream, so counts that are 80 ms old are wrong by few requests, which the
+	// upstream's own queue absorbs.
+	busyLoadInterval = 80 * time.Millisecond
+	// quietLoadInterval is the interval of loads while every upstream has free slots and the counts affect few
+	// decisions. Sent every busyLoadInterval all day, loads were two thirds of the bytes between availability zones.
+	quietLoadInterval = 160 * time.Millisecond
+	// reportInterval is the interval of reports, and of loads that do not change.
+	reportInterval = 250 * time.Millisecond
+	// reportSlowdown multiplies the interval of reports when the hosts are too many for a full mesh; it is small since
+	// the loss of a keeper must be noticed within a second.
 	reportSlowdown = 2
-	// staleAfter is when a silent host's counts are no longer believed.
+	// staleAfter is the age from which a host's reports and counts are not used any more.
 	staleAfter = time.Second
-	// maxDatagram bounds one message; demand beyond it is cut.
-	maxDatagram = 60 << 10
+	// maxDatagramBytes bounds the encoded size of an announcement; larger ones are not sent.
+	maxDatagramBytes = 60 << 10
 )
 
-// ReceivedReport is what a host told last.
+// ReceivedReport is the newest report of a host and when it was received on this host's clock.
 type ReceivedReport struct {
 	Report     Report
 	ReceivedAt cherrykeel.Instant
 }
 
-// StateSource is what a host has to tell of itself.
+// StateSource fills in this host's own state before it is sent.
 type StateSource interface {
-	// FillReport fills in the slow part.
+	// FillReport fills in the part that changes slowly.
 	FillReport(report *Report)
-	// FillLoad fills in the present work and reports whether it is so much that counts matter.
+	// FillLoad fills in the requests at upstreams and waiting, and reports whether an upstream is full or a request
+	// waits.
 	FillLoad(load *Load) bool
 }
 
-// Mesh exchanges reports with the other hosts.
+// Mesh exchanges state with the other hosts.
 type Mesh struct {
 	self   cherrykeel.Peer
 	clock  cherrykeel.Clock
 	logger *zap.Logger
-	state  StateSource
-	// reported is called after others' reports have come, and counted after their loads; demand takes a
-	// message for the keeper.
-	reported func()
-	counted  func()
-	demand   func(demand Demand)
-	told     func(told Announcement)
+	source StateSource
+	// onReport is called after a report of another host was recorded, onCounts after a load or a sum. onDemand gets
+	// demand for the keeper, onAnnouncement the records that another host announces.
+	onReport       func()
+	onCounts       func()
+	onDemand       func(demand Demand)
+	onAnnouncement func(announcement Announcement)
 
 	socket   *net.UDPConn
 	mutex    sync.Mutex
 	peers    map[string]cherrykeel.Peer
 	resolved map[string]*net.UDPAddr
-	heard    map[string]ReceivedReport
-	silent   map[string]bool
-	asked    map[string][]int
-	sequence uint64
-	keeper   string
-	// unknown says that a host has reported that is not among the peers.
-	unknown bool
-	// storeless says that the store does not serve this host.
-	storeless bool
-	// ended says that this host has reported its end.
-	ended bool
-	fleet *topo.Fleet
-	plan  topo.Plan
-	// watchingSince is when this host last became one that hears from all.
-	watchingSince cherrykeel.Instant
-	// awakeAt is when the process was last seen to run, undatedUntil ends what is dropped after a suspension.
-	awakeAt      cherrykeel.Instant
-	undatedUntil cherrykeel.Instant
-	// pausedAt and wokeAt are the ends of the pause in which what is noticed now may have come, ran is how long the process
-	// ran since.
-	pausedAt cherrykeel.Instant
-	wokeAt   cherrykeel.Instant
-	ran      time.Duration
-	spoken   spoken
-	loads    loads
-	workTold map[string]toldWork
-	demandAt cherrykeel.Instant
+	// reports has the newest report by host, unreachable the hosts that have been logged as unreachable.
+	reports       map[string]ReceivedReport
+	unreachable   map[string]bool
+	requestedKeys map[string][]int
+	sequence      uint64
+	keeper        string
+	// unknownSender is set when a host has reported that is not among the peers, or another incarnation of one.
+	unknownSender bool
+	// storeUnreachable is set while the store does not serve this host.
+	storeUnreachable bool
+	// stopped is set once this host has reported that it has stopped.
+	stopped bool
+	fleet   *topo.Fleet
+	plan    topo.Plan
+	// hubSince is when this host last began to receive the reports of all hosts.
+	hubSince cherrykeel.Instant
+	// lastRunAt is when the process last recorded that it runs; until discardUntil messages are dropped after a
+	// suspension.
+	lastRunAt    cherrykeel.Instant
+	discardUntil cherrykeel.Instant
+	// pauseStart and pauseEnd bound the last pause in which events may have happened that are noticed only now;
+	// ranSincePause is how long the process has run since.
+	pauseStart          cherrykeel.Instant
+	pauseEnd            cherrykeel.Instant
+	ranSincePause       time.Duration
+	contacts            contacts
+	loads               loads
+	sentProcessingTimes map[string]sentProcessingTime
+	demandSentAt        cherrykeel.Instant
 }
 
-// New returns a mesh; reported, counted, demand and told are called from its own goroutines.
-func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, state StateSource, reported, counted func(), demand func(Demand), told func(Announcement)) *Mesh {
+// New returns a mesh; the callbacks are called from its own goroutines, and onDemand also from ReportDemand.
+func New(self cherrykeel.Peer, clock cherrykeel.Clock, logger *zap.Logger, source StateSource, onReport, onCounts func(), onDemand func(Demand), onAnnouncement func(Announcement)) *Mesh {
 	return &Mesh{
-		self: self, clock: clock, logger: logger, state: state, reported: reported, counted: counted, demand: demand, told: told,
+		self: self, clock: clock, logger: logger, source: source, onReport: onReport, onCounts: onCounts, onDemand: onDemand, onAnnouncement: onAnnouncement,
 		peers: map[string]cherrykeel.Peer{}, resolved: map[string]*net.UDPAddr{},
-		heard: map[string]ReceivedReport{}, silent: map[string]bool{}, asked: map[string][]int{},
-		fleet: topo.NewFleet(self.Name, []cherrykeel.Peer{self}), plan: topo.Plan{FullMesh: true}, watchingSince: clock.Now(), awakeAt: clock.Now(), spoken: newSpoken(), loads: newLoads(), workTold: map[string]toldWork{},
+		reports: map[string]ReceivedReport{}, unreachable: map[string]bool{}, requestedKeys: map[string][]int{},
+		fleet: topo.NewFleet(self.Name, []cherrykeel.Peer{self}), plan: topo.Plan{FullMesh: true}, hubSince: clock.Now(), lastRunAt: clock.Now(), contacts: newContacts(), loads: newLoads(), sentProcessingTimes: map[string]sentProcessingTime{},
 	}
 }
 
-// Listen opens the socket.
+// Listen opens the socket on this host's internal address; its errors are those of net.
 func (mesh *Mesh) Listen() error {
 	address, err := net.ResolveUDPAddr("udp", mesh.self.InternalAddress)
 	if err != nil {
@@ -111,7 +115,7 @@
 	return errors.WithStack(err)
 }
 
-// SetPeers replaces the hosts that are told and believed.
+// SetPeers replaces the hosts to which messages are sent and of which they are accepted.
 func (mesh *Mesh) SetPeers(peers []cherrykeel.Peer) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -129,35 +133,35 @@
 		mesh.peers[peer.Name] = peer
 		mesh.resolved[peer.Name] = address
 	}
-	for name, heard := range mesh.heard {
-		if mesh.peers[name].Incarnation != heard.Report.Incarnation {
-			delete(mesh.heard, name)
-			mesh.spoken.forget(name)
+	for name, received := range mesh.reports {
+		if mesh.peers[name].Incarnation != received.Report.Incarnation {
+			delete(mesh.reports, name)
+			mesh.contacts.forget(name)
 		}
 	}
-	mesh.loads.keep(mesh.peers)
-	everyone := []cherrykeel.Peer{mesh.self}
+	mesh.loads.retain(mesh.peers)
+	hosts := []cherrykeel.Peer{mesh.self}
 	for _, peer := range mesh.peers {
-		everyone = append(everyone, peer)
+		hosts = append(hosts, peer)
 	}
-	mesh.fleet = topo.NewFleet(mesh.self.Name, everyone)
+	mesh.fleet = topo.NewFleet(mesh.self.Name, hosts)
 	mesh.replan()
 }
 
-// SetKeeper tells who keeps the spans: reports go there, from wherever they come.
+// SetKeeper sets the host that is the keeper of spans; reports are sent to it from every host.
 func (mesh *Mesh) SetKeeper(name string) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	mesh.keeper = name
 }
 
-// replan decides anew to whom to send; Mesh.mutex is held.
+// replan decides again to which hosts to send; Mesh.mutex is held.
 func (mesh *Mesh) replan() {
 	now := mesh.clock.Now()
 	before := mesh.plan
 	mesh.plan = mesh.fleet.Plan(&liveness{mesh: mesh, now: now})
-	if !mesh.watches(before) && mesh.watches(mesh.plan) {
-		mesh.watchingSince = now
+	if !mesh.receivesFromAll(before) && mesh.receivesFromAll(mesh.plan) {
+		mesh.hubSince = now
 	}
 	if before.GroupLabel != mesh.plan.GroupLabel || before.Aggregator != mesh.plan.Aggregator {
 		events.Log(mesh.logger, events.GroupChanged,
@@ -166,87 +170,90 @@
 	}
 }
 
-func (mesh *Mesh) noteSilence(now cherrykeel.Instant) {
+// logUnreachable logs each host once whose last report has become stale, unless it has stopped.
+func (mesh *Mesh) logUnreachable(now cherrykeel.Instant) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	for name, heard := range mesh.heard {
-		age := now.Sub(heard.ReceivedAt)
-		if age < staleAfter || mesh.silent[name] || heard.Report.Stopped {
+	for name, received := range mesh.reports {
+		age := now.Sub(received.ReceivedAt)
+		if age < staleAfter || mesh.unreachable[name] || received.Report.Stopped {
 			continue
 		}
-		mesh.silent[name] = true
+		mesh.unreachable[name] = true
 		events.Log(mesh.logger, events.PeerSilent, zap.String("Host", name), zap.Duration("Age", age))
 	}
 }
 
-// OtherCounts adds up what all other hosts do, as far as they told lately.
+// OtherCounts returns the sum of the fresh counts of all other hosts.
 func (mesh *Mesh) OtherCounts() Counts {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	return mesh.loads.total(mesh.plan, mesh.self.Name, mesh.clock.Now())
+	return mesh.loads.otherHosts(mesh.plan, mesh.self.Name, mesh.clock.Now())
 }
 
-// Reports returns what other hosts told within the given age.
+// Reports returns the reports of other hosts that were received within the given age.
 func (mesh *Mesh) Reports(age time.Duration) []ReceivedReport {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	now := mesh.clock.Now()
 	var fresh []ReceivedReport
-	for _, heard := range mesh.heard {
-		if now.Sub(heard.ReceivedAt) <= age {
-			fresh = append(fresh, heard)
+	for _, received := range mesh.reports {
+		if now.Sub(received.ReceivedAt) <= age {
+			fresh = append(fresh, received)
 		}
 	}
 	return fresh
 }
 
-// FreshReports returns the reports that are still believed.
+// FreshReports returns the reports that are recent enough to use.
 func (mesh *Mesh) FreshReports() []ReceivedReport {
 	return mesh.Reports(staleAfter)
 }
 
-// TimeSinceReport returns how long a host has not been heard; false if it never was in its present life.
+// TimeSinceReport returns how long ago a host's last report was received; false if its present incarnation has sent
+// none.
 func (mesh *Mesh) TimeSinceReport(name string) (time.Duration, bool) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	heard, known := mesh.heard[name]
+	received, known := mesh.reports[name]
 	if !known {
 		return 0, false
 	}
-	return mesh.clock.Now().Sub(heard.ReceivedAt), true
+	return mesh.clock.Now().Sub(received.ReceivedAt), true
 }
 
-// watches reports whether this host hears from all others under a plan.
-func (mesh *Mesh) watches(plan topo.Plan) bool {
+// receivesFromAll reports whether this host receives the reports of all hosts under a plan.
+func (mesh *Mesh) receivesFromAll(plan topo.Plan) bool {
 	return plan.FullMesh || plan.IsHub(mesh.self.Name)
 }
 
-// HubDuration returns how long this host has heard from all others; 0 while it does not.
+// HubDuration returns for how long this host has received the reports of all hosts; 0 while it does not.
 func (mesh *Mesh) HubDuration() time.Duration {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	if !mesh.watches(mesh.plan) {
+	if !mesh.receivesFromAll(mesh.plan) {
 		return 0
 	}
-	return mesh.clock.Now().Sub(mesh.watchingSince)
+	return mesh.clock.Now().Sub(mesh.hubSince)
 }
 
-// Rank returns this host's place among those that are believed and that count, from 0; counts must not ask the mesh.
+// Rank returns how many hosts come before this one in the order of hosts, of those with a fresh report that counts
+// accepts. It calls counts with Mesh.mutex held, so counts must not call the mesh.
 func (mesh *Mesh) Rank(counts func(report Report) bool) int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	now := mesh.clock.Now()
 	own := mesh.plan.Rank(mesh.self.Name)
 	rank := 0
-	for name, heard := range mesh.heard {
-		if now.Sub(heard.ReceivedAt) <= staleAfter && mesh.plan.Rank(name) < own && counts(heard.Report) {
+	for name, received := range mesh.reports {
+		if now.Sub(received.ReceivedAt) <= staleAfter && mesh.plan.Rank(name) < own && counts(received.Report) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// Position returns this host's place in the order of all hosts, heard or not, from 0.
+// Position returns this host's position in the order of all hosts, reachable or not, from 0.
 func (mesh *Mesh) Position() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
--- a/share/message.go
+++ b/share/message.go
@@ -13,51 +13,52 @@
 )
 
 // ErrMalformed means that a datagram is no message of this protocol.
-var ErrMalformed = errors.New("the message cannot be read")
+var ErrMalformed = errors.New("malformed message")
 
 // The methods of the protocol.
 const (
-	methodReport = "Report"
-	methodLoad   = "Load"
-	methodSum    = "Sum"
-	methodDemand = "Demand"
-	methodTell   = "Tell"
+	methodReport   = "Report"
+	methodLoad     = "Load"
+	methodSum      = "Sum"
+	methodDemand   = "Demand"
+	methodAnnounce = "Tell"
 )
 
-// Report is what a host tells all others when it changes, and at a slow pace.
+// Report is a host's state that changes slowly; it is sent after each change and at an interval.
 type Report struct {
+	// Host and Incarnation name the sender.
 	Host        string
 	Incarnation string `json:"Life"`
-	// Sequence grows with each message; an older one that comes late is dropped.
+	// Sequence grows with each message; an older one that arrives late is dropped.
 	Sequence uint64
 	// Term is the newest term of the spans that the host has read since its start, or -1.
 	Term int64
-	// Offsets has, by topic of the store, where the newest change stands that the host knows.
+	// Offsets has, by topic of the store, the offset of the newest change that the host has read.
 	Offsets map[string]int64
-	// StoreAvailable says that the store serves the host.
+	// StoreAvailable is set while the store serves the host.
 	StoreAvailable bool `json:"StoreWell"`
-	// Ages has, by topic, how long before this report the host's own last read of it was begun. Together
-	// with Offsets it tells how old the receiver's knowledge is; reads longer ago are left out.
+	// Ages has, by topic, how long before this report the host's own last read of it began; reads that are too old are
+	// left out. Together with Offsets it shows the receiver how old its own state is.
 	Ages map[string]time.Duration `json:",omitempty"`
-	// FinalGrants is told by the keeper of spans, and passed on by the others.
+	// FinalGrants comes from the keeper of spans, and is passed on by the other hosts.
 	FinalGrants *FinalGrants `json:"Finals,omitempty"`
-	// Stopped says that this is the host's last word: it has stopped by plan.
+	// Stopped marks the last report of a host, sent in its graceful shutdown.
 	Stopped bool `json:"Ended,omitempty"`
 }
 
-// FinalGrants tells of owners that the keeper of a term grants nothing any more.
+// FinalGrants names owners whose grants the keeper of a term will not renew.
 type FinalGrants struct {
 	Term int64
-	// EndsWithin is the time from this report in which all that was granted to an owner has surely ended.
+	// EndsWithin is the time from this report after which every grant of an owner has ended.
 	EndsWithin map[string]time.Duration `json:"Within"`
-	// Departed are owners that leave and answer nothing any more.
+	// Departed are owners that leave and do not answer any more.
 	Departed []string `json:",omitempty"`
 }
 
-// Counts are requests at upstreams and waiting. They are sent most often of all, so upstreams and services
-// stand in them by their Short names.
+// Counts are requests at upstreams and waiting requests. Loads and sums, the messages that are sent most often, consist
+// of them, so upstreams and services appear under their short names.
 type Counts struct {
-	// Running counts requests at each upstream.
+	// Running counts requests by upstream.
 	Running map[string]int `json:",omitempty"`
 	// Waiting counts waiting requests by owner, Queued those by service.
 	Waiting map[string]int `json:",omitempty"`
@@ -68,13 +69,14 @@
 	return Counts{Running: map[string]int{}, Waiting: map[string]int{}, Queued: map[string]int{}}
 }
 
+// add adds other counts the given number of times; -1 subtracts them.
 func (counts *Counts) add(other Counts, times int) {
-	addAll(counts.Running, other.Running, times)
-	addAll(counts.Waiting, other.Waiting, times)
-	addAll(counts.Queued, other.Queued, times)
+	addScaled(counts.Running, other.Running, times)
+	addScaled(counts.Waiting, other.Waiting, times)
+	addScaled(counts.Queued, other.Queued, times)
 }
 
-func addAll(sums, counts map[string]int, times int) {
+func addScaled(sums, counts map[string]int, times int) {
 	for name, count := range counts {
 		sum := sums[name] + times*count
 		sums[name] = sum
@@ -84,7 +86,7 @@
 	}
 }
 
-// Load is a host's present work.
+// Load is the counts of one host.
 type Load struct {
 	Host        string
 	Incarnation string `json:"Life"`
@@ -92,29 +94,29 @@
 	Counts
 }
 
-// Sum is what all hosts of a group do, as the group's head told.
+// Sum is the sum of the loads of a group's hosts, sent by the group's aggregator.
 type Sum struct {
 	Host        string
 	Incarnation string `json:"Life"`
 	Group       string
 	Sequence    uint64
 	Counts
-	// IncludedSequences has, by the members' Short names, the Sequence of each one's load that is in the sum.
+	// IncludedSequences has, by the members' short names, the Sequence of each member's load that is in the sum.
 	IncludedSequences map[string]uint64 `json:"Included,omitempty"`
 }
 
-// shortBytes makes short names of 4 characters: among 400 upstreams two share one in 1 case of 200, and
+// shortNameBytes makes short names of 4 characters: among 400 upstreams two have the same one in 1 case of 200, and
 // then each is counted with the other's requests too.
-const shortBytes = 3
+const shortNameBytes = 3
 
-// ShortName returns a name's short form.
+// ShortName returns a short form of a name, a hash of it in 4 characters.
 func ShortName(name string) string {
 	hash := xxhash.Sum64String(name)
 	bytes := []byte{byte(hash), byte(hash >> 8), byte(hash >> 16)}
-	return base64.RawURLEncoding.EncodeToString(bytes[:shortBytes])
+	return base64.RawURLEncoding.EncodeToString(bytes[:shortNameBytes])
 }
 
-// ShortenKeys returns counts by short names.
+// ShortenKeys returns the counts by short names.
 func ShortenKeys(counts map[string]int) map[string]int {
 	short := make(map[string]int, len(counts))
 	for name, count := range counts {
@@ -125,28 +127,32 @@
 
 // Announcement passes on records that a host has read from the store or written to it.
 type Announcement struct {
+	// Host is the sender. Topic names the kind of the records.
 	Host    string
 	Topic   string
 	Records []cherrykeel.KeyedRecord
-	// PreviousOffset is the offset of the change before these, or NoChange; who does not know it has missed one.
+	// PreviousOffset is the offset of the change before these records, or NoPreviousChange; a receiver that has not
+	// read that change has missed one.
 	PreviousOffset int64 `json:"Before"`
 	// Forward asks the receiver to pass the message on to the hosts of its group.
 	Forward bool `json:",omitempty"`
 }
 
-// NoPreviousChange stands for no change before.
+// NoPreviousChange is the PreviousOffset of records that do not depend on an earlier change.
 const NoPreviousChange = -1
 
-// Demand tells the keeper which keys were asked for since the last one, and how fast their owners are.
+// Demand reports to the keeper which keys were requested since the last report, and the processing times of their
+// owners.
 type Demand struct {
 	Host    string
 	Service string
 	Keys    []int
-	// ProcessingTimes is the mean time that a request takes at each upstream, as the host finds it; only those that
-	// changed, or that were not told for a while.
+	// ProcessingTimes has the mean processing time of a request by upstream, as this host observes it; only those that
+	// have changed or were not sent for a while.
 	ProcessingTimes map[string]time.Duration `json:"Work,omitempty"`
 }
 
+// encode returns a message as a datagram's content, compressed if it is large.
 func encode(method string, message any) ([]byte, error) {
 	params, err := json.Marshal(message)
 	if err != nil {
@@ -157,11 +163,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return pack(data)
+	return compress(data)
 }
 
+// decode returns a datagram's method and parameters; its error is ErrMalformed.
 func decode(data []byte) (string, json.RawMessage, error) {
-	data, err := unpack(data)
+	data, err := decompress(data)
 	if err != nil {
 		return "", nil, err
 	}
--- a/spans/change.go
+++ b/spans/change.go
@@ -1,17 +1,17 @@
 package spans
 
-// Diff returns the table with only those spans that the one before does not have. With 111 upstreams the
-// whole table is some 30 KB, which each of 71 hosts got with each move.
+// Diff returns the table with only those spans that an earlier table lacks. Sending the difference saves traffic:
+// with 111 upstreams a whole table has some 30 KB, and each of 71 hosts would get it with every transfer.
 func (table Table) Diff(before Table) Table {
 	change := table
 	change.Services = map[string][]Owned{}
 	for service, list := range table.Services {
-		known := map[Owned]bool{}
+		existing := map[Owned]bool{}
 		for _, owned := range before.Services[service] {
-			known[owned] = true
+			existing[owned] = true
 		}
 		for _, owned := range list {
-			if !known[owned] {
+			if !existing[owned] {
 				change.Services[service] = append(change.Services[service], owned)
 			}
 		}
@@ -19,8 +19,8 @@
 	return change
 }
 
-// Apply returns the table that a change leads to. The spans of a table have no gaps, so whatever the
-// change overlaps is replaced by it, and all else stays.
+// Apply returns the table after a change that Diff returned. The spans of a service are contiguous, so the spans in
+// the change replace those that they overlap, and all others stay.
 func (table Table) Apply(change Table) Table {
 	changed := change
 	changed.Services = map[string][]Owned{}
@@ -28,15 +28,15 @@
 		changed.Services[service] = overlay(list, change.Services[service])
 	}
 	for service, list := range change.Services {
-		_, known := table.Services[service]
-		if !known {
+		_, exists := table.Services[service]
+		if !exists {
 			changed.Services[service] = append([]Owned(nil), list...)
 		}
 	}
 	return changed
 }
 
-// overlay merges two lists in order of their keys; where they overlap the upper one counts.
+// overlay merges two lists of spans in key order. A span of lower that overlaps one of upper is left out.
 func overlay(lower, upper []Owned) []Owned {
 	merged := make([]Owned, 0, len(lower)+len(upper))
 	next := 0
--- a/watch/zones.go
+++ b/watch/zones.go
@@ -9,40 +9,42 @@
 	"cherrykeel/events"
 )
 
-// Zones keeps which availability zones the operator has evacuated: the key of a zone's record is a prefix and the
-// zone's name, and the zone is taken back when the record is dropped.
+// Zones holds which availability zones the operator has evacuated. The key of a zone's record is a prefix and the
+// zone's name; the evacuation ends when the record is deleted.
 type Zones struct {
-	prefix string
-	clock  cherrykeel.Clock
-	logger *zap.Logger
-	change func()
+	prefix   string
+	clock    cherrykeel.Clock
+	logger   *zap.Logger
+	onChange func()
 
-	newest
-	zones map[string]ZoneState
-	known bool
+	changeTracker
+	zones   map[string]ZoneState
+	hasRead bool
 }
 
-// ZoneState is what the operator last ordered for an availability zone.
+// ZoneState is the operator's last order for an availability zone.
 type ZoneState struct {
+	// Evacuated reports whether the zone is evacuated; otherwise the evacuation has ended.
 	Evacuated bool
-	// Offset is where the order stands in the operator's topic.
+	// Offset is the offset of the order in the operator's topic.
 	Offset int64
-	// Since is when this host learned of the order; AtStart says that it may have been given long before.
-	Since   cherrykeel.Instant
+	// Since is when this host learned of the order; FoundAtStart means that it may have been given long before.
+	Since        cherrykeel.Instant
 	FoundAtStart bool
 }
 
-// NewZones returns a view that knows nothing; change is called when a zone was evacuated or taken back, and when the
-// topic has been read for the first time, and tell with each order that this host has read itself.
-func NewZones(prefix string, clock cherrykeel.Clock, logger *zap.Logger, change func(), tell func(cherrykeel.KeyedRecord)) *Zones {
-	return &Zones{prefix: prefix, clock: clock, logger: logger, change: change, newest: newNewest(tell), zones: map[string]ZoneState{}}
+// NewZones returns an empty view. It calls onChange when an evacuation begins or ends, and when the topic has been read
+// for the first time, and announce with each order that this host has read itself.
+func NewZones(prefix string, clock cherrykeel.Clock, logger *zap.Logger, onChange func(), announce func(cherrykeel.KeyedRecord)) *Zones {
+	return &Zones{prefix: prefix, clock: clock, logger: logger, onChange: onChange, changeTracker: newChangeTracker(announce), zones: map[string]ZoneState{}}
 }
 
-// HasRead reports whether this host has read the topic itself: until then a zone may be evacuated without its knowledge.
+// HasRead reports whether this host has read the topic itself; until then a zone may be evacuated without its
+// knowledge.
 func (zones *Zones) HasRead() bool {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
-	return zones.known
+	return zones.hasRead
 }
 
 // State returns the last order for a zone; false if none is known.
@@ -66,27 +68,27 @@
 	return evacuated
 }
 
-// Apply takes what the topic brought.
+// Apply applies an update of the topic.
 func (zones *Zones) Apply(update Update) {
 	zones.mutex.Lock()
 	orders := zones.orders(update)
-	var news []cherrykeel.KeyedRecord
+	var changed []cherrykeel.KeyedRecord
 	for _, order := range orders {
-		if zones.take(order, update) {
-			news = append(news, order)
+		if zones.applyOrder(order, update) {
+			changed = append(changed, order)
 		}
 	}
-	first := !zones.known && !update.FromPeer
-	zones.known = zones.known || !update.FromPeer
+	first := !zones.hasRead && !update.FromPeer
+	zones.hasRead = zones.hasRead || !update.FromPeer
 	zones.mutex.Unlock()
-	if first || len(news) > 0 {
-		zones.change()
+	if first || len(changed) > 0 {
+		zones.onChange()
 	}
-	zones.tellRead(update, news...)
+	zones.announceRead(update, changed...)
 }
 
-// orders returns the records about zones. The newest records of all keys lack those that were dropped, also when what
-// dropped them is no longer kept; such a zone was taken back by the end of what was read.
+// orders returns the records about zones. A snapshot lacks deleted records, and the record that deleted one may no
+// longer be kept; for a zone that the snapshot lacks, the evacuation has ended by the end of the snapshot.
 func (zones *Zones) orders(update Update) []cherrykeel.KeyedRecord {
 	var orders []cherrykeel.KeyedRecord
 	listed := map[string]bool{}
@@ -108,23 +110,23 @@
 	return orders
 }
 
-// take puts an order in force unless a later one for the zone is known, and reports whether it changes anything. A
-// take-back is remembered also by a host that missed the evacuation, which may still be told to it.
-func (zones *Zones) take(order cherrykeel.KeyedRecord, update Update) bool {
+// applyOrder applies an order unless a later one for the zone is known, and reports whether it changes anything. The
+// end of an evacuation is kept also by a host that missed its beginning, which another host may still send.
+func (zones *Zones) applyOrder(order cherrykeel.KeyedRecord, update Update) bool {
 	zone := strings.TrimPrefix(order.Key, zones.prefix)
 	before, known := zones.zones[zone]
 	evacuated := len(order.Value) > 0
 	if known && order.Offset <= before.Offset {
 		return false
 	}
-	zones.pass(order.Offset)
+	zones.advance(order.Offset)
 	if known && before.Evacuated == evacuated {
 		before.Offset = order.Offset
 		zones.zones[zone] = before
 		return false
 	}
 	zones.zones[zone] = ZoneState{
-		Evacuated: evacuated, Offset: order.Offset, Since: zones.clock.Now(), FoundAtStart: !zones.known && !update.FromPeer,
+		Evacuated: evacuated, Offset: order.Offset, Since: zones.clock.Now(), FoundAtStart: !zones.hasRead && !update.FromPeer,
 	}
 	event := events.ZoneTakenBack
 	if evacuated {
--- a/watch/zones_test.go
+++ b/watch/zones_test.go
@@ -12,16 +12,16 @@
 
 var _ = Describe("the evacuated availability zones", func() {
 	var (
-		view  *watch.Zones
-		clock *fakes.Clock
-		told  []cherrykeel.KeyedRecord
-		calls int
+		view      *watch.Zones
+		clock     *fakes.Clock
+		announced []cherrykeel.KeyedRecord
+		calls     int
 	)
 
 	BeforeEach(func() {
-		told, calls = nil, 0
+		announced, calls = nil, 0
 		clock = fakes.NewClock(100)
-		view = watch.NewZones("evacuate/", clock, zap.NewNop(), func() { calls++ }, func(record cherrykeel.KeyedRecord) { told = append(told, record) })
+		view = watch.NewZones("evacuate/", clock, zap.NewNop(), func() { calls++ }, func(record cherrykeel.KeyedRecord) { announced = append(announced, record) })
 	})
 
 	evacuated := func(zone string) bool {
@@ -29,15 +29,15 @@
 		return evacuated
 	}
 	read := func(records ...cherrykeel.KeyedRecord) { view.Apply(watch.Update{Records: records}) }
-	hear := func(records ...cherrykeel.KeyedRecord) {
+	receive := func(records ...cherrykeel.KeyedRecord) {
 		view.Apply(watch.Update{Records: records, FromPeer: true})
 	}
 	whole := func(next int64, records ...cherrykeel.KeyedRecord) {
 		view.Apply(watch.Update{Records: records, Snapshot: true, Next: next})
 	}
 
-	It("are known once this host has read the topic itself", func() {
-		hear(record("evacuate/a", "{}", 3))
+	It("count as read only once this host has read the topic itself", func() {
+		receive(record("evacuate/a", "{}", 3))
 		Expect(evacuated("a")).To(BeTrue())
 		Expect(view.HasRead()).To(BeFalse())
 		whole(4, record("config", "x", 1), record("evacuate/a", "{}", 3))
@@ -45,29 +45,30 @@
 		Expect(calls).To(Equal(2))
 	})
 
-	It("are each on their own, also two at once", func() {
+	It("are evacuated independently of each other, also two at once", func() {
 		whole(1)
 		read(record("evacuate/a", "{}", 3), record("config", "x", 4), record("evacuate/b", "{}", 5))
 		read(record("evacuate/a", "", 6))
 		Expect(evacuated("a")).To(BeFalse())
 		Expect(evacuated("b")).To(BeTrue())
 		Expect(view.Offset()).To(Equal(int64(6)))
-		Expect(told).To(HaveLen(3))
+		Expect(announced).To(HaveLen(3))
 	})
 
-	// Guards against a datagram that comes late and evacuates a zone that was taken back, also at a host that has missed
-	// the evacuation.
-	It("stay taken back when an older order comes late", func() {
+	// Guards against a datagram that arrives late and evacuates a zone again whose evacuation has ended, also at a host
+	// that has missed the evacuation.
+	It("stay in service when an older order arrives late", func() {
 		whole(1)
-		hear(record("evacuate/a", "", 6))
-		hear(record("evacuate/a", "{}", 5))
+		receive(record("evacuate/a", "", 6))
+		receive(record("evacuate/a", "{}", 5))
 		Expect(evacuated("a")).To(BeFalse())
 		state, _ := view.State("a")
 		Expect(state.Offset).To(Equal(int64(6)))
 	})
 
-	// Guards against a zone that stays evacuated for ever, since the record that took it back is no longer kept.
-	It("are taken back if the newest records of all keys lack them", func() {
+	// Guards against a zone that stays evacuated for ever because the record that ended its evacuation is no longer
+	// kept.
+	It("are back in service if a snapshot lacks them", func() {
 		whole(1)
 		read(record("evacuate/a", "{}", 3))
 		clock.Advance(100)
@@ -75,10 +76,10 @@
 		Expect(evacuated("a")).To(BeFalse())
 		state, _ := view.State("a")
 		Expect(state).To(Equal(watch.ZoneState{Offset: 8, Since: 200}))
-		Expect(told[len(told)-1]).To(Equal(cherrykeel.KeyedRecord{Key: "evacuate/a", Offset: 8}))
+		Expect(announced[len(announced)-1]).To(Equal(cherrykeel.KeyedRecord{Key: "evacuate/a", Offset: 8}))
 	})
 
-	It("keep the time of the first order while it is repeated", func() {
+	It("keep the time of the first order when it is repeated", func() {
 		whole(1)
 		read(record("evacuate/a", "{}", 3))
 		clock.Advance(100)
@@ -87,7 +88,7 @@
 		Expect(state).To(Equal(watch.ZoneState{Evacuated: true, Offset: 4, Since: 100}))
 	})
 
-	It("found at the start may have been evacuated for long", func() {
+	It("are marked if the order was found at the start", func() {
 		whole(4, record("evacuate/a", "{}", 3))
 		state, _ := view.State("a")
 		Expect(state.FoundAtStart).To(BeTrue())
