--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -123,8 +123,8 @@
 		if err == nil {
 			err = apply(fold.Record{ID: "claim", Author: "host", Claim: &fold.Claim{Service: path, Witnesses: []string{"a", "b", "c", "d", "e"}}})
 		}
-		assign := fold.Difference(path, cherrykeel.Placement{}, placement)
-		assign.Term = state.Blocks[path].Term
+		assign := fold.DiffPlacements(path, cherrykeel.Placement{}, placement)
+		assign.Term = state.Ownership[path].Term
 		if err == nil {
 			err = apply(fold.Record{ID: "assign", Assign: &assign})
 		}
@@ -174,7 +174,7 @@
 	witness.RecordCaughtUp(0)
 	kept := keeper.New("host", "a/b", witness, place.New())
 	placement := place.New().Place(cherrykeel.Placement{}, partitions, slopeCandidates(), cherrykeel.Demand{}, partitions)
-	block := fold.Block{Term: 1, Keeper: "host", Witnesses: []string{"host"}, Sequence: 1, LeaseLength: 900 * time.Millisecond, Placement: placement}
+	block := fold.ServiceOwnership{Term: 1, Keeper: "host", Witnesses: []string{"host"}, Sequence: 1, LeaseLength: 900 * time.Millisecond, Placement: placement}
 	now := cherrykeel.Instant(time.Second)
 	grants, grantBytes, largest := 0, 0, 0
 	tick := func(int) {
--- a/caller/body.go
+++ b/caller/body.go
@@ -47,19 +47,19 @@
 	held int64
 }
 
-// Whole is a request's body that has been read; handlers need not copy it.
-type Whole struct {
+// BufferedBody is a request's body that has been read; handlers need not copy it.
+type BufferedBody struct {
 	*bytes.Reader
 	data []byte
 }
 
 // Close implements io.Closer.
-func (*Whole) Close() error {
+func (*BufferedBody) Close() error {
 	return nil
 }
 
 // Bytes returns the body, which must not be changed.
-func (whole *Whole) Bytes() []byte {
+func (whole *BufferedBody) Bytes() []byte {
 	return whole.data
 }
 
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -170,7 +170,7 @@
 	It("refuses a body that the memory has no room for, and serves small ones", func() {
 		hold := make(chan struct{})
 		DeferCleanup(func() { close(hold) })
-		_, connect := serve(func(http.ResponseWriter, *http.Request) { <-hold }, caller.WithMemory(100<<10))
+		_, connect := serve(func(http.ResponseWriter, *http.Request) { <-hold }, caller.WithBodyMemoryLimit(100<<10))
 		first := connect()
 		send(first, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 50000\r\n\r\n"+strings.Repeat("x", 50000))
 		Eventually(func() int {
@@ -259,8 +259,8 @@
 		busy := connect()
 		send(busy, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		Eventually(started, generous).Should(Receive())
-		Eventually(server.Open, generous).Should(Equal(2))
-		server.Stop()
+		Eventually(server.OpenConns, generous).Should(Equal(2))
+		server.DisableKeepAlives()
 		server.CloseIdle()
 		_, err := bufio.NewReader(idle).ReadByte()
 		Expect(err).To(Equal(io.EOF))
@@ -270,7 +270,7 @@
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(body).To(Equal("whole"))
 		Expect(header.Get("Connection")).To(Equal("close"))
-		Eventually(server.Open, generous).Should(BeZero())
+		Eventually(server.OpenConns, generous).Should(BeZero())
 	})
 
 	It("reads a large body in many small chunks", func() {
--- a/caller/idle_test.go
+++ b/caller/idle_test.go
@@ -59,7 +59,7 @@
 			ask(rested)
 			expectAnswer(rested)
 			time.Sleep(time.Millisecond)
-			server.Stop()
+			server.DisableKeepAlives()
 			ask(rested)
 			giveWay(steps % mostSteps)
 			server.CloseIdle()
@@ -77,7 +77,7 @@
 		reader := bufio.NewReader(slow)
 		first, err := http.ReadResponse(reader, nil)
 		Expect(err).NotTo(HaveOccurred())
-		server.Stop()
+		server.DisableKeepAlives()
 		for range mostSteps {
 			server.CloseIdle()
 			time.Sleep(time.Millisecond)
@@ -106,7 +106,7 @@
 		ask(socket)
 		Eventually(func() bool { return sock.HasUnacknowledged(socket.(*net.TCPConn)) }, generous).Should(BeFalse())
 		time.Sleep(time.Millisecond)
-		server.Stop()
+		server.DisableKeepAlives()
 		server.CloseIdle()
 		close(held)
 		expectAnswer(socket)
@@ -117,17 +117,17 @@
 		core, logged := observer.New(zap.DebugLevel)
 		server, connect := serve(echo, caller.WithLogger(zap.New(core)))
 		socket := connect()
-		Eventually(server.Open, generous).Should(Equal(1))
+		Eventually(server.OpenConns, generous).Should(Equal(1))
 		server.CloseIdle()
 		_, err := bufio.NewReader(socket).ReadByte()
 		Expect(err).To(Equal(io.EOF))
 		_, _ = io.WriteString(socket, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		Eventually(server.Open, generous).Should(BeZero())
+		Eventually(server.OpenConns, generous).Should(BeZero())
 		Eventually(func() error {
 			_, err := io.WriteString(socket, "x")
 			return err
 		}, generous).Should(HaveOccurred())
-		Expect(logged.FilterMessage(events.RequestCrossed.Text).All()).To(BeEmpty())
+		Expect(logged.FilterMessage(events.RequestAfterClose.Text).All()).To(BeEmpty())
 	})
 
 	// Guards against the first request of a connection being given up, since it was accepted just before the close.
@@ -137,10 +137,10 @@
 			server, connect := serve(echo)
 			socket := connect()
 			ask(socket)
-			for server.Open() == 0 {
+			for server.OpenConns() == 0 {
 				runtime.Gosched()
 			}
-			server.Stop()
+			server.DisableKeepAlives()
 			giveWay(steps % mostSteps)
 			server.CloseIdle()
 			expectAnswer(socket)
--- a/caller/read.go
+++ b/caller/read.go
@@ -139,7 +139,7 @@
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	now := time.Now()
-	events.Log(conn.server.logger, events.RequestCrossed,
+	events.Log(conn.server.logger, events.RequestAfterClose,
 		zap.String("Caller", conn.socket.RemoteAddr().String()),
 		zap.Duration("Opened", now.Sub(conn.openedAt)), zap.Duration("Closed", now.Sub(conn.closedAt)),
 		zap.Int("Answered", conn.answered), zap.Int("Open", conn.open))
--- a/caller/server.go
+++ b/caller/server.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// WithMemory bounds the bytes of bodies held at once.
-func WithMemory(limit int64) Option {
+// WithBodyMemoryLimit bounds the bytes of bodies held at once.
+func WithBodyMemoryLimit(limit int64) Option {
 	return func(server *Server) {
 		server.memory.limit = limit
 	}
@@ -116,8 +116,8 @@
 	server.mutex.Unlock()
 }
 
-// Stop lets each connection end with its next answer; requests go on being taken until then.
-func (server *Server) Stop() {
+// DisableKeepAlives lets each connection end with its next answer; requests go on being taken until then.
+func (server *Server) DisableKeepAlives() {
 	server.ending.Store(true)
 }
 
@@ -135,8 +135,8 @@
 	return slices.Collect(maps.Keys(server.conns))
 }
 
-// Open returns how many connections there are.
-func (server *Server) Open() int {
+// OpenConns returns how many connections there are.
+func (server *Server) OpenConns() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return len(server.conns)
@@ -147,7 +147,7 @@
 }
 
 func (server *Server) refused(conn *conn, err error, status int) {
-	events.Log(server.logger, events.RequestUnread,
+	events.Log(server.logger, events.RequestRefusedEarly,
 		zap.String("Caller", conn.socket.RemoteAddr().String()),
 		zap.Int("Status", status),
 		zap.Error(err))
--- a/caller/stop_test.go
+++ b/caller/stop_test.go
@@ -27,12 +27,12 @@
 			callers := fakes.StartCallers(16, fakes.AskAnew("http://"+listener.Addr().String()))
 			Eventually(callers.Answered, generous).Should(BeNumerically(">", 100))
 
-			server.Stop()
+			server.DisableKeepAlives()
 			Expect(listener.Stop()).To(Succeed())
 			<-closed
 			open := func() int {
 				server.CloseIdle()
-				return server.Open()
+				return server.OpenConns()
 			}
 			Eventually(open, generous, "1ms").Should(BeZero())
 
--- a/caller/take.go
+++ b/caller/take.go
@@ -52,7 +52,7 @@
 	request = request.WithContext(conn.ctx)
 	request.RemoteAddr = conn.socket.RemoteAddr().String()
 	request.ContentLength = int64(len(body.data))
-	request.Body = &Whole{Reader: bytes.NewReader(body.data), data: body.data}
+	request.Body = &BufferedBody{Reader: bytes.NewReader(body.data), data: body.data}
 	conn.answers <- answer
 	go conn.handle(answer, request)
 	return !last
--- a/cmd/measure/owners.go
+++ b/cmd/measure/owners.go
@@ -35,17 +35,17 @@
 	line := []string{
 		row.Size, row.Scenario, row.Version,
 		fmt.Sprintf("%.2f", row.KeyImbalance), fmt.Sprintf("%.2f", row.LoadImbalance),
-		fmt.Sprint(row.Moved), fmt.Sprint(row.Least), churn(row),
+		fmt.Sprint(row.Moved), fmt.Sprint(row.MinMoved), churn(row),
 	}
 	if row.Version == "naive" {
 		return append(line, "list's lag", "-", "not kept out")
 	}
-	return append(line, row.LongestGap.String(), row.MeanGap.Round(time.Millisecond).String(), fmt.Sprint(row.TwoOwners))
+	return append(line, row.LongestGap.String(), row.MeanGap.Round(time.Millisecond).String(), fmt.Sprint(row.OwnerConflicts))
 }
 
 func churn(row score.Row) string {
-	if row.Least == 0 {
+	if row.MinMoved == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f", float64(row.Moved)/float64(row.Least))
+	return fmt.Sprintf("%.2f", float64(row.Moved)/float64(row.MinMoved))
 }
--- a/conns/care_test.go
+++ b/conns/care_test.go
@@ -37,12 +37,12 @@
 	_ = conn.Close()
 }
 
-func sendWith(pool *conns.Pool, address string, care conns.Care) (conns.Progress, error) {
+func sendWith(pool *conns.Pool, address string, care conns.SendOptions) (conns.Progress, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/", nil)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	answer, progress, err := pool.SendWith(ctx, address, request, care)
+	answer, progress, err := pool.SendWithOptions(ctx, address, request, care)
 	if err != nil {
 		return progress, err
 	}
@@ -61,7 +61,7 @@
 			reset(conn)
 		})
 		for range 5 {
-			progress, err := sendWith(conns.NewPool(), address, conns.Care{MaxIdle: time.Minute, Watch: 5 * time.Second})
+			progress, err := sendWith(conns.NewPool(), address, conns.SendOptions{MaxIdle: time.Minute, ResetWait: 5 * time.Second})
 			Expect(err).To(MatchError(conns.ErrConnect))
 			Expect(progress).To(Equal(conns.NotSent))
 		}
@@ -75,7 +75,7 @@
 			_, _ = conn.Read(buffer)
 			_ = conn.Close()
 		})
-		_, err := sendWith(conns.NewPool(), address, conns.Care{MaxIdle: time.Minute, Watch: 20 * time.Millisecond})
+		_, err := sendWith(conns.NewPool(), address, conns.SendOptions{MaxIdle: time.Minute, ResetWait: 20 * time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
 	})
 
@@ -97,7 +97,7 @@
 		}
 		one, two := serveConns(forgetful), serveConns(forgetful)
 		pool := conns.NewPool()
-		care := conns.Care{MaxIdle: time.Minute}
+		care := conns.SendOptions{MaxIdle: time.Minute}
 		lost := 0
 		for range 4 {
 			for _, address := range []string{one, two} {
@@ -136,7 +136,7 @@
 			}
 		})
 		pool := conns.NewPool()
-		care := conns.Care{MaxIdle: time.Minute}
+		care := conns.SendOptions{MaxIdle: time.Minute}
 		send := func(address string) error {
 			_, err := sendWith(pool, address, care)
 			return err
--- a/conns/conns_test.go
+++ b/conns/conns_test.go
@@ -86,7 +86,7 @@
 		Expect(body).To(Equal("first"))
 		body, _, _ = get(pool, context.Background(), address)
 		Expect(body).To(Equal("again"))
-		Expect(pool.Open(address)).To(Equal(1))
+		Expect(pool.OpenConns(address)).To(Equal(1))
 	})
 
 	DescribeTable("tells a broken answer from a whole one", func(text string, progress conns.Progress, failure error) {
@@ -95,12 +95,12 @@
 		_, got, err := get(pool, context.Background(), address)
 		Expect(err).To(MatchError(failure))
 		Expect(got).To(Equal(progress))
-		Expect(pool.Open(address)).To(BeZero())
+		Expect(pool.OpenConns(address)).To(BeZero())
 	},
 		Entry("closed before the head", "HTTP", conns.Sent, conns.ErrBroken),
 		Entry("closed within the head", "HTTP/1.1 200 OK\r\nContent-", conns.Sent, conns.ErrBroken),
 		Entry("not HTTP", "220 hello\r\n\r\n", conns.Sent, conns.ErrBroken),
-		Entry("no length", "HTTP/1.1 200 OK\r\n\r\nbody", conns.AnswerBegun, conns.ErrUnframed),
+		Entry("no length", "HTTP/1.1 200 OK\r\n\r\nbody", conns.AnswerBegun, conns.ErrCloseDelimited),
 		Entry("a chunk that ends early", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfir", conns.AnswerBegun, conns.ErrBroken),
 	)
 
@@ -131,12 +131,12 @@
 			defer close(ended)
 			_, _, _ = get(pool, ctx, address)
 		}()
-		Eventually(func() int { return pool.Open(address) }, "10s").Should(Equal(1))
+		Eventually(func() int { return pool.OpenConns(address) }, "10s").Should(Equal(1))
 		_, progress, err := get(pool, context.Background(), address)
-		Expect(err).To(MatchError(conns.ErrLimit))
+		Expect(err).To(MatchError(conns.ErrConnLimit))
 		Expect(progress).To(Equal(conns.NotSent))
 		cancel()
 		<-ended
-		Expect(pool.Open(address)).To(BeZero())
+		Expect(pool.OpenConns(address)).To(BeZero())
 	})
 })
--- a/conns/exchange.go
+++ b/conns/exchange.go
@@ -20,8 +20,8 @@
 	ErrReset = errors.WithMessage(ErrBroken, "reset")
 	// ErrNotReady means that the request was not to be sent any more when the connection was there.
 	ErrNotReady = errors.New("the request was not to be sent any more")
-	// ErrUnframed means that the answer does not say where it ends, so it cannot be known to be whole.
-	ErrUnframed = errors.New("the answer does not say where it ends")
+	// ErrCloseDelimited means that the answer does not say where it ends, so it cannot be known to be whole.
+	ErrCloseDelimited = errors.New("the answer does not say where it ends")
 )
 
 var past = time.Unix(1, 0)
@@ -49,29 +49,29 @@
 // Send writes the request and reads the head of its answer; the context's end breaks the connection.
 // When it returns an error, the connection is closed and Progress says how far the request got.
 func (pool *Pool) Send(ctx context.Context, address string, request *http.Request) (*Answer, Progress, error) {
-	return pool.SendWith(ctx, address, request, Care{MaxIdle: pool.idleTimeout})
+	return pool.SendWithOptions(ctx, address, request, SendOptions{MaxIdle: pool.idleTimeout})
 }
 
-// Care says what a request asks of its connection.
-type Care struct {
+// SendOptions says what a request asks of its connection.
+type SendOptions struct {
 	// MaxIdle is how long ago the connection may have been in use. An upstream may forget an idle connection
 	// without notice: what is sent there next is reset, and may have run.
 	MaxIdle time.Duration
-	// Watch is how long a new connection is watched before the first byte is sent, or 0. An upstream with too
+	// ResetWait is how long a new connection is watched before the first byte is sent, or 0. An upstream with too
 	// many connections accepts one more and resets it; what has been sent by then may have run.
-	Watch time.Duration
+	ResetWait time.Duration
 	// Ready is asked when the connection is there, just before the first byte is sent; the request may be changed
 	// then, or with false not be sent. What was true before a slow connection, or a pause, may not be any more.
 	Ready func() bool
 }
 
-// SendWhen is Send for a request that depends on the moment; see Care.Ready.
-func (pool *Pool) SendWhen(ctx context.Context, address string, request *http.Request, ready func() bool) (*Answer, Progress, error) {
-	return pool.SendWith(ctx, address, request, Care{MaxIdle: pool.idleTimeout, Ready: ready})
+// SendIfReady is Send for a request that depends on the moment; see Care.Ready.
+func (pool *Pool) SendIfReady(ctx context.Context, address string, request *http.Request, ready func() bool) (*Answer, Progress, error) {
+	return pool.SendWithOptions(ctx, address, request, SendOptions{MaxIdle: pool.idleTimeout, Ready: ready})
 }
 
-// SendWith is Send over a connection that meets the care, or a new one.
-func (pool *Pool) SendWith(ctx context.Context, address string, request *http.Request, care Care) (*Answer, Progress, error) {
+// SendWithOptions is Send over a connection that meets the care, or a new one.
+func (pool *Pool) SendWithOptions(ctx context.Context, address string, request *http.Request, care SendOptions) (*Answer, Progress, error) {
 	conn, err := pool.take(ctx, address, care)
 	if err != nil {
 		return nil, NotSent, err
@@ -112,7 +112,7 @@
 		return nil, Sent, broken(err)
 	}
 	if unframed(response) && !(takesUnframed && response.StatusCode != http.StatusSwitchingProtocols) {
-		return nil, AnswerBegun, errors.WithStack(ErrUnframed)
+		return nil, AnswerBegun, errors.WithStack(ErrCloseDelimited)
 	}
 	answer := &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, response: response, conn: conn}
 	return answer, AnswerBegun, nil
@@ -129,7 +129,7 @@
 	if conn.written == 0 {
 		return NotSent
 	}
-	return SentPart
+	return PartlySent
 }
 
 func (conn *conn) readHead(request *http.Request) (*http.Response, error) {
@@ -163,13 +163,13 @@
 	return count, err
 }
 
-// Whole reports whether the body has been read to its end.
-func (answer *Answer) Whole() bool {
+// IsComplete reports whether the body has been read to its end.
+func (answer *Answer) IsComplete() bool {
 	return answer.whole
 }
 
-// Spoil keeps the connection from being used again, also after a whole answer.
-func (answer *Answer) Spoil() {
+// DisableReuse keeps the connection from being used again, also after a whole answer.
+func (answer *Answer) DisableReuse() {
 	answer.whole = false
 }
 
--- a/conns/pool.go
+++ b/conns/pool.go
@@ -9,8 +9,8 @@
 )
 
 var (
-	// ErrLimit means that the upstream's share of connections is used up.
-	ErrLimit = errors.New("no connection is free")
+	// ErrConnLimit means that the upstream's share of connections is used up.
+	ErrConnLimit = errors.New("no connection is free")
 	// ErrConnect means that no connection could be made.
 	ErrConnect = errors.New("the upstream cannot be reached")
 	// ErrRefused is an ErrConnect that means that no process listens at the upstream's address.
@@ -78,8 +78,8 @@
 	}
 }
 
-// WithUnframed takes answers that say no length and end with an orderly close of their connection.
-func WithUnframed() Option {
+// WithCloseDelimited takes answers that say no length and end with an orderly close of their connection.
+func WithCloseDelimited() Option {
 	return func(pool *Pool) {
 		pool.unframed = true
 	}
@@ -101,8 +101,8 @@
 	pool.address(name).limit = max(1, limit)
 }
 
-// Open returns how many connections there are to an address.
-func (pool *Pool) Open(name string) int {
+// OpenConns returns how many connections there are to an address.
+func (pool *Pool) OpenConns(name string) int {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	return pool.address(name).open
@@ -149,7 +149,7 @@
 }
 
 // take returns an idle connection that still stands and meets the care, or makes a new one.
-func (pool *Pool) take(ctx context.Context, name string, care Care) (*conn, error) {
+func (pool *Pool) take(ctx context.Context, name string, care SendOptions) (*conn, error) {
 	maxIdle := pool.sound(care.MaxIdle)
 	for {
 		idle, err := pool.reserve(name)
@@ -157,7 +157,7 @@
 			return nil, err
 		}
 		if idle == nil {
-			return pool.dial(ctx, name, care.Watch)
+			return pool.dial(ctx, name, care.ResetWait)
 		}
 		if time.Since(idle.since) < min(maxIdle, idle.keep) && idle.silent() {
 			return idle, nil
@@ -177,7 +177,7 @@
 		return conn, nil
 	}
 	if address.open >= address.limit {
-		return nil, errors.WithStack(ErrLimit)
+		return nil, errors.WithStack(ErrConnLimit)
 	}
 	address.open++
 	return nil, nil
@@ -223,9 +223,9 @@
 	address.idle = append(address.idle, conn)
 }
 
-// Forget closes the idle connections to an address, whose process has ended: what would be sent on them next is
+// CloseIdle closes the idle connections to an address, whose process has ended: what would be sent on them next is
 // reset, and may have run for all that this host can tell.
-func (pool *Pool) Forget(name string) {
+func (pool *Pool) CloseIdle(name string) {
 	pool.mutex.Lock()
 	address := pool.address(name)
 	idle := address.idle
@@ -236,8 +236,8 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long.
-func (pool *Pool) Sweep() {
+// CloseExpired closes connections that have been idle for too long.
+func (pool *Pool) CloseExpired() {
 	for _, conn := range pool.expired() {
 		pool.discard(conn)
 	}
--- a/conns/probe.go
+++ b/conns/probe.go
@@ -15,9 +15,9 @@
 	return ErrConnect
 }
 
-// Refused reports whether an address refuses connections, since no process listens there. While a connection rests
+// IsRefused reports whether an address refuses connections, since no process listens there. While a connection rests
 // there none is made: an end of the process would have ended that one too.
-func (pool *Pool) Refused(name string) bool {
+func (pool *Pool) IsRefused(name string) bool {
 	if pool.stands(name) {
 		return false
 	}
--- a/conns/probe_test.go
+++ b/conns/probe_test.go
@@ -30,9 +30,9 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		pool := conns.NewPool()
-		Expect(pool.Refused(listener.Addr().String())).To(BeFalse())
+		Expect(pool.IsRefused(listener.Addr().String())).To(BeFalse())
 		Expect(listener.Close()).To(Succeed())
-		Expect(pool.Refused(listener.Addr().String())).To(BeTrue())
+		Expect(pool.IsRefused(listener.Addr().String())).To(BeTrue())
 	})
 
 	// An upstream ends one connection of many. A process that had ended would have ended those that rest too, so that
@@ -44,9 +44,9 @@
 			answering(conn)
 		})
 		pool := conns.NewPool()
-		_, err := sendWith(pool, address, conns.Care{MaxIdle: time.Minute})
+		_, err := sendWith(pool, address, conns.SendOptions{MaxIdle: time.Minute})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(pool.Refused(address)).To(BeFalse())
+		Expect(pool.IsRefused(address)).To(BeFalse())
 		Consistently(taken.Load, "50ms").Should(Equal(int64(1)))
 	})
 
@@ -56,8 +56,8 @@
 			_, _ = http.ReadRequest(bufio.NewReader(conn))
 			end(conn)
 		})
-		progress, err := sendWith(conns.NewPool(), address, conns.Care{MaxIdle: time.Minute})
-		Expect(progress.Unanswered()).To(BeTrue())
+		progress, err := sendWith(conns.NewPool(), address, conns.SendOptions{MaxIdle: time.Minute})
+		Expect(progress.IsUnanswered()).To(BeTrue())
 		Expect(err).To(MatchError(conns.ErrBroken))
 		if isReset {
 			Expect(err).To(MatchError(conns.ErrReset))
--- a/conns/progress.go
+++ b/conns/progress.go
@@ -7,8 +7,8 @@
 const (
 	// NotSent means that not one byte was handed to the connection.
 	NotSent Progress = iota
-	// SentPart means that some bytes may have left, so the upstream may act.
-	SentPart
+	// PartlySent means that some bytes may have left, so the upstream may act.
+	PartlySent
 	// Sent means that all bytes were handed over.
 	Sent
 	// AnswerBegun means that the head of an answer has arrived.
@@ -24,7 +24,7 @@
 	return progressNames[progress]
 }
 
-// Unanswered reports whether an upstream has got some of the request, and no answer of it has come.
-func (progress Progress) Unanswered() bool {
-	return progress == SentPart || progress == Sent
+// IsUnanswered reports whether an upstream has got some of the request, and no answer of it has come.
+func (progress Progress) IsUnanswered() bool {
+	return progress == PartlySent || progress == Sent
 }
--- a/deny/list.go
+++ b/deny/list.go
@@ -18,25 +18,25 @@
 
 // The kinds of evidence, as they stand in logs.
 const (
-	// Refused means that a connection to its address was refused.
-	Refused Evidence = "connection refused"
-	// Gone means that its entry was gone, or another process had its address.
-	Gone Evidence = "entry gone"
+	// ConnectionRefused means that a connection to its address was refused.
+	ConnectionRefused Evidence = "connection refused"
+	// EntryGone means that its entry was gone, or another process had its address.
+	EntryGone Evidence = "entry gone"
 )
 
 // Settings is what a List needs of its host; what is nil is not asked or told.
 type Settings struct {
 	Clock  cherrykeel.Clock
 	Logger *zap.Logger
-	// Probe asks for a connection to an address and reports whether it was refused.
-	Probe func(address string) bool
-	// Planned reports whether an upstream's life had said that it would end.
-	Planned func(life poison.Life) bool
-	// Tell passes on to the other hosts what this host has seen itself, and Keep writes it where hosts find it
+	// IsConnectionRefused asks for a connection to an address and reports whether it was refused.
+	IsConnectionRefused func(address string) bool
+	// HasAnnouncedShutdown reports whether an upstream's life had said that it would end.
+	HasAnnouncedShutdown func(life poison.Incarnation) bool
+	// Announce passes on to the other hosts what this host has seen itself, and Keep writes it where hosts find it
 	// that start later, from so many ends on.
-	Tell     func(record poison.Record)
-	Keep     func(record poison.Record)
-	KeptEnds int
+	Announce          func(record poison.Record)
+	Store             func(record poison.Record)
+	MinCrashesToStore int
 }
 
 // List is one host's list.
@@ -45,7 +45,7 @@
 	probes *prober
 
 	mutex   sync.Mutex
-	witness poison.Witness
+	witness poison.CrashDetector
 	table   *poison.Table
 	// broken says that the witness keeps breaks and known that the table has records, so that requests need not take
 	// the lock on usual days.
@@ -59,25 +59,25 @@
 
 // New returns an empty list.
 func New(settings Settings) *List {
-	if settings.Probe == nil {
-		settings.Probe = func(string) bool { return false }
+	if settings.IsConnectionRefused == nil {
+		settings.IsConnectionRefused = func(string) bool { return false }
 	}
-	if settings.Planned == nil {
-		settings.Planned = func(poison.Life) bool { return false }
+	if settings.HasAnnouncedShutdown == nil {
+		settings.HasAnnouncedShutdown = func(poison.Incarnation) bool { return false }
 	}
-	if settings.Tell == nil {
-		settings.Tell = func(poison.Record) {}
+	if settings.Announce == nil {
+		settings.Announce = func(poison.Record) {}
 	}
-	if settings.Keep == nil {
-		settings.Keep = func(poison.Record) {}
+	if settings.Store == nil {
+		settings.Store = func(poison.Record) {}
 	}
 	list := &List{Settings: settings, table: poison.NewTable(), changed: make(chan struct{})}
 	list.probes = newProber(list.ask)
 	return list
 }
 
-// Empty reports whether nothing is known of any request.
-func (list *List) Empty() bool {
+// IsEmpty reports whether nothing is known of any request.
+func (list *List) IsEmpty() bool {
 	return !list.known.Load()
 }
 
@@ -85,28 +85,28 @@
 func (list *List) concerns(target poison.Target) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	return list.table.Concerns(target)
+	return list.table.HasTarget(target)
 }
 
-func (list *List) refused(identity poison.Identity, marks []poison.Mark) (time.Duration, bool) {
+func (list *List) refused(identity poison.Fingerprint, marks []poison.CallerFingerprint) (time.Duration, bool) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	if !list.table.Refused(identity, marks...) {
+	if !list.table.IsDenied(identity, marks...) {
 		return 0, false
 	}
 	list.refusals.Add(1)
-	left := time.Duration(list.table.Until(identity)-list.now()) * time.Millisecond
+	left := time.Duration(list.table.ExpiresAt(identity)-list.now()) * time.Millisecond
 	return max(0, left), true
 }
 
-func (list *List) suspected(identity poison.Identity, marks []poison.Mark) bool {
+func (list *List) suspected(identity poison.Fingerprint, marks []poison.CallerFingerprint) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	return list.table.Suspected(identity, marks...)
+	return list.table.IsSuspected(identity, marks...)
 }
 
-// Changed returns a channel that is closed when one more request is refused.
-func (list *List) Changed() <-chan struct{} {
+// DenialAdded returns a channel that is closed when one more request is refused.
+func (list *List) DenialAdded() <-chan struct{} {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.changed
@@ -120,14 +120,14 @@
 }
 
 // Find returns what is known of a request.
-func (list *List) Find(identity poison.Identity) (poison.Record, bool) {
+func (list *List) Find(identity poison.Fingerprint) (poison.Record, bool) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.table.Find(identity)
 }
 
-// Count shows in a host's metrics how many requests are denied and suspected, and how often one was refused.
-func (list *List) Count(scope tally.Scope) {
+// UpdateMetrics shows in a host's metrics how many requests are denied and suspected, and how often one was refused.
+func (list *List) UpdateMetrics(scope tally.Scope) {
 	list.mutex.Lock()
 	refused, known := list.table.Counts()
 	list.mutex.Unlock()
@@ -136,14 +136,14 @@
 	scope.Gauge("denied_refusals").Update(float64(list.refusals.Load()))
 }
 
-// Forget drops what is too old, and returns what it dropped.
-func (list *List) Forget() []poison.Identity {
-	if list.Empty() {
+// RemoveExpired drops what is too old, and returns what it dropped.
+func (list *List) RemoveExpired() []poison.Fingerprint {
+	if list.IsEmpty() {
 		return nil
 	}
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	dropped := list.table.Forget(list.now())
+	dropped := list.table.RemoveExpired(list.now())
 	list.noteCounts()
 	return dropped
 }
@@ -162,10 +162,10 @@
 // Merge takes what another host has seen.
 func (list *List) Merge(record poison.Record) {
 	list.mutex.Lock()
-	before := list.table.Extent(record.Identity)
+	before := list.table.DenialScope(record.Fingerprint)
 	merged, news := list.table.Merge(record, list.now())
 	if news {
-		list.changedOne(record.Identity, before)
+		list.changedOne(record.Fingerprint, before)
 	}
 	list.mutex.Unlock()
 	if news {
@@ -173,40 +173,40 @@
 	}
 }
 
-// MergeKept takes the newest record that is kept of a request. Of two hosts that write at the same moment the later
+// MergeStored takes the newest record that is kept of a request. Of two hosts that write at the same moment the later
 // one's record stands, without what only the other has seen; whoever has seen it writes all that is known again.
 // Hosts that start later would know too little, and send the request on once more often for each end that they lack.
-func (list *List) MergeKept(kept poison.Record) {
+func (list *List) MergeStored(kept poison.Record) {
 	list.Merge(kept)
 	list.mutex.Lock()
-	known, exists := list.table.Find(kept.Identity)
-	lacks := exists && list.table.Own(kept.Identity) && kept.Lacks(known)
+	known, exists := list.table.Find(kept.Fingerprint)
+	lacks := exists && list.table.IsObservedLocally(kept.Fingerprint) && kept.NeedsMerge(known)
 	list.mutex.Unlock()
 	if lacks {
-		list.Keep(known)
+		list.Store(known)
 	}
 }
 
 // changedOne wakes those that wait if a request is refused that was not; List.mutex is held.
-func (list *List) changedOne(identity poison.Identity, before poison.Extent) {
+func (list *List) changedOne(identity poison.Fingerprint, before poison.DenialScope) {
 	list.noteCounts()
-	if list.table.Extent(identity).Exceeds(before) {
+	if list.table.DenialScope(identity).IsWiderThan(before) {
 		close(list.changed)
 		list.changed = make(chan struct{})
 	}
 }
 
-func (list *List) logChange(record poison.Record, before poison.Extent) {
+func (list *List) logChange(record poison.Record, before poison.DenialScope) {
 	list.mutex.Lock()
-	extent := list.table.Extent(record.Identity)
+	extent := list.table.DenialScope(record.Fingerprint)
 	list.mutex.Unlock()
 	if extent == before {
 		return
 	}
 	event := events.RequestCleared
-	if extent.Exceeds(before) {
+	if extent.IsWiderThan(before) {
 		event = events.RequestDenied
 	}
 	events.Log(list.Logger, event,
-		zap.Stringer("Identity", record.Identity), zap.Bool("All", extent.All), zap.Int("Callers", extent.Callers), zap.String("Service", record.Service), zap.Any("Ends", record.Ends))
+		zap.Stringer("Identity", record.Fingerprint), zap.Bool("All", extent.AllCallers), zap.Int("Callers", extent.CallerCount), zap.String("Service", record.Service), zap.Any("Ends", record.Crashes))
 }
--- a/deny/list_test.go
+++ b/deny/list_test.go
@@ -22,7 +22,7 @@
 
 const address = "10.0.0.9:80"
 
-var parts = poison.Parts{Method: "GET", Domain: "h", Path: "/deadly", Caller: "10.0.0.1:5", Body: []byte("x")}
+var parts = poison.RequestParts{Method: "GET", Domain: "h", Path: "/deadly", CallerAddress: "10.0.0.1:5", Body: []byte("x")}
 
 // scene is a list whose upstream answers connections, or does not.
 type scene struct {
@@ -39,36 +39,36 @@
 func newScene() *scene {
 	scene := &scene{clock: cherrykeel.SystemClock()}
 	scene.list = deny.New(deny.Settings{
-		Clock: scene.clock, Logger: zap.NewNop(), KeptEnds: 2,
-		Probe: func(string) bool {
+		Clock: scene.clock, Logger: zap.NewNop(), MinCrashesToStore: 2,
+		IsConnectionRefused: func(string) bool {
 			scene.probes.Add(1)
 			return scene.refuses.Load()
 		},
-		Planned: func(poison.Life) bool { return scene.leaving.Load() },
-		Tell:    func(poison.Record) { scene.told.Add(1) },
-		Keep:    func(poison.Record) { scene.kept.Add(1) },
+		HasAnnouncedShutdown: func(poison.Incarnation) bool { return scene.leaving.Load() },
+		Announce:             func(poison.Record) { scene.told.Add(1) },
+		Store:                func(poison.Record) { scene.kept.Add(1) },
 	})
 	return scene
 }
 
-func (scene *scene) life() poison.Life {
-	return poison.Life{Upstream: fmt.Sprint("u-", scene.upstream)}
+func (scene *scene) life() poison.Incarnation {
+	return poison.Incarnation{Upstream: fmt.Sprint("u-", scene.upstream)}
 }
 
-func (scene *scene) broke() poison.Break {
+func (scene *scene) broke() poison.UnansweredAttempt {
 	now := scene.clock.Now()
-	return poison.Break{Request: "r", Service: "s", Life: scene.life(), Address: address, Begun: now, At: now}
+	return poison.UnansweredAttempt{RequestID: "r", Service: "s", Incarnation: scene.life(), Address: address, SentAt: now, EndedAt: now}
 }
 
 // lose has the request's connection end without an answer.
 func (scene *scene) lose() {
-	scene.list.Request(parts).Broke(scene.broke())
+	scene.list.NewRequest(parts).RecordUnanswered(scene.broke())
 }
 
 // end has the upstream end under the request, and the next one come.
 func (scene *scene) end() {
 	scene.lose()
-	scene.list.Ended(scene.life())
+	scene.list.RecordIncarnationEnded(scene.life())
 	scene.upstream++
 }
 
@@ -78,14 +78,14 @@
 	BeforeEach(func() { scene = newScene() })
 
 	refused := func() bool {
-		_, refused := scene.list.Request(parts).Refused()
+		_, refused := scene.list.NewRequest(parts).Denied()
 		return refused
 	}
 
 	It("asks the address at which a request was lost, and counts the end if nobody listens there", func() {
 		scene.refuses.Store(true)
 		scene.lose()
-		Eventually(scene.list.Request(parts).Suspected).Should(BeTrue())
+		Eventually(scene.list.NewRequest(parts).IsSuspected).Should(BeTrue())
 		Expect(scene.told.Load()).To(Equal(int64(1)))
 		Expect(scene.kept.Load()).To(Equal(int64(0)), "one end is told, not kept")
 	})
@@ -94,11 +94,11 @@
 	// that they had left: twice as many were beyond their room.
 	It("does not ask where a connection was reset", func() {
 		found := scene.broke()
-		found.Reset = true
-		scene.list.Request(parts).Broke(found)
+		found.ConnectionReset = true
+		scene.list.NewRequest(parts).RecordUnanswered(found)
 		Consistently(scene.probes.Load, "50ms").Should(Equal(int64(0)))
-		scene.list.Ended(scene.life())
-		Expect(scene.list.Request(parts).Suspected()).To(BeTrue(), "the end shows by itself later")
+		scene.list.RecordIncarnationEnded(scene.life())
+		Expect(scene.list.NewRequest(parts).IsSuspected()).To(BeTrue(), "the end shows by itself later")
 	})
 
 	It("counts no connection that a living upstream ended, and asks seldom", func() {
@@ -106,33 +106,33 @@
 			scene.lose()
 		}
 		Eventually(scene.probes.Load).Should(Equal(int64(1)))
-		Expect(scene.list.Request(parts).Suspected()).To(BeFalse())
-		scene.list.Answered(scene.life(), scene.clock.Now())
-		scene.list.Ended(scene.life())
-		Expect(scene.list.Request(parts).Suspected()).To(BeFalse(), "it has answered since")
+		Expect(scene.list.NewRequest(parts).IsSuspected()).To(BeFalse())
+		scene.list.RecordAnswer(scene.life(), scene.clock.Now())
+		scene.list.RecordIncarnationEnded(scene.life())
+		Expect(scene.list.NewRequest(parts).IsSuspected()).To(BeFalse(), "it has answered since")
 	})
 
 	It("counts no end that an upstream had said before", func() {
 		scene.leaving.Store(true)
 		scene.end()
-		Expect(scene.list.Request(parts).Suspected()).To(BeFalse())
+		Expect(scene.list.NewRequest(parts).IsSuspected()).To(BeFalse())
 	})
 
 	It("refuses at the third end, wakes who waits, and says for how long", func() {
 		scene.end()
 		scene.end()
-		changed := scene.list.Changed()
+		changed := scene.list.DenialAdded()
 		Expect(refused()).To(BeFalse())
 		scene.end()
 		Expect(changed).To(BeClosed())
-		left, _ := scene.list.Request(parts).Refused()
+		left, _ := scene.list.NewRequest(parts).Denied()
 		Expect(left).To(BeNumerically("~", time.Hour, time.Minute))
 		Expect(scene.kept.Load()).To(Equal(int64(2)))
 	})
 
 	It("refuses what another host has seen, and neither the same of another caller nor another body", func() {
 		other := newScene()
-		for range poison.DeadlyEnds {
+		for range poison.CrashesToDeny {
 			other.end()
 		}
 		for _, record := range other.list.Records() {
@@ -140,43 +140,43 @@
 		}
 		Expect(refused()).To(BeTrue())
 		Expect(scene.told.Load()).To(Equal(int64(0)), "who has seen it tells")
-		for _, change := range []func(parts *poison.Parts){
-			func(parts *poison.Parts) { parts.Caller = "10.0.0.2:5" },
-			func(parts *poison.Parts) { parts.Body = []byte("y") },
+		for _, change := range []func(parts *poison.RequestParts){
+			func(parts *poison.RequestParts) { parts.CallerAddress = "10.0.0.2:5" },
+			func(parts *poison.RequestParts) { parts.Body = []byte("y") },
 		} {
 			innocent := parts
 			change(&innocent)
-			_, found := scene.list.Request(innocent).Refused()
+			_, found := scene.list.NewRequest(innocent).Denied()
 			Expect(found).To(BeFalse())
 		}
 	})
 
 	// Guards against an address that stands for a caller: the same request comes from another machine each time.
 	It("refuses what came from another address at each end, and another body there it does not", func() {
-		again := func(address int) poison.Parts {
+		again := func(address int) poison.RequestParts {
 			other := parts
-			other.Caller = fmt.Sprintf("10.0.1.%d:5", address)
+			other.CallerAddress = fmt.Sprintf("10.0.1.%d:5", address)
 			return other
 		}
-		for number := range poison.DeadlyEnds {
-			scene.list.Request(again(number)).Broke(scene.broke())
-			scene.list.Ended(scene.life())
+		for number := range poison.CrashesToDeny {
+			scene.list.NewRequest(again(number)).RecordUnanswered(scene.broke())
+			scene.list.RecordIncarnationEnded(scene.life())
 			scene.upstream++
 		}
-		_, found := scene.list.Request(again(9)).Refused()
+		_, found := scene.list.NewRequest(again(9)).Denied()
 		Expect(found).To(BeTrue())
 		innocent := again(9)
 		innocent.Body = []byte("y")
-		_, found = scene.list.Request(innocent).Refused()
+		_, found = scene.list.NewRequest(innocent).Denied()
 		Expect(found).To(BeFalse())
 	})
 
 	It("takes all back once an upstream has served the request, and tells that", func() {
-		for range poison.DeadlyEnds {
+		for range poison.CrashesToDeny {
 			scene.end()
 		}
 		told := scene.told.Load()
-		scene.list.Request(parts).Served()
+		scene.list.NewRequest(parts).RecordSuccess()
 		Expect(refused()).To(BeFalse())
 		Expect(scene.told.Load()).To(Equal(told + 1))
 	})
@@ -191,19 +191,19 @@
 			other.end()
 		}
 		kept, stood := scene.kept.Load(), other.list.Records()[0]
-		scene.list.MergeKept(stood)
+		scene.list.MergeStored(stood)
 		Expect(scene.kept.Load()).To(Equal(kept + 1))
-		scene.list.MergeKept(scene.list.Records()[0])
+		scene.list.MergeStored(scene.list.Records()[0])
 		Expect(scene.kept.Load()).To(Equal(kept+1), "it stands now")
 		reader := newScene()
-		reader.list.MergeKept(stood)
+		reader.list.MergeStored(stood)
 		Expect(reader.kept.Load()).To(Equal(int64(0)), "who has seen nothing writes nothing")
 	})
 
 	It("works out no identity while nothing is known of what a request asks for", func() {
-		request := scene.list.Request(parts)
-		_, _ = request.Refused()
-		_, identified := request.Identified()
+		request := scene.list.NewRequest(parts)
+		_, _ = request.Denied()
+		_, identified := request.ComputedFingerprint()
 		Expect(identified).To(BeFalse())
 	})
 })
--- a/deny/parts.go
+++ b/deny/parts.go
@@ -10,12 +10,12 @@
 // credentialHeaders are what callers show of who they are, whichever address they come from.
 var credentialHeaders = []string{"Authorization", "Cookie"}
 
-// PartsOf returns what makes a request the same one when it is sent again. Its target is the path with the query as
+// RequestPartsOf returns what makes a request the same one when it is sent again. Its target is the path with the query as
 // they came, its body is whole; the key is empty if it has none.
-func PartsOf(request *http.Request, target, key string, body []byte) poison.Parts {
-	return poison.Parts{
+func RequestPartsOf(request *http.Request, target, key string, body []byte) poison.RequestParts {
+	return poison.RequestParts{
 		Method: request.Method, Domain: request.Host, Path: target, Key: key, Body: body,
-		Caller: request.RemoteAddr, Credentials: credentials(request.Header),
+		CallerAddress: request.RemoteAddr, Credentials: credentials(request.Header),
 	}
 }
 
--- a/deny/pending.go
+++ b/deny/pending.go
@@ -7,22 +7,22 @@
 	"cherrykeel/poison"
 )
 
-// Pending are requests whose records are still to be written where hosts find them that start later.
-type Pending struct {
+// PendingRecords are requests whose records are still to be written where hosts find them that start later.
+type PendingRecords struct {
 	mutex sync.Mutex
-	all   map[poison.Identity]bool
+	all   map[poison.Fingerprint]bool
 	woken chan struct{}
 }
 
-// NewPending returns an empty set.
-func NewPending() *Pending {
-	return &Pending{all: map[poison.Identity]bool{}, woken: make(chan struct{}, 1)}
+// NewPendingRecords returns an empty set.
+func NewPendingRecords() *PendingRecords {
+	return &PendingRecords{all: map[poison.Fingerprint]bool{}, woken: make(chan struct{}, 1)}
 }
 
 // Add adds a request; what is written of it is the newest record when its turn comes.
-func (pending *Pending) Add(record poison.Record) {
+func (pending *PendingRecords) Add(record poison.Record) {
 	pending.mutex.Lock()
-	pending.all[record.Identity] = true
+	pending.all[record.Fingerprint] = true
 	pending.mutex.Unlock()
 	select {
 	case pending.woken <- struct{}{}:
@@ -30,8 +30,8 @@
 	}
 }
 
-// Take waits until there are requests and takes them all; nil says that the context has ended.
-func (pending *Pending) Take(ctx context.Context) []poison.Identity {
+// DequeueAll waits until there are requests and takes them all; nil says that the context has ended.
+func (pending *PendingRecords) DequeueAll(ctx context.Context) []poison.Fingerprint {
 	for ctx.Err() == nil {
 		taken := pending.take()
 		if len(taken) > 0 {
@@ -45,10 +45,10 @@
 	return nil
 }
 
-func (pending *Pending) take() []poison.Identity {
+func (pending *PendingRecords) take() []poison.Fingerprint {
 	pending.mutex.Lock()
 	defer pending.mutex.Unlock()
-	taken := make([]poison.Identity, 0, len(pending.all))
+	taken := make([]poison.Fingerprint, 0, len(pending.all))
 	for identity := range pending.all {
 		taken = append(taken, identity)
 	}
--- a/deny/witness.go
+++ b/deny/witness.go
@@ -20,78 +20,82 @@
 // broke has the address asked unless the connection was reset. Upstreams that are full reset what is beyond their
 // room, and a probe for each takes more of it; the request under which a process ends has been read, so that its
 // connection is closed. What else was lost there waits for the answer too.
-func (list *List) broke(found poison.Break) {
+func (list *List) broke(found poison.UnansweredAttempt) {
 	list.mutex.Lock()
-	list.witness.Broke(found)
+	list.witness.RecordUnanswered(found)
 	list.broken.Store(true)
 	list.mutex.Unlock()
-	if !found.Reset && !found.Abandoned {
+	if !found.ConnectionReset && !found.Abandoned {
 		list.probes.soon(found.Address)
 	}
 }
 
-// Answered takes it that an upstream's life has answered a request that was sent at the given time.
-func (list *List) Answered(life poison.Life, sent cherrykeel.Instant) {
-	list.resolve(func(cherrykeel.Instant) []poison.Break {
-		list.witness.Answered(life, sent)
+// RecordAnswer takes it that an upstream's life has answered a request that was sent at the given time.
+func (list *List) RecordAnswer(life poison.Incarnation, sent cherrykeel.Instant) {
+	list.resolve(func(cherrykeel.Instant) []poison.UnansweredAttempt {
+		list.witness.RecordAnswer(life, sent)
 		return nil
 	}, "")
 }
 
-// Unreachable takes it that a connection to an address was refused.
-func (list *List) Unreachable(address string) {
-	list.resolve(func(now cherrykeel.Instant) []poison.Break { return list.witness.Unreachable(address, now) }, Refused)
+// RecordRefusedConnection takes it that a connection to an address was refused.
+func (list *List) RecordRefusedConnection(address string) {
+	list.resolve(func(now cherrykeel.Instant) []poison.UnansweredAttempt {
+		return list.witness.RemoveByAddress(address, now)
+	}, ConnectionRefused)
 }
 
-// Ended takes it that an upstream's life is over.
-func (list *List) Ended(life poison.Life) {
-	list.resolve(func(now cherrykeel.Instant) []poison.Break { return list.witness.Ended(life, now) }, Gone)
+// RecordIncarnationEnded takes it that an upstream's life is over.
+func (list *List) RecordIncarnationEnded(life poison.Incarnation) {
+	list.resolve(func(now cherrykeel.Instant) []poison.UnansweredAttempt {
+		return list.witness.RemoveByIncarnation(life, now)
+	}, EntryGone)
 }
 
 // resolve takes the breaks that the witness knows the reason of now.
-func (list *List) resolve(known func(now cherrykeel.Instant) []poison.Break, evidence Evidence) {
+func (list *List) resolve(known func(now cherrykeel.Instant) []poison.UnansweredAttempt, evidence Evidence) {
 	if !list.broken.Load() {
 		return
 	}
 	now := list.Clock.Now()
 	list.mutex.Lock()
 	breaks := known(now)
-	list.broken.Store(!list.witness.Empty(now))
+	list.broken.Store(!list.witness.IsEmpty(now))
 	list.mutex.Unlock()
 	for _, found := range breaks {
 		// Who has said that it leaves ends when its work is done, whatever that was.
-		if !list.Planned(found.Life) {
+		if !list.HasAnnouncedShutdown(found.Incarnation) {
 			list.atEnd(found, evidence, now)
 		}
 	}
 }
 
 // atEnd takes a request that was at work when its upstream ended.
-func (list *List) atEnd(found poison.Break, evidence Evidence, now cherrykeel.Instant) {
-	seen := list.now() - now.Sub(found.At).Milliseconds()
+func (list *List) atEnd(found poison.UnansweredAttempt, evidence Evidence, now cherrykeel.Instant) {
+	seen := list.now() - now.Sub(found.EndedAt).Milliseconds()
 	list.mutex.Lock()
-	before := list.table.Extent(found.Identity)
-	record, news := list.table.Ended(found, seen)
+	before := list.table.DenialScope(found.Fingerprint)
+	record, news := list.table.RecordCrash(found, seen)
 	if news {
-		list.changedOne(found.Identity, before)
+		list.changedOne(found.Fingerprint, before)
 	} else {
-		record, _ = list.table.Find(found.Identity)
+		record, _ = list.table.Find(found.Fingerprint)
 	}
 	list.mutex.Unlock()
-	events.Log(list.Logger, events.RequestAtEnd,
-		zap.String("Request", found.Request), zap.Stringer("Identity", found.Identity),
-		zap.Any("Callers", found.Marks), zap.String("Service", found.Service),
-		zap.String("Upstream", found.Life.Upstream), zap.Int64("Born", found.Life.Born),
-		zap.String("Evidence", string(evidence)), zap.Duration("After", now.Sub(found.At)), zap.Int("Ends", len(record.Standing())))
+	events.Log(list.Logger, events.RequestSuspected,
+		zap.String("Request", found.RequestID), zap.Stringer("Identity", found.Fingerprint),
+		zap.Any("Callers", found.CallerFingerprints), zap.String("Service", found.Service),
+		zap.String("Upstream", found.Incarnation.Upstream), zap.Int64("Born", found.Incarnation.StartedAt),
+		zap.String("Evidence", string(evidence)), zap.Duration("After", now.Sub(found.EndedAt)), zap.Int("Ends", len(record.UnansweredCrashes())))
 	if news {
 		list.spread(record, before)
 	}
 }
 
-func (list *List) served(identity poison.Identity, marks []poison.Mark) {
+func (list *List) served(identity poison.Fingerprint, marks []poison.CallerFingerprint) {
 	list.mutex.Lock()
-	before := list.table.Extent(identity)
-	record, news := list.table.Answered(identity, marks...)
+	before := list.table.DenialScope(identity)
+	record, news := list.table.RecordAnswer(identity, marks...)
 	list.mutex.Unlock()
 	if news {
 		list.spread(record, before)
@@ -99,11 +103,11 @@
 }
 
 // spread tells of what this host has seen itself.
-func (list *List) spread(record poison.Record, before poison.Extent) {
+func (list *List) spread(record poison.Record, before poison.DenialScope) {
 	list.logChange(record, before)
-	list.Tell(record)
-	if len(record.Ends) >= list.KeptEnds {
-		list.Keep(record)
+	list.Announce(record)
+	if len(record.Crashes) >= list.MinCrashesToStore {
+		list.Store(record)
 	}
 }
 
@@ -111,9 +115,9 @@
 // lapse, would tell later: on a quiet service by seconds, in which the same request ends the next upstream.
 func (list *List) ask(address string) {
 	list.mutex.Lock()
-	waits := list.witness.Waits(address)
+	waits := list.witness.HasPending(address)
 	list.mutex.Unlock()
-	if waits && list.Probe(address) {
-		list.Unreachable(address)
+	if waits && list.IsConnectionRefused(address) {
+		list.RecordRefusedConnection(address)
 	}
 }
--- a/drain/server.go
+++ b/drain/server.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Part lets each connection end with its next answer; requests go on being taken.
-func (server *Server) Part() {
+// DisableKeepAlives lets each connection end with its next answer; requests go on being taken.
+func (server *Server) DisableKeepAlives() {
 	server.stopping.Store(true)
 }
 
@@ -95,7 +95,7 @@
 // or the context's, if that has ended before all connections were taken, as when descriptors have run out: the listener
 // is closed, but may have reset a caller.
 func (server *Server) StopAccepting(ctx context.Context) error {
-	server.Part()
+	server.DisableKeepAlives()
 	err := server.listener.Stop()
 	select {
 	case <-server.accepted:
@@ -133,8 +133,8 @@
 	return errors.WithStack(err)
 }
 
-// TurnedAway returns how many connections brought no request until the stop ended them; their callers were told so.
-func (server *Server) TurnedAway() int64 {
+// ClosedUnused returns how many connections brought no request until the stop ended them; their callers were told so.
+func (server *Server) ClosedUnused() int64 {
 	return server.turnedAway.Load()
 }
 
--- a/drain/server_test.go
+++ b/drain/server_test.go
@@ -119,7 +119,7 @@
 		for range 100 {
 			runtime.Gosched()
 		}
-		server.Part()
+		server.DisableKeepAlives()
 		send(kept, "/")
 		Expect(server.Stop(context.Background())).To(Succeed())
 		second, err := http.ReadResponse(reader, nil)
@@ -220,7 +220,7 @@
 		inner := &http.Server{}
 		var server *drain.Server
 		inner.Handler = http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-			server.Part()
+			server.DisableKeepAlives()
 			write(writer)
 		})
 		server = drain.New(inner, listener)
--- a/drain/unused_test.go
+++ b/drain/unused_test.go
@@ -77,7 +77,7 @@
 		_, err := io.WriteString(conn, request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer(conn).StatusCode).To(Equal(http.StatusOK))
-		Expect(server.TurnedAway()).To(BeZero())
+		Expect(server.ClosedUnused()).To(BeZero())
 	})
 
 	// Guards against a caller that cannot tell whether its request was read when the host's patience ends.
@@ -86,7 +86,7 @@
 		Expect(server.StopAccepting(context.Background())).To(Succeed())
 		ended := func() int64 {
 			look(patientLooks, drain.LookEvery)
-			return server.TurnedAway()
+			return server.ClosedUnused()
 		}
 		Eventually(ended, generous).Should(BeEquivalentTo(1))
 		expectTurnedAway(answer(conn))
@@ -122,7 +122,7 @@
 		cancel()
 		_ = server.Stop(ctx)
 		expectTurnedAway(answer(conn))
-		Expect(server.TurnedAway()).To(BeEquivalentTo(1))
+		Expect(server.ClosedUnused()).To(BeEquivalentTo(1))
 	})
 })
 
--- a/edge/abandon_test.go
+++ b/edge/abandon_test.go
@@ -38,16 +38,16 @@
 // hand is a clock that moves when it is told.
 type hand struct{ now atomic.Int64 }
 
-func (hand *hand) Now() cherrykeel.Instant              { return cherrykeel.Instant(hand.now.Load()) }
-func (hand *hand) Wall() time.Time                      { return time.Unix(0, hand.now.Load()) }
-func (hand *hand) advance(by time.Duration)             { hand.now.Add(int64(by)) }
-func (*hand) Owner(string, int, string) string          { return "" }
-func (*hand) Draining(*cherrykeel.Service, string) bool { return false }
+func (hand *hand) Now() cherrykeel.Instant                { return cherrykeel.Instant(hand.now.Load()) }
+func (hand *hand) Wall() time.Time                        { return time.Unix(0, hand.now.Load()) }
+func (hand *hand) advance(by time.Duration)               { hand.now.Add(int64(by)) }
+func (*hand) Owner(string, int, string) string            { return "" }
+func (*hand) IsDraining(*cherrykeel.Service, string) bool { return false }
 
 // sender hands each request to a function.
 type sender func(ctx context.Context, request *http.Request) (conns.Progress, error)
 
-func (sender sender) SendWhen(ctx context.Context, _ string, request *http.Request, ready func() bool) (*conns.Answer, conns.Progress, error) {
+func (sender sender) SendIfReady(ctx context.Context, _ string, request *http.Request, ready func() bool) (*conns.Answer, conns.Progress, error) {
 	ctx = context.WithValue(ctx, readyKey{}, ready)
 	progress, err := sender(ctx, request)
 	return nil, progress, err
@@ -88,7 +88,7 @@
 
 // grant replaces what the host may send, and returns what it says it still holds.
 func (world *world) grant(sequence int64, partitions ...int) []int {
-	holding, known := world.fleet.GrantView(false, cherrykeel.Grant{
+	holding, known := world.fleet.GrantOrQueryView(false, cherrykeel.Grant{
 		Service:     service,
 		Fence:       cherrykeel.Fence{Term: 1, Sequence: sequence},
 		Incarnation: boot,
@@ -148,7 +148,7 @@
 	// upstream the new time and died, the keeper would pass the key on by the old one, while the request runs.
 	It("gets no more time than the lease under which it is sent allows", func() {
 		world := newWorld()
-		holding, _ := world.fleet.GrantView(false, cherrykeel.Grant{
+		holding, _ := world.fleet.GrantOrQueryView(false, cherrykeel.Grant{
 			Service:     service,
 			Fence:       cherrykeel.Fence{Term: 1, Sequence: 2},
 			Incarnation: boot,
@@ -220,7 +220,7 @@
 			return conns.Sent, errors.New("connection reset by peer")
 		})
 		Expect(world.grant(3)).To(BeEmpty())
-		late, _ := world.fleet.GrantView(false, cherrykeel.Grant{Service: service, Incarnation: boot, Fence: cherrykeel.Fence{Term: 1, Sequence: 1}})
+		late, _ := world.fleet.GrantOrQueryView(false, cherrykeel.Grant{Service: service, Incarnation: boot, Fence: cherrykeel.Fence{Term: 1, Sequence: 1}})
 		Expect(late.Accepted).To(BeFalse())
 	},
 		Entry("that removes the service and adds it again", func(world *world) {
--- a/edge/admission.go
+++ b/edge/admission.go
@@ -18,7 +18,7 @@
 
 // admit waits until the request may go to an upstream, or refuses it.
 func (forward *forward) admit(ctx context.Context, pool *pool, exchange *cherrykeel.Exchange, listed *deny.Request, tried string) (*place, *cherrykeel.Failure) {
-	denials := forward.denied.Changed()
+	denials := forward.denied.DenialAdded()
 	if failure := refusal(listed); failure != nil {
 		return nil, failure
 	}
@@ -80,7 +80,7 @@
 			}
 			return overloaded("queue-left", waiting.exchange, 0)
 		case <-denials:
-			denials = forward.denied.Changed()
+			denials = forward.denied.DenialAdded()
 			failure := refusal(listed)
 			if failure != nil {
 				waiting.cancel()
@@ -159,9 +159,9 @@
 		return place
 	}
 	if exchange.Service.Keyed && !pool.service.ChecksFences {
-		_, _ = pool.view.Enter(exchange.Partition, exchange.Key, now)
+		_, _ = pool.view.StartRequest(exchange.Partition, exchange.Key, now)
 		place.viewed = exchange
-		place.deadline = pool.view.Limit(exchange.Deadline, now)
+		place.deadline = pool.view.LimitDeadline(exchange.Deadline, now)
 	}
 	place.upstream.inFlight++
 	place.upstream.health.RecordAttempt()
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -19,8 +19,8 @@
 
 // Sender carries one attempt to an upstream; conns.Pool is the one in use.
 type Sender interface {
-	// SendWhen writes a request, if it is ready when there is a connection, and reads the head of its answer.
-	SendWhen(ctx context.Context, address string, request *http.Request, ready func() bool) (*conns.Answer, conns.Progress, error)
+	// SendIfReady writes a request, if it is ready when there is a connection, and reads the head of its answer.
+	SendIfReady(ctx context.Context, address string, request *http.Request, ready func() bool) (*conns.Answer, conns.Progress, error)
 }
 
 // wholeBytes is the largest answer that is read to its end before any of it is passed on,
@@ -104,14 +104,14 @@
 	attemptID := exchange.ID + "." + strconv.Itoa(number)
 	request := outgoing(exchange, attemptID)
 	ready := func() bool { return place.ready(exchange, request) }
-	answer, progress, err := forward.sender.SendWhen(ctx, place.upstream.server.Address, request, ready)
+	answer, progress, err := forward.sender.SendIfReady(ctx, place.upstream.server.Address, request, ready)
 	var result result
 	if err != nil {
 		result = broken(progress, err)
 		// An upstream that ended the connection itself works on nothing; one that this host left may.
 		result.finished.abandoned = progress == conns.AnswerBegun || progress != conns.NotSent && ctx.Err() != nil
-		result.unanswered = progress.Unanswered() && ctx.Err() == nil
-		result.abandoned = progress.Unanswered() && ctx.Err() != nil
+		result.unanswered = progress.IsUnanswered() && ctx.Err() == nil
+		result.abandoned = progress.IsUnanswered() && ctx.Err() != nil
 		result.refused = errors.Is(err, conns.ErrRefused)
 		result.reset = errors.Is(err, conns.ErrReset)
 	} else {
@@ -128,7 +128,7 @@
 		ending.Evidence = retry.NeverSent
 	}
 	// A host that has used up its own connections, or its time, has learned nothing about the upstream.
-	own := errors.Is(err, conns.ErrLimit) || errors.Is(err, conns.ErrNotReady)
+	own := errors.Is(err, conns.ErrConnLimit) || errors.Is(err, conns.ErrNotReady)
 	return result{ending: ending, finished: finished{reached: own, reported: -1}}
 }
 
--- a/edge/denied.go
+++ b/edge/denied.go
@@ -9,13 +9,13 @@
 )
 
 // partsOf are what makes a request the same one when it is sent again.
-func partsOf(exchange *cherrykeel.Exchange) poison.Parts {
-	return deny.PartsOf(exchange.Request, exchange.Request.URL.RequestURI(), exchange.Key, exchange.Body)
+func partsOf(exchange *cherrykeel.Exchange) poison.RequestParts {
+	return deny.RequestPartsOf(exchange.Request, exchange.Request.URL.RequestURI(), exchange.Key, exchange.Body)
 }
 
 // refusal refuses a request under which upstreams have ended.
 func refusal(listed *deny.Request) *cherrykeel.Failure {
-	left, refused := listed.Refused()
+	left, refused := listed.Denied()
 	if !refused {
 		return nil
 	}
@@ -27,21 +27,21 @@
 // tellOfUpstream says what an attempt showed of the upstream's process, and of the request.
 func (forward *forward) tellOfUpstream(place *place, exchange *cherrykeel.Exchange, listed *deny.Request, result result) {
 	server := place.upstream.server
-	life := poison.Life{Upstream: exchange.Service.Path + " " + server.Name}
+	life := poison.Incarnation{Upstream: exchange.Service.Path + " " + server.Name}
 	switch {
 	case result.unanswered, result.abandoned, result.failed():
-		listed.Broke(poison.Break{
-			Request: exchange.ID, Service: exchange.Service.Path, Life: life, Address: server.Address,
-			Begun: place.begun, At: forward.clock.Now(), Reset: result.reset, Abandoned: result.abandoned || result.failed(),
+		listed.RecordUnanswered(poison.UnansweredAttempt{
+			RequestID: exchange.ID, Service: exchange.Service.Path, Incarnation: life, Address: server.Address,
+			SentAt: place.begun, EndedAt: forward.clock.Now(), ConnectionReset: result.reset, Abandoned: result.abandoned || result.failed(),
 		})
 	case result.refused:
-		forward.denied.Unreachable(server.Address)
+		forward.denied.RecordRefusedConnection(server.Address)
 	}
 	if result.own {
-		forward.denied.Answered(life, place.begun)
+		forward.denied.RecordAnswer(life, place.begun)
 	}
 	if result.ran() && result.status < http.StatusInternalServerError {
-		listed.Served()
+		listed.RecordSuccess()
 	}
 }
 
--- a/edge/fleet.go
+++ b/edge/fleet.go
@@ -17,8 +17,8 @@
 type Owners interface {
 	// Owner returns the upstream that should hold the key now, or an empty string.
 	Owner(service string, partition int, key string) string
-	// Draining reports whether an upstream must get no new work.
-	Draining(service *cherrykeel.Service, upstream string) bool
+	// IsDraining reports whether an upstream must get no new work.
+	IsDraining(service *cherrykeel.Service, upstream string) bool
 }
 
 // Fleet holds what this host knows of the upstreams of every service.
@@ -80,8 +80,8 @@
 	}
 }
 
-// Hurry tells when a request waits for a slot that this host has not been given.
-func (fleet *Fleet) Hurry() chan struct{} {
+// SlotsNeeded tells when a request waits for a slot that this host has not been given.
+func (fleet *Fleet) SlotsNeeded() chan struct{} {
 	return fleet.hurry
 }
 
@@ -134,7 +134,7 @@
 	now := pool.fleet.clock.Now()
 	if service.Partitions != pool.service.Partitions {
 		pool.counter = demand.NewCounter(service.Partitions)
-		pool.view.Clear(service.Partitions)
+		pool.view.ClearGrant(service.Partitions)
 	}
 	pool.service = service
 	pool.hosts = hosts
@@ -197,9 +197,9 @@
 	return math.Round(load*10) / 10
 }
 
-// Troubled names the upstreams, as service and name, that this host's requests cannot reach,
+// UnavailableUpstreams names the upstreams, as service and name, that this host's requests cannot reach,
 // and those that have told it that they take no new work.
-func (fleet *Fleet) Troubled() (unreachable, refusing []string) {
+func (fleet *Fleet) UnavailableUpstreams() (unreachable, refusing []string) {
 	fleet.mutex.RLock()
 	defer fleet.mutex.RUnlock()
 	now := fleet.clock.Now()
@@ -218,8 +218,8 @@
 	return unreachable, refusing
 }
 
-// GrantView passes a keeper's grant, or question, to this host's view of a service.
-func (fleet *Fleet) GrantView(ask bool, grant cherrykeel.Grant) (cherrykeel.Holding, bool) {
+// GrantOrQueryView passes a keeper's grant, or question, to this host's view of a service.
+func (fleet *Fleet) GrantOrQueryView(ask bool, grant cherrykeel.Grant) (cherrykeel.Holding, bool) {
 	pool := fleet.pool(grant.Service)
 	if pool == nil {
 		return cherrykeel.Holding{}, false
@@ -230,7 +230,7 @@
 	if ask {
 		return pool.view.Holding(now), true
 	}
-	return pool.view.Grant(grant, now), true
+	return pool.view.ApplyGrant(grant, now), true
 }
 
 // choose returns the upstream that a request without a key goes to, or nil. If this host's
@@ -254,7 +254,7 @@
 	choices := make([]cherrykeel.Choice, 0, len(pool.upstreams))
 	for _, server := range pool.service.Upstreams {
 		upstream := pool.upstreams[server.Name]
-		if !usable(upstream) || pool.fleet.owners.Draining(pool.service, server.Name) {
+		if !usable(upstream) || pool.fleet.owners.IsDraining(pool.service, server.Name) {
 			continue
 		}
 		choices = append(choices, cherrykeel.Choice{
--- a/edge/forward.go
+++ b/edge/forward.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithTimeout(exchange.Request.Context(), left)
 	defer cancel()
 	pool.arrived(exchange)
-	listed := forward.denied.Request(partsOf(exchange))
+	listed := forward.denied.NewRequest(partsOf(exchange))
 	mayHaveRun := false
 	tried := ""
 	for number := 1; ; number++ {
@@ -57,7 +57,7 @@
 		}
 		mayHaveRun = mayHaveRun || result.ending.Evidence == retry.Uncertain
 		situation := forward.situation(pool, exchange, number)
-		situation.Suspected = result.unanswered && listed.Suspected()
+		situation.Suspected = result.unanswered && listed.IsSuspected()
 		verdict := retry.Decide(result.ending, situation)
 		if verdict.Forward {
 			return forward.pass(exchange, result)
@@ -131,7 +131,7 @@
 		return result, nil
 	}
 	result.streamed = func(err error) {
-		result.own = result.answer.Whole()
+		result.own = result.answer.IsComplete()
 		result.unanswered = err != nil && ctx.Err() == nil
 		result.reset = errors.Is(err, conns.ErrReset)
 		forward.tellOfUpstream(place, exchange, listed, result)
@@ -139,7 +139,7 @@
 	// A large answer keeps its place until it has been passed on; pass closes it.
 	result.answer.OnClose(func() {
 		cancel()
-		result.finished.abandoned = !result.answer.Whole()
+		result.finished.abandoned = !result.answer.IsComplete()
 		place.leave(result.finished)
 	})
 	return result, nil
@@ -195,11 +195,11 @@
 	}
 	view, upstream := place.pool.view, place.upstream.server.Name
 	if !abandoned {
-		view.Leave(upstream, place.viewed.Partition, place.viewed.Key)
+		view.FinishRequest(upstream, place.viewed.Partition, place.viewed.Key)
 		return
 	}
 	told := place.deadline.Sub(place.begun)
-	view.Abandon(upstream, place.viewed.Partition, place.viewed.Key, place.begun.Add(lease.MaxProcessingTime(told)))
+	view.AbandonRequest(upstream, place.viewed.Partition, place.viewed.Key, place.begun.Add(lease.MaxProcessingTime(told)))
 }
 
 // pass writes the answer to the caller.
@@ -238,12 +238,12 @@
 		return
 	}
 	result.answer.Close()
-	events.Log(forward.logger, events.AnswerBroke, zap.String("Request", exchange.ID), zap.Error(err))
+	events.Log(forward.logger, events.AnswerTruncated, zap.String("Request", exchange.ID), zap.Error(err))
 	panic(http.ErrAbortHandler)
 }
 
 func (forward *forward) foreign(exchange *cherrykeel.Exchange, echoed string) {
-	events.Log(forward.logger, events.AnswerForeign,
+	events.Log(forward.logger, events.AnswerMismatched,
 		zap.String("Request", exchange.ID),
 		zap.String("Answered", echoed),
 		zap.String("Service", exchange.Service.Path))
--- a/edge/identify.go
+++ b/edge/identify.go
@@ -12,11 +12,11 @@
 
 // Priorities of the stages; new ones fit in between.
 const (
-	PriorityIdentify = 100
-	PriorityMatch    = 200
-	PriorityBody     = 300
-	PriorityRepeat   = 400
-	PriorityForward  = 500
+	PriorityIdentify    = 100
+	PriorityMatch       = 200
+	PriorityBody        = 300
+	PriorityIdempotency = 400
+	PriorityForward     = 500
 )
 
 type identify struct {
@@ -35,18 +35,18 @@
 	return next(exchange)
 }
 
-// Tables gives the route table in force, or nil while there is none.
-type Tables interface {
+// TableSource gives the route table in force, or nil while there is none.
+type TableSource interface {
 	// Table returns the routes in force.
 	Table() *route.Table
 }
 
 type match struct {
-	tables Tables
+	tables TableSource
 }
 
 // NewMatch returns the stage that finds a request's service, key and deadline.
-func NewMatch(tables Tables) cherrykeel.Stage {
+func NewMatch(tables TableSource) cherrykeel.Stage {
 	return &match{tables: tables}
 }
 
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -21,7 +21,7 @@
 // addressed hands each request to a function by its upstream's address.
 type addressed func(ctx context.Context, address string) (conns.Progress, error)
 
-func (addressed addressed) SendWhen(ctx context.Context, address string, _ *http.Request, _ func() bool) (*conns.Answer, conns.Progress, error) {
+func (addressed addressed) SendIfReady(ctx context.Context, address string, _ *http.Request, _ func() bool) (*conns.Answer, conns.Progress, error) {
 	progress, err := addressed(ctx, address)
 	return nil, progress, err
 }
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -26,15 +26,15 @@
 	for name, upstream := range pool.upstreams {
 		limit := pool.limit(upstream, now)
 		upstream.queue.Resize(limit, length, now)
-		if !pool.fleet.owners.Draining(pool.service, name) {
+		if !pool.fleet.owners.IsDraining(pool.service, name) {
 			total += limit
 		}
 	}
 	pool.queue.Resize(total, length*len(pool.upstreams), now)
 }
 
-// Wants returns what this host asks of the slots of the services that it has used of late.
-func (fleet *Fleet) Wants() map[string]map[string]admit.SlotRequest {
+// SlotRequests returns what this host asks of the slots of the services that it has used of late.
+func (fleet *Fleet) SlotRequests() map[string]map[string]admit.SlotRequest {
 	fleet.mutex.RLock()
 	defer fleet.mutex.RUnlock()
 	now := fleet.clock.Now()
@@ -61,8 +61,8 @@
 	return wants
 }
 
-// Grant takes in the slots that a steward gave this host until an instant.
-func (fleet *Fleet) Grant(granted map[string]map[string]int, until cherrykeel.Instant) {
+// ApplySlotGrants takes in the slots that a steward gave this host until an instant.
+func (fleet *Fleet) ApplySlotGrants(granted map[string]map[string]int, until cherrykeel.Instant) {
 	for path, parts := range granted {
 		pool := fleet.pool(path)
 		if pool != nil {
@@ -83,8 +83,8 @@
 	pool.resize(pool.fleet.clock.Now())
 }
 
-// Refresh brings the queues of all services in step with grants that have ended.
-func (fleet *Fleet) Refresh() {
+// ResizeQueues brings the queues of all services in step with grants that have ended.
+func (fleet *Fleet) ResizeQueues() {
 	fleet.mutex.RLock()
 	defer fleet.mutex.RUnlock()
 	for _, pool := range fleet.pools {
--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -24,13 +24,13 @@
 	host.schedulingDelay = newSchedulingDelay(host.clock)
 	host.spans = watch.NewSpans(host.clock, host.logger, host.onSpansChange, host.announceSpans)
 	host.mesh = share.New(host.self, host.clock, host.logger, &state{host: host}, host.reportsThrottle.trigger, host.countsThrottle.trigger, func(demand share.Demand) { host.keeper.RecordDemand(demand) }, host.receive)
-	host.conns = conns.NewPool(conns.WithDialTimeout(dialTimeout), conns.WithUserTimeout(userTimeout), conns.WithIdleTimeout(idleTimeout), conns.WithUnframed())
-	host.pendingDenials = deny.NewPending()
+	host.conns = conns.NewPool(conns.WithDialTimeout(dialTimeout), conns.WithUserTimeout(userTimeout), conns.WithIdleTimeout(idleTimeout), conns.WithCloseDelimited())
+	host.pendingDenials = deny.NewPendingRecords()
 	host.denyList = deny.New(deny.Settings{
-		Clock: host.clock, Logger: host.logger, Probe: host.conns.Refused,
-		Tell: host.announceDenial, Keep: host.pendingDenials.Add, KeptEnds: minStoredCrashes,
-		Planned: func(incarnation poison.Life) bool {
-			return host.upstreams.IsLeaving(incarnation.Upstream, incarnation.Born)
+		Clock: host.clock, Logger: host.logger, IsConnectionRefused: host.conns.IsRefused,
+		Announce: host.announceDenial, Store: host.pendingDenials.Add, MinCrashesToStore: minStoredCrashes,
+		HasAnnouncedShutdown: func(incarnation poison.Incarnation) bool {
+			return host.upstreams.IsLeaving(incarnation.Upstream, incarnation.StartedAt)
 		},
 	})
 	host.relay = relay.New(relay.Settings{
@@ -40,7 +40,7 @@
 		OnMisdirected: host.onMisdirected, OnUpstreamReplaced: func(id string) { host.upstreams.MarkEnded(id) }, DenyList: host.denyList,
 	})
 	host.server = caller.New(host.relay, caller.WithLimits(host.limits), caller.WithLogger(host.logger),
-		caller.WithMemory(int64(bodyShare*float64(host.settings.MemoryBytes))))
+		caller.WithBodyMemoryLimit(int64(bodyShare*float64(host.settings.MemoryBytes))))
 	host.routes = watch.NewRoutes(host.platform.RoutesKey, host.platform.DecodeRoutes, host.logger, host.applyRoutes, host.announcer(topicSettings))
 	host.zones = watch.NewZones(host.platform.EvacuationPrefix, host.clock, host.logger, host.applyUpstreams, host.announcer(topicSettings))
 	host.upstreams = watch.NewUpstreams(host.platform.DecodeUpstream, host.clock, host.logger,
--- a/entry/denied.go
+++ b/entry/denied.go
@@ -40,7 +40,7 @@
 	host.announceDenials(record)
 	for _, delay := range denialRepeatDelays {
 		time.AfterFunc(delay, func() {
-			newest, known := host.denyList.Find(record.Identity)
+			newest, known := host.denyList.Find(record.Fingerprint)
 			if known {
 				host.announceDenials(newest)
 			}
@@ -56,7 +56,7 @@
 			events.Log(host.logger, events.WriteFailed, zap.Error(err))
 			continue
 		}
-		encoded = append(encoded, cherrykeel.KeyedRecord{Key: deniedPrefix + record.Identity.String(), Value: value})
+		encoded = append(encoded, cherrykeel.KeyedRecord{Key: deniedPrefix + record.Fingerprint.String(), Value: value})
 	}
 	host.mesh.Announce(topicDenied, encoded, share.NoPreviousChange)
 }
@@ -64,7 +64,7 @@
 // announceToNewcomers sends all records to the other hosts after some of them have started. Among many hosts only hubs
 // do that.
 func (host *Host) announceToNewcomers() {
-	if host.denyList.Empty() || host.mesh.HubDuration() == 0 {
+	if host.denyList.IsEmpty() || host.mesh.HubDuration() == 0 {
 		return
 	}
 	host.announceDenials(host.denyList.Records()...)
@@ -81,7 +81,7 @@
 		peers = append(peers, record)
 	}
 	update.Records = peers
-	host.applyDenials(denied, host.denyList.MergeKept)
+	host.applyDenials(denied, host.denyList.MergeStored)
 	host.peers.Apply(update)
 	if update.Snapshot {
 		// A host may be ready once it has read the whole list. Until the list is in force, it counts itself as the only
@@ -113,8 +113,8 @@
 
 // removeExpiredDenials removes records that are too old, on one host from the store too, and updates the metrics.
 func (host *Host) removeExpiredDenials(ctx context.Context) {
-	host.denyList.Count(host.scope)
-	dropped := host.denyList.Forget()
+	host.denyList.UpdateMetrics(host.scope)
+	dropped := host.denyList.RemoveExpired()
 	if len(dropped) == 0 || host.rank() > 0 {
 		return
 	}
@@ -129,7 +129,7 @@
 // writePendingDenials writes records until the context ends, each until the store has accepted it.
 func (host *Host) writePendingDenials(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, identity := range host.pendingDenials.Take(ctx) {
+		for _, identity := range host.pendingDenials.DequeueAll(ctx) {
 			wait := announceInterval
 			for ctx.Err() == nil && !host.writeDenial(ctx, identity) {
 				sleepContext(ctx, wait)
@@ -140,7 +140,7 @@
 }
 
 // writeDenial writes a request's record and reports whether nothing is left to write.
-func (host *Host) writeDenial(ctx context.Context, identity poison.Identity) bool {
+func (host *Host) writeDenial(ctx context.Context, identity poison.Fingerprint) bool {
 	record, known := host.denyList.Find(identity)
 	if !known {
 		return true
--- a/entry/host.go
+++ b/entry/host.go
@@ -72,7 +72,7 @@
 
 	relay          *relay.Relay
 	denyList       *deny.List
-	pendingDenials *deny.Pending
+	pendingDenials *deny.PendingRecords
 	conns          *conns.Pool
 	server         *caller.Server
 	mesh           *share.Mesh
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -54,8 +54,8 @@
 	signalled := begun.Add(-delay)
 	earliest := min(signalled, host.mesh.EarliestEventTime())
 	grace := fullGrace - delay
-	events.Log(host.logger, events.EntryStopping, zap.Int("Connections", host.server.Open()), zap.Duration("Grace", grace), zap.Duration("Late", begun.Sub(earliest)))
-	host.server.Stop()
+	events.Log(host.logger, events.EntryStopping, zap.Int("Connections", host.server.OpenConns()), zap.Duration("Grace", grace), zap.Duration("Late", begun.Sub(earliest)))
+	host.server.DisableKeepAlives()
 	go host.keeper.Resign(ctx)
 	go host.signalExit(signalled.Add(grace - exitMargin))
 	// One end bounds the whole stop. When each wait had a bound of its own, or none, a host that had run out of
@@ -64,7 +64,7 @@
 	draining, cancel := host.contextUntil(ctx, end)
 	defer cancel()
 	runUntil(draining.Done(), func() { host.drain(draining, earliest, grace, end) })
-	events.Log(host.logger, events.EntryStopped, zap.Int("Cut", host.server.Open()), zap.Duration("Took", host.clock.Now().Sub(begun)))
+	events.Log(host.logger, events.EntryStopped, zap.Int("Cut", host.server.OpenConns()), zap.Duration("Took", host.clock.Now().Sub(begun)))
 	runUntil(host.mustExit, func() { host.stopGranting(ctx) })
 }
 
@@ -97,7 +97,7 @@
 		host.removeRecord(ctx, end)
 	}()
 	err := host.closeListener(ctx, max(end.Add(-removeTimeout), host.clock.Now().Add(acceptTimeout)))
-	events.Log(host.logger, events.EntryClosed, zap.Duration("After", host.clock.Now().Sub(earliest)), zap.Int("Connections", host.server.Open()), zap.Error(err))
+	events.Log(host.logger, events.EntryListenerClosed, zap.Duration("After", host.clock.Now().Sub(earliest)), zap.Int("Connections", host.server.OpenConns()), zap.Error(err))
 	host.closeConnections(ctx)
 	// With no connection left the record is removed at once.
 	cancel()
@@ -121,7 +121,7 @@
 
 // closeConnections closes each connection as it becomes idle, and returns when none is left or the context has ended.
 func (host *Host) closeConnections(ctx context.Context) {
-	for host.server.Open() > 0 && ctx.Err() == nil {
+	for host.server.OpenConns() > 0 && ctx.Err() == nil {
 		host.server.CloseIdle()
 		sleepContext(ctx, stopPollInterval)
 	}
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -87,7 +87,7 @@
 	DeferCleanup(conn.Close)
 	_, err = conn.Write([]byte("GET / HTTP/1.1\r\n"))
 	Expect(err).NotTo(HaveOccurred())
-	Eventually(stopping.host.server.Open, generous).Should(Equal(1))
+	Eventually(stopping.host.server.OpenConns, generous).Should(Equal(1))
 }
 
 func noRemoval(context.Context) {}
@@ -207,7 +207,9 @@
 		stopping.run()
 		stopping.begin()
 		stopping.clock.Advance(testGrace - endMargin - removeTimeout/2)
-		closed := func() []observer.LoggedEntry { return stopping.logged.FilterMessage(events.EntryClosed.Text).All() }
+		closed := func() []observer.LoggedEntry {
+			return stopping.logged.FilterMessage(events.EntryListenerClosed.Text).All()
+		}
 		Eventually(closed, generous).Should(HaveLen(1))
 		Expect(closed()[0].ContextMap()).NotTo(HaveKeyWithValue("Error", ErrConnectionsNotAccepted.Error()))
 		Eventually(stopping.ended, generous).Should(BeClosed())
--- a/entry/tend.go
+++ b/entry/tend.go
@@ -64,7 +64,7 @@
 			host.removeUnreachable(ctx, host.clock.Now().Sub(begun))
 			host.removeExpiredDenials(ctx)
 			// Idle connections take up room at upstreams, which reset those beyond their limit.
-			host.conns.Sweep()
+			host.conns.CloseExpired()
 		case <-demand.C:
 			table, _, known := host.spans.Current()
 			if known {
--- a/events/sink_test.go
+++ b/events/sink_test.go
@@ -65,7 +65,7 @@
 	It("writes one JSON line with the event's number and an error's text, not its stack", func() {
 		var buffer bytes.Buffer
 		logger := events.NewLogger(zapcore.AddSync(&buffer), zapcore.InfoLevel)
-		events.Log(logger, events.TopicLost, zap.Error(errors.New("away")))
+		events.Log(logger, events.TopicUnavailable, zap.Error(errors.New("away")))
 		Expect(buffer.String()).To(ContainSubstring(`"Error":"away"`))
 		Expect(buffer.String()).To(ContainSubstring(`"Event":605`))
 		Expect(buffer.String()).NotTo(ContainSubstring("sink_test.go"))
--- a/fold/apply.go
+++ b/fold/apply.go
@@ -37,7 +37,7 @@
 	case record.Checkpoint != nil:
 		verdict.Accepted = true
 		state.CheckpointAt = offset
-	case len(record.Denials) > 0:
+	case len(record.SuspectedRequests) > 0:
 		state.applyDenials(&verdict, record)
 	default:
 		verdict.Reason = "the record is empty"
@@ -59,7 +59,7 @@
 		if current == edit.Base {
 			continue
 		}
-		verdict.LostTo = current
+		verdict.ConflictVersion = current
 		verdict.Reason = fmt.Sprintf("%q is at version %d, the change replaces version %d", edit.Path, current, edit.Base)
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 func (state *State) applyEdit(version int64, record Record, edit tree.Edit) {
-	entry := Entry{
+	entry := AuditEntry{
 		ID:      record.ID,
 		Version: version,
 		Author:  record.Author,
@@ -83,7 +83,7 @@
 	}
 	state.Audit = append(state.Audit, entry)
 	if excess := len(state.Audit) - auditLength; excess > 0 {
-		state.Audit = append([]Entry(nil), state.Audit[excess:]...)
+		state.Audit = append([]AuditEntry(nil), state.Audit[excess:]...)
 	}
 	if edit.Removed {
 		delete(state.Nodes, edit.Path)
@@ -94,9 +94,9 @@
 
 func (state *State) applyClaim(verdict *Verdict, record Record) {
 	claim := *record.Claim
-	block := state.Blocks[claim.Service]
+	block := state.Ownership[claim.Service]
 	if block.Term != claim.Term {
-		verdict.LostTo = block.Term
+		verdict.ConflictVersion = block.Term
 		verdict.Reason = fmt.Sprintf("the term is %d, held by %s", block.Term, block.Keeper)
 		return
 	}
@@ -110,14 +110,14 @@
 	block.LeaseLength = claim.LeaseLength
 	block.Timeout = claim.Timeout
 	block.Witnesses = claim.Witnesses
-	state.Blocks[claim.Service] = block
+	state.Ownership[claim.Service] = block
 	verdict.Accepted = true
 }
 
 func (state *State) applyAssign(verdict *Verdict, assign Assign) {
-	block := state.Blocks[assign.Service]
+	block := state.Ownership[assign.Service]
 	if block.Term != assign.Term || block.Sequence != assign.Base {
-		verdict.LostTo = block.Term
+		verdict.ConflictVersion = block.Term
 		verdict.Reason = fmt.Sprintf("the block is at term %d, sequence %d", block.Term, block.Sequence)
 		return
 	}
@@ -130,30 +130,30 @@
 	if assign.Settled {
 		block.Earlier = nil
 	}
-	block.Placement = Place(block.Placement, assign)
-	state.Blocks[assign.Service] = block
+	block.Placement = ApplyAssign(block.Placement, assign)
+	state.Ownership[assign.Service] = block
 	verdict.Accepted = true
 }
 
 // applyDenials merges what hosts have seen. How old a request's ends are is counted from the record's own time, so that
 // every host folds the same.
 func (state *State) applyDenials(verdict *Verdict, record Record) {
-	for _, denial := range record.Denials {
-		identity, err := poison.ParseIdentity(denial.Identity)
+	for _, denial := range record.SuspectedRequests {
+		identity, err := poison.ParseFingerprint(denial.Fingerprint)
 		if err != nil {
 			verdict.Reason = err.Error()
 			return
 		}
 		told := denial.Request
-		told.Identity = identity
-		state.Denied = poison.Fold(state.Denied, told, record.Time.UnixMilli())
+		told.Fingerprint = identity
+		state.SuspectedRequests = poison.MergeRecord(state.SuspectedRequests, told, record.Time.UnixMilli())
 	}
-	state.DeniedAt = verdict.Version
+	state.SuspectedVersion = verdict.Version
 	verdict.Accepted = true
 }
 
-// Place returns the placement that an assignment makes of the last one.
-func Place(last cherrykeel.Placement, assign Assign) cherrykeel.Placement {
+// ApplyAssign returns the placement that an assignment makes of the last one.
+func ApplyAssign(last cherrykeel.Placement, assign Assign) cherrykeel.Placement {
 	next := cherrykeel.Placement{
 		Owners:     place(last.Owners, assign.Partitions, assign.Owners),
 		Successors: place(last.Successors, assign.Partitions, assign.Successors),
@@ -184,8 +184,8 @@
 	return next
 }
 
-// Difference returns the assignment that turns one placement into another, without term and base.
-func Difference(service string, last, next cherrykeel.Placement) Assign {
+// DiffPlacements returns the assignment that turns one placement into another, without term and base.
+func DiffPlacements(service string, last, next cherrykeel.Placement) Assign {
 	assign := Assign{
 		Service:    service,
 		Partitions: len(next.Owners),
--- a/fold/fold_test.go
+++ b/fold/fold_test.go
@@ -61,12 +61,12 @@
 				t.Fatalf("nodes %v, naive %v", whole.Nodes, nodes)
 			}
 			for path, node := range nodes {
-				if whole.Nodes[path].Version != node.Version || !tree.Same(whole.Nodes[path].Fields, node.Fields) {
+				if whole.Nodes[path].Version != node.Version || !tree.EqualFields(whole.Nodes[path].Fields, node.Fields) {
 					t.Fatalf("%q is %v, naive %v", path, whole.Nodes[path], node)
 				}
 			}
 			for service, block := range blocks {
-				got := whole.Blocks[service]
+				got := whole.Ownership[service]
 				if got.Term != block.Term || got.Keeper != block.Keeper || got.Sequence != block.Sequence {
 					t.Fatalf("%s is %+v, naive %+v", service, got, block)
 				}
@@ -96,7 +96,7 @@
 		again, _ := state.Apply(2, change("x"))
 		Expect(first.Accepted).To(BeTrue())
 		Expect(second.Accepted).To(BeFalse())
-		Expect(second.LostTo).To(Equal(int64(1)))
+		Expect(second.ConflictVersion).To(Equal(int64(1)))
 		Expect(again.Accepted).To(BeFalse(), "a record that is appended twice takes effect once")
 	})
 
--- a/fold/intents.go
+++ b/fold/intents.go
@@ -132,8 +132,8 @@
 	intents.expire(func(intent Intent) bool { return intents.clock.Sub(intent.Time) > intentWindow })
 }
 
-// Drop forgets what the log's retention has dropped, since a new host would not know it either.
-func (intents *Intents) Drop(first int64) {
+// DropBefore forgets what the log's retention has dropped, since a new host would not know it either.
+func (intents *Intents) DropBefore(first int64) {
 	intents.expire(func(intent Intent) bool { return intent.offset < first })
 }
 
--- a/fold/record.go
+++ b/fold/record.go
@@ -25,18 +25,18 @@
 	Author string
 	Time   time.Time
 
-	Change     *Change     `json:",omitempty"`
-	Claim      *Claim      `json:",omitempty"`
-	Assign     *Assign     `json:",omitempty"`
-	Checkpoint *Checkpoint `json:",omitempty"`
-	Denials    []Denial    `json:",omitempty"`
+	Change            *Change            `json:",omitempty"`
+	Claim             *Claim             `json:",omitempty"`
+	Assign            *Assign            `json:",omitempty"`
+	Checkpoint        *Checkpoint        `json:",omitempty"`
+	SuspectedRequests []SuspectedRequest `json:",omitempty"`
 }
 
-// Denial tells what its author knows of a request that was at work when upstreams ended.
-type Denial struct {
-	// Identity is the request's, as poison.Identity writes it.
-	Identity string
-	Request  poison.Record
+// SuspectedRequest tells what its author knows of a request that was at work when upstreams ended.
+type SuspectedRequest struct {
+	// Fingerprint is the request's, as poison.Identity writes it.
+	Fingerprint string
+	Request     poison.Record
 }
 
 // Change proposes edits to the settings tree; all are accepted or none.
--- a/fold/state.go
+++ b/fold/state.go
@@ -16,8 +16,8 @@
 // auditLength bounds the audit trail in the state; docs/CAPACITY.md gives its cost.
 const auditLength = 500
 
-// Entry is one line of the audit trail.
-type Entry struct {
+// AuditEntry is one line of the audit trail.
+type AuditEntry struct {
 	// ID is the record's.
 	ID string
 	// Version is that of the change.
@@ -30,8 +30,8 @@
 	After   map[string]any `json:",omitempty"`
 }
 
-// Block is what the log says of the ownership of one service's keys.
-type Block struct {
+// ServiceOwnership is what the log says of the ownership of one service's keys.
+type ServiceOwnership struct {
 	// Term is the version of the keeper's claim; 0 while nobody has claimed.
 	Term   int64
 	Keeper string
@@ -61,18 +61,18 @@
 	// Next is the offset of the first record that is not folded yet.
 	Next int64
 	// Version is that of the last accepted change of settings.
-	Version int64
-	Nodes   tree.Nodes
-	Blocks  map[string]Block
-	Audit   []Entry
+	Version   int64
+	Nodes     tree.Nodes
+	Ownership map[string]ServiceOwnership
+	Audit     []AuditEntry
 	// CheckpointAt is the offset of the last checkpoint.
 	CheckpointAt int64
 	// Chain is a hash over all records and verdicts; hosts that judged a record differently differ from there on.
 	Chain uint64
-	// Denied are the requests that were at work when upstreams ended, by identity, and DeniedAt is the version of the
+	// SuspectedRequests are the requests that were at work when upstreams ended, by identity, and DeniedAt is the version of the
 	// last record that told of one.
-	Denied   map[string]poison.Record `json:",omitempty"`
-	DeniedAt int64                    `json:",omitempty"`
+	SuspectedRequests map[string]poison.Record `json:",omitempty"`
+	SuspectedVersion  int64                    `json:",omitempty"`
 }
 
 // Verdict says what the fold made of a record.
@@ -82,13 +82,13 @@
 	Version  int64
 	Accepted bool
 	Reason   string
-	// LostTo is the version that was in force instead, for a change that lost.
-	LostTo int64
+	// ConflictVersion is the version that was in force instead, for a change that lost.
+	ConflictVersion int64
 }
 
 // NewState returns the state of an empty log.
 func NewState() *State {
-	return &State{Nodes: tree.Nodes{}, Blocks: map[string]Block{}}
+	return &State{Nodes: tree.Nodes{}, Ownership: map[string]ServiceOwnership{}}
 }
 
 // Clone returns a copy whose maps may be changed; the values in them are replaced, never changed.
@@ -98,11 +98,11 @@
 	for path, node := range state.Nodes {
 		clone.Nodes[path] = node
 	}
-	clone.Blocks = make(map[string]Block, len(state.Blocks))
-	for service, block := range state.Blocks {
-		clone.Blocks[service] = block
+	clone.Ownership = make(map[string]ServiceOwnership, len(state.Ownership))
+	for service, block := range state.Ownership {
+		clone.Ownership[service] = block
 	}
-	clone.Audit = append([]Entry(nil), state.Audit...)
+	clone.Audit = append([]AuditEntry(nil), state.Audit...)
 	return &clone
 }
 
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -98,9 +98,9 @@
 		_, err := follower.Propose(context.Background(), change("x", 0))
 		Expect(err).NotTo(HaveOccurred())
 		status := follower.Status()
-		Expect(follower.Differs(status.Next, status.Chain)).To(BeFalse())
-		Expect(follower.Differs(status.Next, status.Chain+1)).To(BeTrue())
-		Expect(follower.Differs(status.Next+5, 1)).To(BeFalse(), "a peer that is ahead cannot be compared yet")
+		Expect(follower.HasDiverged(status.Next, status.Chain)).To(BeFalse())
+		Expect(follower.HasDiverged(status.Next, status.Chain+1)).To(BeTrue())
+		Expect(follower.HasDiverged(status.Next+5, 1)).To(BeFalse(), "a peer that is ahead cannot be compared yet")
 	})
 
 	It("gives a peer that is cut off the records that it lacks, or a checkpoint when it lacks too much", func() {
@@ -110,7 +110,7 @@
 			_, err := follower.Propose(context.Background(), change(string(rune('a'+base)), base))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		relay, err := follower.Relay(1)
+		relay, err := follower.RecordsFrom(1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(relay.Records).To(HaveLen(2))
 		Expect(relay.Checkpoint).To(BeNil())
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -15,8 +15,8 @@
 var (
 	// ErrOutcomeUnknown means that a proposed record was not read back in time; it may still take effect.
 	ErrOutcomeUnknown = errors.New("the outcome of the append is not known")
-	// ErrBehind means that the log's retention has overtaken this host and holds no checkpoint to start from.
-	ErrBehind = errors.New("the log no longer holds what this host has not read, nor a checkpoint")
+	// ErrLogTruncated means that the log's retention has overtaken this host and holds no checkpoint to start from.
+	ErrLogTruncated = errors.New("the log no longer holds what this host has not read, nor a checkpoint")
 )
 
 const (
@@ -30,11 +30,11 @@
 type Peers interface {
 	// Fetch asks peers for the records from an offset on; it needs answers from enough
 	// of them to be sure that the newest is among them if quorum is set.
-	Fetch(ctx context.Context, from int64, quorum bool) (Relay, error)
+	Fetch(ctx context.Context, from int64, quorum bool) (MissingRecords, error)
 }
 
-// Relay is what a peer gives to a host that is cut off from the log.
-type Relay struct {
+// MissingRecords is what a peer gives to a host that is cut off from the log.
+type MissingRecords struct {
 	// Checkpoint is set when the peer does not keep the records any more.
 	Checkpoint *fold.Checkpoint
 	Records    []cherrykeel.LogRecord
@@ -49,8 +49,8 @@
 	CaughtUp bool
 	// LogUp says that the last read of the log succeeded.
 	LogUp bool
-	// LogSilence is how long ago the log last answered.
-	LogSilence time.Duration
+	// SinceLogReply is how long ago the log last answered.
+	SinceLogReply time.Duration
 	// Reason says why the follower is not caught up.
 	Reason string
 }
@@ -90,8 +90,8 @@
 	}
 }
 
-// OnFresh sets what is called when a read of the log, begun at an instant, showed that nothing is missing.
-func OnFresh(call func(begun cherrykeel.Instant)) Option {
+// OnCaughtUp sets what is called when a read of the log, begun at an instant, showed that nothing is missing.
+func OnCaughtUp(call func(begun cherrykeel.Instant)) Option {
 	return func(follower *Follower) {
 		follower.onFresh = call
 	}
@@ -130,7 +130,7 @@
 	status := follower.status
 	status.Next = state.Next
 	status.Chain = state.Chain
-	status.LogSilence = follower.clock.Now().Sub(follower.answered)
+	status.SinceLogReply = follower.clock.Now().Sub(follower.answered)
 	return status
 }
 
@@ -243,8 +243,8 @@
 	}
 }
 
-// Differs reports whether a peer that has folded up to next came to another state than this host.
-func (follower *Follower) Differs(next int64, chain uint64) bool {
+// HasDiverged reports whether a peer that has folded up to next came to another state than this host.
+func (follower *Follower) HasDiverged(next int64, chain uint64) bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	own, known := follower.chains[next]
--- a/follow/restart.go
+++ b/follow/restart.go
@@ -21,7 +21,7 @@
 	}
 	if state.Next < follower.State().Next {
 		// An older state than one that was in force must never be, even for a moment.
-		return errors.Wrapf(ErrBehind, "the newest checkpoint is of %d, this host has read up to %d", state.Next, follower.State().Next)
+		return errors.Wrapf(ErrLogTruncated, "the newest checkpoint is of %d, this host has read up to %d", state.Next, follower.State().Next)
 	}
 	follower.adopt(state)
 	return follower.foldRecords(state, records)
@@ -54,7 +54,7 @@
 		}
 		return state, nil
 	}
-	return nil, errors.Wrapf(ErrBehind, "the log begins at %d", first)
+	return nil, errors.Wrapf(ErrLogTruncated, "the log begins at %d", first)
 }
 
 // adopt takes a state as it is, without the records that led to it.
@@ -70,7 +70,7 @@
 // readFromPeers gets records relayed while the log is out of reach, for this host or for all.
 func (follower *Follower) readFromPeers(ctx context.Context) {
 	status := follower.Status()
-	if follower.peers == nil || status.LogUp || status.LogSilence < outageAfter {
+	if follower.peers == nil || status.LogUp || status.SinceLogReply < outageAfter {
 		return
 	}
 	relay, err := follower.peers.Fetch(ctx, status.Next, !status.CaughtUp)
@@ -99,7 +99,7 @@
 	}
 }
 
-func (follower *Follower) takeRelay(relay Relay) error {
+func (follower *Follower) takeRelay(relay MissingRecords) error {
 	state := follower.State()
 	if relay.Checkpoint != nil {
 		restored, err := fold.Restore(*relay.Checkpoint)
@@ -115,13 +115,13 @@
 	return follower.foldRecords(state, relay.Records)
 }
 
-// Relay returns, for a peer that is cut off, what it lacks from an offset on.
-func (follower *Follower) Relay(from int64) (Relay, error) {
+// RecordsFrom returns, for a peer that is cut off, what it lacks from an offset on.
+func (follower *Follower) RecordsFrom(from int64) (MissingRecords, error) {
 	state := follower.State()
 	follower.mutex.Lock()
 	recent := follower.recent
 	follower.mutex.Unlock()
-	relay := Relay{Next: state.Next}
+	relay := MissingRecords{Next: state.Next}
 	if from >= state.Next {
 		return relay, nil
 	}
--- a/grants/change.go
+++ b/grants/change.go
@@ -57,7 +57,7 @@
 	if !changed {
 		return
 	}
-	events.Log(keeper.logger, events.KeeperChanged, zap.Int64("At", next), zap.Int64("Term", table.Term))
+	events.Log(keeper.logger, events.SpansChanged, zap.Int64("At", next), zap.Int64("Term", table.Term))
 	keeper.recordTransfers(table, proposal, next, now)
 	keeper.writeTable(ctx, proposal, next)
 }
@@ -163,7 +163,7 @@
 	wanted := map[spans.GrantedSpan]bool{}
 	for service, list := range table.Services {
 		for _, owned := range list {
-			if !owned.Moving {
+			if !owned.InTransfer {
 				continue
 			}
 			// Every grant of the span has the span's fence or a lower one. The release has a higher one, so that the
@@ -203,7 +203,7 @@
 	keeper.withdrawGrants(key)
 	upstream := cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address, StartedAt: owned.StartedAt}
 	lease := keeper.leaseFor(key.Service, key.Owner, now)
-	events.Log(keeper.logger, events.SpanMoving,
+	events.Log(keeper.logger, events.SpanTransferStarted,
 		zap.String("Service", key.Service), zap.String("Upstream", key.Owner), zap.Int("First", owned.First), zap.Int("Last", owned.Last),
 		zap.Int64("Fence", key.Fence), zap.Float64("Load", keeper.demandFor(key.Service).Load(owned.Span())), zap.Duration("Hold", lease))
 	term := keeper.term
@@ -252,7 +252,7 @@
 		zap.Int("Last", key.Span.Last), zap.Duration("Took", took), zap.Duration("Waited", waited),
 	}
 	if err != nil {
-		events.Log(keeper.logger, events.GrantOpen, append(fields, zap.Error(err))...)
+		events.Log(keeper.logger, events.GrantUnanswered, append(fields, zap.Error(err))...)
 		return
 	}
 	state.answered = true
--- a/grants/claim.go
+++ b/grants/claim.go
@@ -206,7 +206,7 @@
 
 func (keeper *Keeper) recordConfirmation(confirmed bool, confirming int) bool {
 	if !confirmed && !keeper.unconfirmed {
-		events.Log(keeper.logger, events.KeeperUnsure, zap.Int64("Term", keeper.term), zap.Int("Confirming", confirming), zap.Int("Hosts", keeper.mesh.HostCount()))
+		events.Log(keeper.logger, events.KeeperUnconfirmed, zap.Int64("Term", keeper.term), zap.Int("Confirming", confirming), zap.Int("Hosts", keeper.mesh.HostCount()))
 	}
 	keeper.unconfirmed = !confirmed
 	return confirmed
--- a/grants/evidence.go
+++ b/grants/evidence.go
@@ -30,7 +30,7 @@
 	by, since := keeper.evidenceFor(service, before, now)
 	after, _ := proposal.Find(service, before.First)
 	keeper.meter.countTransfer(by)
-	events.Log(keeper.logger, events.SpanGivenOn,
+	events.Log(keeper.logger, events.SpanTransferable,
 		zap.String("Service", service), zap.Int("First", before.First), zap.Int("Last", before.Last),
 		zap.String("From", before.Owner), zap.String("To", after.Owner), zap.Int64("At", at), zap.Int64("Fence", before.Fence),
 		zap.String("FreeBy", string(by)), zap.Duration("FreeFor", since))
--- a/grants/grants_test.go
+++ b/grants/grants_test.go
@@ -147,7 +147,7 @@
 		Eventually(func() bool {
 			table, _, _ := store.Current()
 			owned, _ := table.Find(service, cherrykeel.MaxKey)
-			return owned.Moving
+			return owned.InTransfer
 		}, longTimeout).Should(BeTrue())
 		Consistently(func() string {
 			table, _, _ := store.Current()
--- a/grants/hold.go
+++ b/grants/hold.go
@@ -38,7 +38,7 @@
 		return
 	}
 	keeper.longLeases = barred
-	events.Log(keeper.logger, events.HoldsChanged, zap.Bool("Long", barred), zap.Duration("Least", keeper.usualLease()), zap.Int64("Term", keeper.term))
+	events.Log(keeper.logger, events.LeaseDurationChanged, zap.Bool("Long", barred), zap.Duration("Least", keeper.usualLease()), zap.Int64("Term", keeper.term))
 }
 
 // isTakeoverBarred reports whether no other host could replace this keeper if it crashed now: the store has been
--- a/grants/overtaken_test.go
+++ b/grants/overtaken_test.go
@@ -58,7 +58,7 @@
 		owned := spans.Owned{First: 0, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", Fence: 4}
 		table := spans.Table{Version: 4, Term: 1, Services: map[string][]spans.Owned{service: {owned}}}
 		keeper.renewGrants(context.Background(), table, clock.Now())
-		owned.Moving = true
+		owned.InTransfer = true
 		moving := spans.Table{Version: 5, Term: 1, Services: map[string][]spans.Owned{service: {owned}}}
 		keeper.releaseMoving(context.Background(), moving, clock.Now())
 		processResult(keeper)
--- a/grants/probe.go
+++ b/grants/probe.go
@@ -54,7 +54,7 @@
 				return
 			}
 			contact.leaving = leaving
-			events.Log(keeper.logger, events.OwnerLeaves, zap.String("Upstream", upstream.ID), zap.Bool("Leaving", leaving))
+			events.Log(keeper.logger, events.OwnerLeavingChanged, zap.String("Upstream", upstream.ID), zap.Bool("Leaving", leaving))
 		}
 	})
 }
--- a/grants/renew.go
+++ b/grants/renew.go
@@ -122,7 +122,7 @@
 	wanted := map[spans.GrantedSpan]bool{}
 	for service, list := range table.Services {
 		for _, owned := range list {
-			if owned.Owner == "" || owned.Moving {
+			if owned.Owner == "" || owned.InTransfer {
 				continue
 			}
 			key := spans.GrantedSpan{Service: service, Owner: owned.Owner, Span: owned.Span(), Fence: owned.Fence}
--- a/grants/send.go
+++ b/grants/send.go
@@ -100,7 +100,7 @@
 	contact.recordAnswer()
 	if !state.accepted {
 		keeper.markAccepted(state, now)
-		events.Log(keeper.logger, events.SpanGiven, append(fields, zap.Bool("Handover", grant.Handover != ""), zap.Duration("Hold", grant.LeaseDuration))...)
+		events.Log(keeper.logger, events.SpanGranted, append(fields, zap.Bool("Handover", grant.Handover != ""), zap.Duration("Hold", grant.LeaseDuration))...)
 	}
 	state.handover = ""
 }
@@ -119,7 +119,7 @@
 		contact.recordMiss(now)
 		contact.recordDeparture(now)
 		if contact.misses <= unavailableAfter || contact.unavailableUntil == now.Add(unavailableFor) {
-			events.Log(keeper.logger, events.GrantOpen, append(fields, zap.Int("Misses", contact.misses), zap.Bool("Lost", contact.isUnresponsive(now)))...)
+			events.Log(keeper.logger, events.GrantUnanswered, append(fields, zap.Int("Misses", contact.misses), zap.Bool("Lost", contact.isUnresponsive(now)))...)
 		}
 	}
 }
--- a/host/admin.go
+++ b/host/admin.go
@@ -71,7 +71,7 @@
 		_, _ = writer.Write([]byte("alive\n"))
 	})
 	mux.HandleFunc("GET /readyz", func(writer http.ResponseWriter, _ *http.Request) {
-		reason := host.Readiness()
+		reason := host.UnreadyReason()
 		if reason != "" {
 			http.Error(writer, reason, http.StatusServiceUnavailable)
 			return
@@ -94,7 +94,7 @@
 // Status returns the host's condition.
 func (host *Host) Status() Status {
 	status := host.follower.Status()
-	reason := host.Readiness()
+	reason := host.UnreadyReason()
 	return Status{
 		Name:     host.config.Name,
 		Zone:     host.config.Zone,
@@ -129,7 +129,7 @@
 			Silence: silence,
 			Version: peer.Version,
 			LogUp:   peer.LogAvailable,
-			Differs: host.follower.Differs(peer.Next, peer.Chain),
+			Differs: host.follower.HasDiverged(peer.Next, peer.Chain),
 		})
 	}
 	return peers
@@ -139,7 +139,7 @@
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	statuses := []ServiceStatus{}
-	for path, block := range duty.state.Blocks {
+	for path, block := range duty.state.Ownership {
 		placement := duty.placement(path)
 		status := ServiceStatus{
 			Service:   path,
@@ -183,7 +183,7 @@
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	placement := duty.placement(service)
-	block := duty.state.Blocks[service]
+	block := duty.state.Ownership[service]
 	_, hot := placement.HotKeys[key]
 	ownership := Ownership{Service: service, Key: key, Partition: partition, Owner: owner, Hot: hot, Keeper: block.Keeper, Term: block.Term}
 	if partition < len(placement.Successors) {
--- a/host/denied.go
+++ b/host/denied.go
@@ -27,51 +27,51 @@
 
 func newDenied(host *Host) *deny.List {
 	return deny.New(deny.Settings{
-		Clock: host.clock, Logger: host.logger, Probe: host.conns.Refused,
-		Tell: host.tellDenied, Keep: host.kept.Add, KeptEnds: keptEnds,
+		Clock: host.clock, Logger: host.logger, IsConnectionRefused: host.conns.IsRefused,
+		Announce: host.tellDenied, Store: host.kept.Add, MinCrashesToStore: keptEnds,
 	})
 }
 
 // tellDenied tells the other hosts of a request while the log, by which they learn of it otherwise, is out.
 func (host *Host) tellDenied(record poison.Record) {
 	if !host.follower.Status().LogUp {
-		host.tellPeers([]fold.Denial{{Identity: record.Identity.String(), Request: record}})
+		host.tellPeers([]fold.SuspectedRequest{{Fingerprint: record.Fingerprint.String(), Request: record}})
 	}
 }
 
-func (host *Host) tellPeers(denials []fold.Denial) {
+func (host *Host) tellPeers(denials []fold.SuspectedRequest) {
 	for _, name := range host.others() {
 		_ = host.workers.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 			defer cancel()
-			var done wire.Done
+			var done wire.EmptyReply
 			// A peer that is not reached reads the record when the log is back.
-			_ = host.call(ctx, name, wire.MethodDenied, wire.Denied{Denials: denials}, &done)
+			_ = host.call(ctx, name, wire.MethodSuspectedRequests, wire.SuspectedRequests{Requests: denials}, &done)
 		})
 	}
 }
 
 func (host *Host) onDenied(_ context.Context, params json.RawMessage) (any, error) {
-	var denied wire.Denied
+	var denied wire.SuspectedRequests
 	err := json.Unmarshal(params, &denied)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	for _, denial := range denied.Denials {
-		identity, err := poison.ParseIdentity(denial.Identity)
+	for _, denial := range denied.Requests {
+		identity, err := poison.ParseFingerprint(denial.Fingerprint)
 		if err != nil {
 			return nil, err
 		}
-		denial.Request.Identity = identity
+		denial.Request.Fingerprint = identity
 		host.denied.Merge(denial.Request)
 	}
-	return wire.Done{}, nil
+	return wire.EmptyReply{}, nil
 }
 
 // keepDenied writes records to the log until the context ends, each until the log has it.
 func (host *Host) keepDenied(ctx context.Context) {
 	for ctx.Err() == nil {
-		identities := host.kept.Take(ctx)
+		identities := host.kept.DequeueAll(ctx)
 		pauseUntil(ctx, time.Now().Add(denialPause))
 		wait := denialPause
 		for ctx.Err() == nil && !host.propose(ctx, identities) {
@@ -82,39 +82,39 @@
 }
 
 // propose reports whether the log has what is known of some requests. While it is out, the other hosts are told.
-func (host *Host) propose(ctx context.Context, identities []poison.Identity) bool {
+func (host *Host) propose(ctx context.Context, identities []poison.Fingerprint) bool {
 	record := host.duty.record()
 	for _, identity := range identities {
 		known, exists := host.denied.Find(identity)
 		if exists {
-			record.Denials = append(record.Denials, fold.Denial{Identity: identity.String(), Request: known})
+			record.SuspectedRequests = append(record.SuspectedRequests, fold.SuspectedRequest{Fingerprint: identity.String(), Request: known})
 		}
 	}
-	if len(record.Denials) == 0 {
+	if len(record.SuspectedRequests) == 0 {
 		return true
 	}
 	proposing, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	_, err := host.follower.Propose(proposing, record)
 	if err != nil {
-		events.Log(host.logger, events.WriteFailed, zap.Int("Requests", len(record.Denials)), zap.Error(err))
-		host.tellPeers(record.Denials)
+		events.Log(host.logger, events.WriteFailed, zap.Int("Requests", len(record.SuspectedRequests)), zap.Error(err))
+		host.tellPeers(record.SuspectedRequests)
 	}
 	return err == nil
 }
 
 // learnDenied takes what the log holds of requests that were at work when upstreams ended.
 func (host *Host) learnDenied(state *fold.State) {
-	if state.DeniedAt == host.deniedAt {
+	if state.SuspectedVersion == host.deniedAt {
 		return
 	}
-	host.deniedAt = state.DeniedAt
-	for key, record := range state.Denied {
-		identity, err := poison.ParseIdentity(key)
+	host.deniedAt = state.SuspectedVersion
+	for key, record := range state.SuspectedRequests {
+		identity, err := poison.ParseFingerprint(key)
 		if err != nil {
 			continue
 		}
-		record.Identity = identity
+		record.Fingerprint = identity
 		host.denied.Merge(record)
 	}
 }
--- a/host/duty.go
+++ b/host/duty.go
@@ -84,7 +84,7 @@
 }
 
 func (duty *duty) learnAll(state *fold.State) {
-	for service, block := range state.Blocks {
+	for service, block := range state.Ownership {
 		duty.witness.RecordTerm(service, block.Term)
 	}
 }
@@ -104,7 +104,7 @@
 }
 
 func (duty *duty) placement(service string) cherrykeel.Placement {
-	block := duty.state.Blocks[service]
+	block := duty.state.Ownership[service]
 	overlay, exists := duty.overlays[service]
 	if exists && overlay.Term == block.Term && overlay.Base == block.Sequence {
 		return overlay.Placement
@@ -125,7 +125,7 @@
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	for service, kept := range duty.keepers {
-		current := duty.state.Blocks[service].Keeper == duty.host.config.Name
+		current := duty.state.Ownership[service].Keeper == duty.host.config.Name
 		if kept.HoldsRole() && current {
 			return true
 		}
@@ -171,7 +171,7 @@
 	}
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	block := duty.state.Blocks[service]
+	block := duty.state.Ownership[service]
 	if block.Term == 0 || block.Keeper == duty.host.config.Name {
 		return true
 	}
@@ -197,7 +197,7 @@
 		Refusing:     map[string]bool{},
 	}
 	for _, server := range service.Upstreams {
-		input.Draining[server.Name] = host.Draining(service, server.Name)
+		input.Draining[server.Name] = host.IsDraining(service, server.Name)
 		input.Refusing[server.Name] = host.roster.refusing(service.Path, server.Name, input.Now)
 		input.Unreachable[server.Name] = host.roster.down(service.Path, server.Name, input.Now)
 	}
@@ -208,7 +208,7 @@
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	duty.witness.RecordRunning(input.Now)
-	input.Block = duty.state.Blocks[path]
+	input.Block = duty.state.Ownership[path]
 	if duty.claims[input.Block.ClaimID] {
 		input.ClaimedTerm = input.Block.Term
 	}
@@ -230,12 +230,12 @@
 	for _, name := range report.Unavailable {
 		lost[name] = true
 		if !duty.lost[path][name] {
-			events.Log(duty.host.logger, events.UpstreamLost, zap.String("Service", path), zap.String("Upstream", name))
+			events.Log(duty.host.logger, events.UpstreamUnavailable, zap.String("Service", path), zap.String("Upstream", name))
 		}
 	}
 	for name := range duty.lost[path] {
 		if !lost[name] && kept.HoldsRole() {
-			events.Log(duty.host.logger, events.UpstreamBack, zap.String("Service", path), zap.String("Upstream", name))
+			events.Log(duty.host.logger, events.UpstreamAvailable, zap.String("Service", path), zap.String("Upstream", name))
 		}
 	}
 	duty.lost[path] = lost
@@ -335,10 +335,10 @@
 	logger := duty.host.logger.With(zap.String("Service", service))
 	switch {
 	case err != nil:
-		events.Log(logger, events.AssignOpen, zap.Error(err))
+		events.Log(logger, events.AssignUnconfirmed, zap.Error(err))
 	case record.Claim != nil && !verdict.Accepted:
 		events.Log(logger, events.ClaimRefused, zap.String("Reason", verdict.Reason))
 	case record.Assign != nil && verdict.Accepted:
-		events.Log(logger, events.Assigned, zap.Int64("Version", verdict.Version))
+		events.Log(logger, events.PlacementChanged, zap.Int64("Version", verdict.Version))
 	}
 }
--- a/host/duty_test.go
+++ b/host/duty_test.go
@@ -28,7 +28,7 @@
 		const service = "test/keys"
 		host := New(config.Config{Name: "host"})
 		state := fold.NewState()
-		state.Blocks[service] = fold.Block{Term: 7}
+		state.Ownership[service] = fold.ServiceOwnership{Term: 7}
 		host.onState(state)
 		host.duty.caughtUp(host.clock.Now())
 		Expect(host.duty.confirmable(map[string]int64{service: 7}, host.clock.Now())).To(ConsistOf(service))
@@ -37,7 +37,7 @@
 		newer.Version = state.Version + 1
 		newer.Nodes["test"] = tree.Node{Path: "test", Version: newer.Version, Fields: map[string]any{"Timeout": "by a newer program"}}
 		newer.Nodes["test/keys"] = tree.Node{Path: "test/keys", Version: newer.Version, Fields: map[string]any{}}
-		newer.Blocks[service] = fold.Block{Term: 8}
+		newer.Ownership[service] = fold.ServiceOwnership{Term: 8}
 		host.onState(newer)
 		Expect(host.refused.Load()).NotTo(BeNil())
 		host.duty.caughtUp(host.clock.Now())
--- a/host/host.go
+++ b/host/host.go
@@ -62,7 +62,7 @@
 	fleet    *edge.Fleet
 	peers    *wire.Client
 	denied   *deny.List
-	kept     *deny.Pending
+	kept     *deny.PendingRecords
 	// deniedAt is the version of the last record on such requests, for the follower's goroutine.
 	deniedAt int64
 	workers  pond.Pool
@@ -149,7 +149,7 @@
 	for _, option := range options {
 		option(host)
 	}
-	host.kept = deny.NewPending()
+	host.kept = deny.NewPendingRecords()
 	host.denied = newDenied(host)
 	host.guard = intent.NewGuard(host.intents, host.clock, config.Name)
 	host.workers = pond.NewPool(poolWorkers)
@@ -159,7 +159,7 @@
 	host.follower = follow.New(host.log, host.clock,
 		follow.WithPeers(host),
 		follow.OnState(host.onState),
-		follow.OnFresh(host.duty.caughtUp))
+		follow.OnCaughtUp(host.duty.caughtUp))
 	return host
 }
 
@@ -275,8 +275,8 @@
 	return host.duty.owner(service, partition, key)
 }
 
-// Draining implements edge.Owners.
-func (host *Host) Draining(service *cherrykeel.Service, upstream string) bool {
+// IsDraining implements edge.Owners.
+func (host *Host) IsDraining(service *cherrykeel.Service, upstream string) bool {
 	for _, name := range service.Drain {
 		if name == upstream {
 			return true
--- a/host/inner.go
+++ b/host/inner.go
@@ -29,16 +29,16 @@
 // methods are what peers may call.
 func (host *Host) methods() map[string]wire.Method {
 	return map[string]wire.Method{
-		wire.MethodHello:   host.onHello,
-		wire.MethodConfirm: host.onConfirm,
-		wire.MethodTeach:   host.onTeach,
-		wire.MethodSilence: host.onSilence,
-		wire.MethodOverlay: host.onOverlay,
-		wire.MethodRelay:   host.onRelay,
-		wire.MethodView:    host.onView,
-		wire.MethodFetch:   host.onFetch,
-		wire.MethodSlots:   host.onSlots,
-		wire.MethodDenied:  host.onDenied,
+		wire.MethodHello:             host.onHello,
+		wire.MethodConfirm:           host.onConfirm,
+		wire.MethodAnnounceTerm:      host.onTeach,
+		wire.MethodSilence:           host.onSilence,
+		wire.MethodOverlay:           host.onOverlay,
+		wire.MethodForwardGrant:      host.onRelay,
+		wire.MethodViewGrant:         host.onView,
+		wire.MethodFetch:             host.onFetch,
+		wire.MethodSlots:             host.onSlots,
+		wire.MethodSuspectedRequests: host.onDenied,
 	}
 }
 
@@ -67,7 +67,7 @@
 	for service, demand := range hello.Demands {
 		host.duty.hearDemand(hello.Host, service, demand)
 	}
-	if host.follower.Differs(hello.Next, hello.Chain) {
+	if host.follower.HasDiverged(hello.Next, hello.Chain) {
 		events.Log(host.logger, events.FoldDiverged, zap.String("Peer", hello.Host), zap.Int64("Next", hello.Next))
 	}
 }
@@ -84,13 +84,13 @@
 }
 
 func (host *Host) onTeach(_ context.Context, params json.RawMessage) (any, error) {
-	var teach wire.Teach
+	var teach wire.AnnounceTerm
 	err := json.Unmarshal(params, &teach)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
 	host.duty.learn(teach.Service, teach.Term)
-	return wire.Done{}, nil
+	return wire.EmptyReply{}, nil
 }
 
 func (host *Host) onSilence(_ context.Context, params json.RawMessage) (any, error) {
@@ -112,11 +112,11 @@
 		return nil, errors.WithStack(err)
 	}
 	host.duty.applyOverlay(overlay.Overlay)
-	return wire.Done{}, nil
+	return wire.EmptyReply{}, nil
 }
 
 func (host *Host) onRelay(ctx context.Context, params json.RawMessage) (any, error) {
-	var relay wire.Relay
+	var relay wire.ForwardGrant
 	err := json.Unmarshal(params, &relay)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -127,12 +127,12 @@
 }
 
 func (host *Host) onView(_ context.Context, params json.RawMessage) (any, error) {
-	var view wire.View
+	var view wire.ViewGrant
 	err := json.Unmarshal(params, &view)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	holding, known := host.fleet.GrantView(view.Ask, view.Grant)
+	holding, known := host.fleet.GrantOrQueryView(view.Query, view.Grant)
 	if !known {
 		return nil, errors.Errorf("no service %s here", view.Grant.Service)
 	}
@@ -148,14 +148,14 @@
 	if !host.follower.Status().CaughtUp {
 		return nil, errors.New("this host has not caught up itself")
 	}
-	relay, err := host.follower.Relay(fetch.From)
-	return wire.FetchReply{Relay: relay}, err
+	relay, err := host.follower.RecordsFrom(fetch.From)
+	return wire.FetchReply{MissingRecords: relay}, err
 }
 
 // sayHello tells every peer how this host fares.
 func (host *Host) sayHello(context.Context) {
 	status := host.follower.Status()
-	unreachable, refusing := host.fleet.Troubled()
+	unreachable, refusing := host.fleet.UnavailableUpstreams()
 	hello := wire.Hello{
 		Host:        host.config.Name,
 		Zone:        host.config.Zone,
@@ -194,7 +194,7 @@
 	for _, name := range member.Neighbours(host.config.Name, names) {
 		greeted[name] = true
 	}
-	for service := range host.fleet.Wants() {
+	for service := range host.fleet.SlotRequests() {
 		greeted[host.duty.keeperOf(service)] = true
 	}
 	delete(greeted, "")
@@ -203,7 +203,7 @@
 }
 
 // Fetch implements follow.Peers.
-func (host *Host) Fetch(ctx context.Context, from int64, quorum bool) (follow.Relay, error) {
+func (host *Host) Fetch(ctx context.Context, from int64, quorum bool) (follow.MissingRecords, error) {
 	others := host.others()
 	needed := 1
 	if quorum {
@@ -211,7 +211,7 @@
 		// may itself be behind: of most peers, one at least has read the newest acknowledged record.
 		needed = len(others)/2 + 1
 	}
-	best := follow.Relay{Next: -1}
+	best := follow.MissingRecords{Next: -1}
 	answers := 0
 	for _, name := range others {
 		relay, err := host.fetchFrom(ctx, name, from)
@@ -226,13 +226,13 @@
 			return best, nil
 		}
 	}
-	return follow.Relay{}, errors.Errorf("%d of %d peers answered, %d are needed", answers, len(others), needed)
+	return follow.MissingRecords{}, errors.Errorf("%d of %d peers answered, %d are needed", answers, len(others), needed)
 }
 
-func (host *Host) fetchFrom(ctx context.Context, name string, from int64) (follow.Relay, error) {
+func (host *Host) fetchFrom(ctx context.Context, name string, from int64) (follow.MissingRecords, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	var reply wire.FetchReply
 	err := host.call(ctx, name, wire.MethodFetch, wire.Fetch{From: from}, &reply)
-	return reply.Relay, err
+	return reply.MissingRecords, err
 }
--- a/host/orders.go
+++ b/host/orders.go
@@ -48,13 +48,13 @@
 	}
 	if relayed {
 		// This host alone may be the one that is cut off, so every other try goes through a peer.
-		return duty.deliverThroughPeer(ctx, wire.Relay{Address: address, Ask: order.Query, Grant: grant})
+		return duty.deliverThroughPeer(ctx, wire.ForwardGrant{Address: address, Query: order.Query, Grant: grant})
 	}
-	return duty.host.grantOrAsk(ctx, wire.Relay{Address: address, Ask: order.Query, Grant: grant})
+	return duty.host.grantOrAsk(ctx, wire.ForwardGrant{Address: address, Query: order.Query, Grant: grant})
 }
 
-func (host *Host) grantOrAsk(ctx context.Context, relay wire.Relay) (cherrykeel.Holding, error) {
-	if relay.Ask {
+func (host *Host) grantOrAsk(ctx context.Context, relay wire.ForwardGrant) (cherrykeel.Holding, error) {
+	if relay.Query {
 		return host.granter.RequestHolding(ctx, relay.Address, relay.Grant.Service)
 	}
 	return host.granter.Grant(ctx, relay.Address, relay.Grant)
@@ -62,25 +62,25 @@
 
 func (duty *duty) deliverView(ctx context.Context, order lease.Order, grant cherrykeel.Grant) (cherrykeel.Holding, error) {
 	if order.Lessee == duty.host.config.Name {
-		holding, known := duty.host.fleet.GrantView(order.Query, grant)
+		holding, known := duty.host.fleet.GrantOrQueryView(order.Query, grant)
 		if !known {
 			return holding, errNoAddress
 		}
 		return holding, nil
 	}
 	var holding cherrykeel.Holding
-	err := duty.host.call(ctx, order.Lessee, wire.MethodView, wire.View{Ask: order.Query, Grant: grant}, &holding)
+	err := duty.host.call(ctx, order.Lessee, wire.MethodViewGrant, wire.ViewGrant{Query: order.Query, Grant: grant}, &holding)
 	return holding, err
 }
 
-func (duty *duty) deliverThroughPeer(ctx context.Context, relay wire.Relay) (cherrykeel.Holding, error) {
+func (duty *duty) deliverThroughPeer(ctx context.Context, relay wire.ForwardGrant) (cherrykeel.Holding, error) {
 	var holding cherrykeel.Holding
 	others := duty.host.others()
 	if len(others) == 0 {
 		return duty.host.grantOrAsk(ctx, relay)
 	}
 	peer := others[rand.IntN(len(others))]
-	err := duty.host.call(ctx, peer, wire.MethodRelay, relay, &holding)
+	err := duty.host.call(ctx, peer, wire.MethodForwardGrant, relay, &holding)
 	return holding, err
 }
 
@@ -160,8 +160,8 @@
 	if teaching.Host == duty.host.config.Name {
 		duty.learn(service, teaching.Term)
 	} else {
-		var done wire.Done
-		err := duty.host.call(ctx, teaching.Host, wire.MethodTeach, wire.Teach{Service: service, Term: teaching.Term}, &done)
+		var done wire.EmptyReply
+		err := duty.host.call(ctx, teaching.Host, wire.MethodAnnounceTerm, wire.AnnounceTerm{Service: service, Term: teaching.Term}, &done)
 		if err != nil {
 			return
 		}
@@ -192,13 +192,13 @@
 
 // spread sends a placement that the log lacks to every entry host.
 func (duty *duty) spread(overlay keeper.Overlay) {
-	events.Log(duty.host.logger, events.Promoted, zap.String("Service", overlay.Service), zap.Int64("Term", overlay.Term))
+	events.Log(duty.host.logger, events.SuccessorsPromoted, zap.String("Service", overlay.Service), zap.Int64("Term", overlay.Term))
 	duty.applyOverlay(overlay)
 	for _, name := range duty.host.others() {
 		duty.submit(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 			defer cancel()
-			var done wire.Done
+			var done wire.EmptyReply
 			_ = duty.host.call(ctx, name, wire.MethodOverlay, wire.Overlay{Overlay: overlay}, &done)
 		})
 	}
--- a/host/roster.go
+++ b/host/roster.go
@@ -129,7 +129,7 @@
 	host.roster.mutex.Lock()
 	defer host.roster.mutex.Unlock()
 	if err != nil && !host.roster.lost {
-		events.Log(host.logger, events.ListLost, zap.Error(err))
+		events.Log(host.logger, events.HostListUnavailable, zap.Error(err))
 	}
 	host.roster.lost = err != nil
 }
--- a/host/serve.go
+++ b/host/serve.go
@@ -34,7 +34,7 @@
 		cherrykeel.WithStage(edge.NewMeter(host.scope, host.clock), edge.PriorityMeter),
 		cherrykeel.WithStage(edge.NewMatch(host), edge.PriorityMatch),
 		cherrykeel.WithStage(edge.NewBody(host.clock), edge.PriorityBody),
-		cherrykeel.WithStage(intent.NewStage(host.guard, host.clock), edge.PriorityRepeat),
+		cherrykeel.WithStage(intent.NewStage(host.guard, host.clock), edge.PriorityIdempotency),
 		cherrykeel.WithStage(edge.NewForward(host.fleet, host.conns, host.denied, host.clock, host.logger), edge.PriorityForward),
 	)
 }
@@ -80,7 +80,7 @@
 // balancer notices, the keeper's roles are handed over, and the requests in flight end.
 func (host *Host) stop() {
 	host.stopping.Store(true)
-	host.front.Part()
+	host.front.DisableKeepAlives()
 	events.Log(host.logger, events.HostStopping)
 	limit := time.Now().Add(host.config.StopTimeout.Duration)
 	ctx, cancel := context.WithDeadline(context.Background(), limit)
@@ -93,10 +93,10 @@
 		pauseUntil(ctx, time.Now().Add(stopPoll))
 	}
 	err := host.front.StopAccepting(ctx)
-	events.Log(host.logger, events.HostClosed, zap.Int64("Requests", host.requests.count.Load()), zap.Error(err))
+	events.Log(host.logger, events.HostListenerClosed, zap.Int64("Requests", host.requests.count.Load()), zap.Error(err))
 	err = host.front.Finish(ctx)
 	if err != nil {
-		events.Log(host.logger, events.HostCut, zap.Int64("Requests", host.requests.count.Load()), zap.Error(err))
+		events.Log(host.logger, events.HostRequestsAborted, zap.Int64("Requests", host.requests.count.Load()), zap.Error(err))
 	}
 }
 
@@ -122,8 +122,8 @@
 
 // logUnused tells how many connections ended that had been opened and never used.
 func (host *Host) logUnused() {
-	callers, operators := host.front.TurnedAway(), host.admin.TurnedAway()
+	callers, operators := host.front.ClosedUnused(), host.admin.ClosedUnused()
 	if callers+operators > 0 {
-		events.Log(host.logger, events.HostUnused, zap.Int64("Callers", callers), zap.Int64("Operators", operators))
+		events.Log(host.logger, events.HostConnsUnused, zap.Int64("Callers", callers), zap.Int64("Operators", operators))
 	}
 }
--- a/host/slots.go
+++ b/host/slots.go
@@ -71,10 +71,10 @@
 func (host *Host) askSlots(ctx context.Context) {
 	for ctx.Err() == nil {
 		host.askSlotsOnce(ctx)
-		host.fleet.Refresh()
+		host.fleet.ResizeQueues()
 		select {
 		case <-time.After(slotsPause):
-		case <-host.fleet.Hurry():
+		case <-host.fleet.SlotsNeeded():
 			time.Sleep(slotsHurry)
 		case <-ctx.Done():
 		}
@@ -83,12 +83,12 @@
 
 func (host *Host) askSlotsOnce(ctx context.Context) {
 	questions := map[string]wire.Slots{}
-	for service, wants := range host.fleet.Wants() {
+	for service, wants := range host.fleet.SlotRequests() {
 		steward := host.steward(service)
 		if _, asked := questions[steward]; !asked {
-			questions[steward] = wire.Slots{Host: host.config.Name, Wants: map[string]map[string]admit.SlotRequest{}}
+			questions[steward] = wire.Slots{Host: host.config.Name, Requests: map[string]map[string]admit.SlotRequest{}}
 		}
-		questions[steward].Wants[service] = wants
+		questions[steward].Requests[service] = wants
 	}
 	var answered sync.WaitGroup
 	for steward, question := range questions {
@@ -101,7 +101,7 @@
 	asked := host.clock.Now()
 	if steward == host.config.Name {
 		reply := host.divide(question)
-		host.fleet.Grant(reply.Granted, asked.Add(reply.Length))
+		host.fleet.ApplySlotGrants(reply.Granted, asked.Add(reply.Length))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, slotsTimeout)
@@ -109,7 +109,7 @@
 	var reply wire.SlotsReply
 	err := host.call(ctx, steward, wire.MethodSlots, question, &reply)
 	if err == nil {
-		host.fleet.Grant(reply.Granted, asked.Add(reply.Length))
+		host.fleet.ApplySlotGrants(reply.Granted, asked.Add(reply.Length))
 	}
 }
 
@@ -132,7 +132,7 @@
 	host.stewards.mutex.Lock()
 	defer host.stewards.mutex.Unlock()
 	now := host.clock.Now()
-	for path, wants := range question.Wants {
+	for path, wants := range question.Requests {
 		service := table.Services()[path]
 		if service == nil {
 			continue
--- a/host/watch.go
+++ b/host/watch.go
@@ -24,7 +24,7 @@
 	defer duty.mutex.Unlock()
 	part := map[string]cherrykeel.Demand{}
 	for service, demand := range demands {
-		if duty.state.Blocks[service].Keeper == peer {
+		if duty.state.Ownership[service].Keeper == peer {
 			part[service] = demand
 		}
 	}
@@ -34,11 +34,11 @@
 func (duty *duty) keeperOf(service string) string {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	return duty.state.Blocks[service].Keeper
+	return duty.state.Ownership[service].Keeper
 }
 
-// Readiness returns why the host should get no callers, or an empty string.
-func (host *Host) Readiness() string {
+// UnreadyReason returns why the host should get no callers, or an empty string.
+func (host *Host) UnreadyReason() string {
 	if host.stopping.Load() {
 		return "the host is stopping"
 	}
@@ -49,7 +49,7 @@
 	if !status.CaughtUp {
 		return "not caught up with the log: " + status.Reason
 	}
-	if host.cutOff(status.LogSilence) {
+	if host.cutOff(status.SinceLogReply) {
 		return "cut off from the log and from all peers, so the settings may be old"
 	}
 	return ""
@@ -77,10 +77,10 @@
 
 // watch logs changes of the host's own condition and sweeps idle connections.
 func (host *Host) watch(context.Context) {
-	host.conns.Sweep()
-	_ = host.denied.Forget()
-	host.denied.Count(host.scope)
-	host.noteReadiness(host.Readiness())
+	host.conns.CloseExpired()
+	_ = host.denied.RemoveExpired()
+	host.denied.UpdateMetrics(host.scope)
+	host.noteReadiness(host.UnreadyReason())
 	host.noteLog(host.follower.Status().LogUp)
 	host.scope.Gauge("requests_in_flight").Update(float64(host.requests.count.Load()))
 	host.scope.Gauge("log_next_offset").Update(float64(host.follower.Status().Next))
@@ -102,9 +102,9 @@
 	if host.logWasUp.Swap(up) == up {
 		return
 	}
-	event := events.LogLost
+	event := events.LogUnavailable
 	if up {
-		event = events.LogBack
+		event = events.LogAvailable
 	}
 	events.Log(host.logger, event)
 }
@@ -128,10 +128,10 @@
 		_, err = host.follower.Propose(ctx, record)
 	}
 	if err != nil {
-		events.Log(host.logger, events.CheckpointNot, zap.Error(err))
+		events.Log(host.logger, events.CheckpointFailed, zap.Error(err))
 		return
 	}
-	events.Log(host.logger, events.CheckpointPut, zap.Int64("Next", state.Next))
+	events.Log(host.logger, events.CheckpointAppended, zap.Int64("Next", state.Next))
 }
 
 func (host *Host) checkpointRank() int {
--- a/intent/guard.go
+++ b/intent/guard.go
@@ -116,7 +116,7 @@
 		}
 		guard.wake(id)
 	}
-	guard.table.Drop(batch.First)
+	guard.table.DropBefore(batch.First)
 	guard.tidy()
 	if len(batch.Records) == 0 || guard.table.Next >= batch.Next {
 		guard.fresh = true
--- a/keeper/input.go
+++ b/keeper/input.go
@@ -17,7 +17,7 @@
 type Input struct {
 	Now cherrykeel.Instant
 	// Block is the service's state in the log.
-	Block fold.Block
+	Block fold.ServiceOwnership
 	// Service holds the service's settings.
 	Service *cherrykeel.Service
 	// Hosts are the entry hosts on the platform's list, including this one.
--- a/keeper/moved_test.go
+++ b/keeper/moved_test.go
@@ -33,7 +33,7 @@
 type cluster struct {
 	keeper    *keeper.Keeper
 	service   cherrykeel.Service
-	block     fold.Block
+	block     fold.ServiceOwnership
 	processes map[string]*fakes.Ownership
 	now       time.Duration
 }
@@ -43,7 +43,7 @@
 	cluster := &cluster{
 		keeper:    keeper.New(self, service, witness, place.New()),
 		service:   cherrykeel.Service{Path: service, Keyed: true, Partitions: partitions, ChecksFences: true, LeaseLength: length},
-		block:     fold.Block{Term: 1, Keeper: self, LeaseLength: length, Witnesses: []string{self}},
+		block:     fold.ServiceOwnership{Term: 1, Keeper: self, LeaseLength: length, Witnesses: []string{self}},
 		processes: map[string]*fakes.Ownership{},
 		now:       time.Hour,
 	}
@@ -84,7 +84,7 @@
 		cluster.deliver(order)
 	}
 	if actions.Assign != nil {
-		cluster.block.Placement = fold.Place(cluster.block.Placement, *actions.Assign)
+		cluster.block.Placement = fold.ApplyAssign(cluster.block.Placement, *actions.Assign)
 		cluster.block.Sequence++
 	}
 }
--- a/keeper/place.go
+++ b/keeper/place.go
@@ -189,7 +189,7 @@
 }
 
 func (term *term) proposePlacement(input Input, next cherrykeel.Placement, settled bool, actions *Actions) {
-	assign := fold.Difference(term.service, input.Block.Placement, next)
+	assign := fold.DiffPlacements(term.service, input.Block.Placement, next)
 	assign.Term = term.number
 	assign.Base = input.Block.Sequence
 	assign.Settled = settled
--- a/lease/work_test.go
+++ b/lease/work_test.go
@@ -41,7 +41,7 @@
 		view := hosts[order.Lessee]
 		holding := view.Holding(now)
 		if !order.Query {
-			holding = view.Grant(order.Grant, now)
+			holding = view.ApplyGrant(order.Grant, now)
 		}
 		ledger.RecordAnswer(order, holding, now)
 	}
@@ -61,7 +61,7 @@
 func (hosts hosts) allowedUpstreams(at time.Duration, partition int, key string) []string {
 	var names []string
 	for _, view := range hosts {
-		name, allowed := view.Enter(partition, key, cherrykeel.Instant(at))
+		name, allowed := view.StartRequest(partition, key, cherrykeel.Instant(at))
 		if allowed {
 			names = append(names, name)
 		}
@@ -89,7 +89,7 @@
 		hosts := newHosts()
 		ledger := newHostLedger(before)
 		at := hosts.deliverAll(ledger, time.Second)
-		sent, allowed := hosts["h1"].Enter(hotPartition, hotKey, cherrykeel.Instant(at))
+		sent, allowed := hosts["h1"].StartRequest(hotPartition, hotKey, cherrykeel.Instant(at))
 		Expect(allowed).To(BeTrue())
 		Expect(sent).To(Equal(last))
 
--- a/naive/fold.go
+++ b/naive/fold.go
@@ -7,9 +7,9 @@
 
 // Fold folds a whole list of records at once, in the plainest way, for comparison with fold.State.
 // It returns the nodes and, by service, the term and the keeper.
-func Fold(records []fold.Record) (tree.Nodes, map[string]fold.Block) {
+func Fold(records []fold.Record) (tree.Nodes, map[string]fold.ServiceOwnership) {
 	nodes := tree.Nodes{}
-	blocks := map[string]fold.Block{}
+	blocks := map[string]fold.ServiceOwnership{}
 	for i, record := range records {
 		version := int64(i + 1)
 		if record.Change != nil && changeFits(nodes, *record.Change) {
--- a/opctl/client.go
+++ b/opctl/client.go
@@ -178,7 +178,7 @@
 	Accepted bool
 	Reason   string
 	// Lost is the change that was in force instead.
-	Lost *fold.Entry `json:",omitempty"`
+	Lost *fold.AuditEntry `json:",omitempty"`
 	// InForce and Missing name the hosts on which the change is in force, and is not.
 	InForce []string
 	Missing []string
@@ -202,13 +202,13 @@
 	publication.Accepted = verdict.Accepted
 	publication.Reason = verdict.Reason
 	if !verdict.Accepted {
-		publication.Lost = findEntry(client.follower.State(), verdict.LostTo)
+		publication.Lost = findEntry(client.follower.State(), verdict.ConflictVersion)
 		return publication, exit(ExitRejected, errors.New(rejection(publication)))
 	}
 	return publication, nil
 }
 
-func findEntry(state *fold.State, version int64) *fold.Entry {
+func findEntry(state *fold.State, version int64) *fold.AuditEntry {
 	for _, entry := range state.Audit {
 		if entry.Version == version {
 			return &entry
--- a/opctl/commands.go
+++ b/opctl/commands.go
@@ -95,12 +95,12 @@
 }
 
 // History returns the audit trail, the newest first, of one path or of all.
-func (client *Client) History(ctx context.Context, path string, all bool) ([]fold.Entry, error) {
+func (client *Client) History(ctx context.Context, path string, all bool) ([]fold.AuditEntry, error) {
 	state, err := client.State(ctx)
 	if err != nil {
 		return nil, err
 	}
-	entries := []fold.Entry{}
+	entries := []fold.AuditEntry{}
 	for i := len(state.Audit) - 1; i >= 0; i-- {
 		if all || state.Audit[i].Path == path {
 			entries = append(entries, state.Audit[i])
--- a/opctl/print.go
+++ b/opctl/print.go
@@ -95,7 +95,7 @@
 	var rows [][]string
 	for _, name := range sortedKeys(names) {
 		old, updated := shown(before[name]), shown(after[name])
-		if tree.Same(map[string]any{"": before[name]}, map[string]any{"": after[name]}) {
+		if tree.EqualFields(map[string]any{"": before[name]}, map[string]any{"": after[name]}) {
 			continue
 		}
 		rows = append(rows, []string{nodeName(path), name, old, updated})
@@ -104,7 +104,7 @@
 }
 
 // PrintHistory writes audit entries, the newest first.
-func PrintHistory(writer io.Writer, entries []fold.Entry) {
+func PrintHistory(writer io.Writer, entries []fold.AuditEntry) {
 	rows := [][]string{{"VERSION", "TIME", "AUTHOR", "NODE", "REASON", "CHANGED"}}
 	for _, entry := range entries {
 		var changed []string
--- a/poison/bench_test.go
+++ b/poison/bench_test.go
@@ -8,7 +8,7 @@
 	"cherrykeel/poison"
 )
 
-var request = poison.Parts{Method: "PUT", Domain: "h.example", Path: "/puka111/2f/4f71?a=b", Caller: "10.0.0.1:4000", Body: make([]byte, 4000)}
+var request = poison.RequestParts{Method: "PUT", Domain: "h.example", Path: "/puka111/2f/4f71?a=b", CallerAddress: "10.0.0.1:4000", Body: make([]byte, 4000)}
 
 func BenchmarkTarget(b *testing.B) {
 	for b.Loop() {
@@ -18,7 +18,7 @@
 
 func BenchmarkIdentify(b *testing.B) {
 	for b.Loop() {
-		poison.Identify(request)
+		poison.FingerprintOf(request)
 	}
 }
 
@@ -26,7 +26,7 @@
 func filled(count int) *poison.Table {
 	table := poison.NewTable()
 	for number := range count {
-		table.Ended(ended(number, fmt.Sprint("u", number/20), "address", "cookie"), noon)
+		table.RecordCrash(ended(number, fmt.Sprint("u", number/20), "address", "cookie"), noon)
 	}
 	return table
 }
@@ -44,8 +44,8 @@
 			value, _ := record.Encode()
 			news := ended(0, "v")
 			for b.Loop() {
-				news.Life.Born++
-				table.Ended(news, noon)
+				news.Incarnation.StartedAt++
+				table.RecordCrash(news, noon)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(count), "B/record")
 			b.ReportMetric(float64(len(value)), "B/told")
--- a/poison/callers.go
+++ b/poison/callers.go
@@ -7,18 +7,18 @@
 )
 
 // stands reports whether the end counts for a caller.
-func (end *End) stands(mark Mark) bool {
+func (end *Crash) stands(mark CallerFingerprint) bool {
 	answered, known := end.Callers[mark]
 	return known && !answered
 }
 
 // merge takes what another host says of the same end, and reports whether that is news.
-func (end *End) merge(told End) bool {
-	news := told.Withdrawn && !end.Withdrawn
-	end.Withdrawn = end.Withdrawn || told.Withdrawn
-	news = news || told.At < end.At || told.Begun > end.Begun
-	end.At = min(end.At, told.At)
-	end.Begun = max(end.Begun, told.Begun)
+func (end *Crash) merge(told Crash) bool {
+	news := told.Answered && !end.Answered
+	end.Answered = end.Answered || told.Answered
+	news = news || told.SeenAt < end.SeenAt || told.SentAt > end.SentAt
+	end.SeenAt = min(end.SeenAt, told.SeenAt)
+	end.SentAt = max(end.SentAt, told.SentAt)
 	for mark, answered := range told.Callers {
 		news = end.note(mark, answered) || news
 	}
@@ -27,7 +27,7 @@
 
 // note takes a caller's mark, and reports whether that is news. Of too many the smallest digests are kept, so that all
 // hosts keep the same ones in whatever order they hear of them.
-func (end *End) note(mark Mark, answered bool) bool {
+func (end *Crash) note(mark CallerFingerprint, answered bool) bool {
 	before, known := end.Callers[mark]
 	if known && (before || !answered) {
 		return false
@@ -40,16 +40,16 @@
 		delete(end.Callers, last)
 	}
 	if end.Callers == nil {
-		end.Callers = map[Mark]bool{}
+		end.Callers = map[CallerFingerprint]bool{}
 	}
 	end.Callers[mark] = answered
 	return true
 }
 
 // standingOf returns the ends that count for each caller that is known.
-func (record *Record) standingOf() map[Mark][]End {
-	standing := map[Mark][]End{}
-	for _, end := range record.Ends {
+func (record *Record) standingOf() map[CallerFingerprint][]Crash {
+	standing := map[CallerFingerprint][]Crash{}
+	for _, end := range record.Crashes {
 		for mark := range end.Callers {
 			if end.stands(mark) {
 				standing[mark] = append(standing[mark], end)
@@ -61,7 +61,7 @@
 
 // strength is at how many ends the request stands, for all callers or for the one that stands at the most.
 func (record *Record) strength() int {
-	most := len(record.Standing())
+	most := len(record.UnansweredCrashes())
 	for _, ends := range record.standingOf() {
 		most = max(most, len(ends))
 	}
@@ -71,23 +71,23 @@
 // trials counts the ends that came of one send after another. Copies that were at work together may have ended together
 // by something else: when all upstreams lose power, each page that many ask for stands at three ends, and nobody has had
 // an answer since. An end whose host has not said when the request was sent counts.
-func trials(ends []End) int {
-	inOrder := slices.SortedFunc(slices.Values(ends), func(one, other End) int { return cmp.Compare(one.At, other.At) })
+func trials(ends []Crash) int {
+	inOrder := slices.SortedFunc(slices.Values(ends), func(one, other Crash) int { return cmp.Compare(one.SeenAt, other.SeenAt) })
 	count := 0
 	last := int64(0)
 	for _, end := range inOrder {
-		if end.Begun == 0 || end.Begun >= last {
+		if end.SentAt == 0 || end.SentAt >= last {
 			count++
-			last = end.At
+			last = end.SeenAt
 		}
 	}
 	return count
 }
 
 // ofOne reports whether one caller's request was at work at each of some ends.
-func ofOne(ends []End) bool {
+func ofOne(ends []Crash) bool {
 	for mark := range ends[0].Callers {
-		if !slices.ContainsFunc(ends, func(end End) bool { return !end.stands(mark) }) {
+		if !slices.ContainsFunc(ends, func(end Crash) bool { return !end.stands(mark) }) {
 			return true
 		}
 	}
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -75,9 +75,9 @@
 }
 
 // end has an upstream end while requests were at work there, each sent by some host for some caller.
-func (fleet *fleet) end(upstream string, requests, by []int, marks []poison.Mark) {
+func (fleet *fleet) end(upstream string, requests, by []int, marks []poison.CallerFingerprint) {
 	for i, request := range requests {
-		record, news := fleet.hosts[by[i]].Ended(ended(request, upstream, marks[i]), fleet.now)
+		record, news := fleet.hosts[by[i]].RecordCrash(ended(request, upstream, marks[i]), fleet.now)
 		if news {
 			fleet.tell(by[i], record)
 		}
@@ -85,17 +85,17 @@
 }
 
 // serve has an upstream serve a request that a host has sent for a caller.
-func (fleet *fleet) serve(request, by int, mark poison.Mark) {
-	record, news := fleet.hosts[by].Answered(identity(request), mark)
+func (fleet *fleet) serve(request, by int, mark poison.CallerFingerprint) {
+	record, news := fleet.hosts[by].RecordAnswer(identity(request), mark)
 	if news {
 		fleet.tell(by, record)
 	}
 }
 
 // endsOf counts the ends at which each caller's copy of a request was at work that has had no good answer since.
-func endsOf(record poison.Record) map[poison.Mark]int {
-	ends := map[poison.Mark]int{}
-	for _, end := range record.Ends {
+func endsOf(record poison.Record) map[poison.CallerFingerprint]int {
+	ends := map[poison.CallerFingerprint]int{}
+	for _, end := range record.Crashes {
 		for mark, answered := range end.Callers {
 			if !answered {
 				ends[mark]++
@@ -106,8 +106,8 @@
 }
 
 // anyMark is one of more callers than are kept of one end.
-func anyMark(t *rapid.T) poison.Mark {
-	return poison.Mark(fmt.Sprintf("%02d", rapid.IntRange(0, 39).Draw(t, "mark")))
+func anyMark(t *rapid.T) poison.CallerFingerprint {
+	return poison.CallerFingerprint(fmt.Sprintf("%02d", rapid.IntRange(0, 39).Draw(t, "mark")))
 }
 
 var _ = Describe("hosts that tell each other of requests at upstreams' ends", func() {
@@ -118,7 +118,9 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			const deadly, hosts, innocents = 0, 4, 5
 			address := rapid.IntRange(0, rapid.SampledFrom([]int{0, 3, 1000}).Draw(t, "addresses"))
-			caller := func() poison.Mark { return poison.Mark(fmt.Sprint(address.Draw(t, "address"))) }
+			caller := func() poison.CallerFingerprint {
+				return poison.CallerFingerprint(fmt.Sprint(address.Draw(t, "address")))
+			}
 			fleet := newFleet(hosts)
 			host := rapid.IntRange(0, hosts-1)
 			ends, after := 0, 0
@@ -128,16 +130,16 @@
 				switch rapid.IntRange(0, 5).Draw(t, "what") {
 				case 0, 1:
 					sender := caller()
-					if fleet.hosts[by].Refused(identity(deadly), sender) {
+					if fleet.hosts[by].IsDenied(identity(deadly), sender) {
 						continue
 					}
-					if ends >= poison.DeadlyEnds {
+					if ends >= poison.CrashesToDeny {
 						after++
 					}
 					ends++
 					beside := rapid.IntRange(1, innocents).Draw(t, "beside")
-					fleet.end(fmt.Sprint("u", step), []int{deadly, beside}, []int{by, host.Draw(t, "other")}, []poison.Mark{sender, caller()})
-					if rapid.Bool().Draw(t, "settled") || ends >= poison.DeadlyEnds {
+					fleet.end(fmt.Sprint("u", step), []int{deadly, beside}, []int{by, host.Draw(t, "other")}, []poison.CallerFingerprint{sender, caller()})
+					if rapid.Bool().Draw(t, "settled") || ends >= poison.CrashesToDeny {
 						fleet.settle()
 					}
 				case 2:
@@ -151,15 +153,15 @@
 			Expect(after).To(BeNumerically("<=", moreSends))
 			fleet.settle()
 			for _, table := range fleet.hosts {
-				Expect(table.Extent(identity(deadly)).None()).To(Equal(ends < poison.DeadlyEnds))
+				Expect(table.DenialScope(identity(deadly)).IsEmpty()).To(Equal(ends < poison.CrashesToDeny))
 				for innocent := 1; innocent <= innocents; innocent++ {
 					record, known := table.Find(identity(innocent))
-					if !known || len(record.Standing()) >= poison.DeadlyEnds {
+					if !known || len(record.UnansweredCrashes()) >= poison.CrashesToDeny {
 						continue
 					}
-					Expect(table.Extent(identity(innocent)).All).To(BeFalse())
+					Expect(table.DenialScope(identity(innocent)).AllCallers).To(BeFalse())
 					for mark, ends := range endsOf(record) {
-						Expect(ends < poison.DeadlyEnds && table.Refused(identity(innocent), mark)).To(BeFalse())
+						Expect(ends < poison.CrashesToDeny && table.IsDenied(identity(innocent), mark)).To(BeFalse())
 					}
 				}
 			}
@@ -171,12 +173,12 @@
 			one, other := poison.NewTable(), poison.NewTable()
 			var words []poison.Record
 			for range rapid.IntRange(1, 12).Draw(t, "words") {
-				record := poison.Record{Identity: identity(rapid.IntRange(0, 2).Draw(t, "request")), Service: "s"}
-				record.Ends = []poison.End{{
-					Life: poison.Life{Upstream: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "upstream"))}, At: noon,
-					Begun:     noon - int64(rapid.IntRange(0, 3).Draw(t, "begun")),
-					Withdrawn: rapid.IntRange(0, 4).Draw(t, "withdrawn") == 0,
-					Callers:   rapid.MapOfN(rapid.Custom(anyMark), rapid.Bool(), 0, 12).Draw(t, "callers"),
+				record := poison.Record{Fingerprint: identity(rapid.IntRange(0, 2).Draw(t, "request")), Service: "s"}
+				record.Crashes = []poison.Crash{{
+					Incarnation: poison.Incarnation{Upstream: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "upstream"))}, SeenAt: noon,
+					SentAt:   noon - int64(rapid.IntRange(0, 3).Draw(t, "begun")),
+					Answered: rapid.IntRange(0, 4).Draw(t, "withdrawn") == 0,
+					Callers:  rapid.MapOfN(rapid.Custom(anyMark), rapid.Bool(), 0, 12).Draw(t, "callers"),
 				}}
 				words = append(words, record)
 			}
@@ -191,8 +193,8 @@
 				found, known := one.Find(identity(request))
 				also, alsoKnown := other.Find(identity(request))
 				Expect(alsoKnown).To(Equal(known))
-				Expect(also.Ends).To(ConsistOf(found.Ends))
-				Expect(other.Suspected(identity(request))).To(Equal(one.Suspected(identity(request))))
+				Expect(also.Crashes).To(ConsistOf(found.Crashes))
+				Expect(other.IsSuspected(identity(request))).To(Equal(one.IsSuspected(identity(request))))
 			}
 		})
 	})
--- a/poison/identity.go
+++ b/poison/identity.go
@@ -22,26 +22,26 @@
 	markBytes = 8
 )
 
-// ErrIdentity means that a text is no identity.
-var ErrIdentity = errors.New("not the identity of a request")
+// ErrMalformedFingerprint means that a text is no identity.
+var ErrMalformedFingerprint = errors.New("not the identity of a request")
 
-// Identity tells requests apart that are sent again with another request ID, by the same caller or by others. It is a
+// Fingerprint tells requests apart that are sent again with another request ID, by the same caller or by others. It is a
 // digest, so that neither memory nor logs hold what was sent.
-type Identity [identityBytes]byte
+type Fingerprint [identityBytes]byte
 
 // Target is the part of an identity that says what is asked for, whoever asks and whatever the body is.
 type Target [targetBytes]byte
 
-// Parts are what makes two requests the same one.
-type Parts struct {
+// RequestParts are what makes two requests the same one.
+type RequestParts struct {
 	Method string
 	// Domain and Path are the host that was asked for, and the path with its query, as they came.
 	Domain string
 	Path   string
 	// Key is the key that the request is for; empty if it has none.
 	Key string
-	// Caller is the caller's address, with or without a port.
-	Caller string
+	// CallerAddress is the caller's address, with or without a port.
+	CallerAddress string
 	// Credentials are what the caller shows of who it is; empty if nothing.
 	Credentials string
 	// Body is whole; how it came in parts says nothing.
@@ -49,7 +49,7 @@
 }
 
 // Target returns the first part of the request's identity.
-func (parts *Parts) Target() Target {
+func (parts *RequestParts) Target() Target {
 	var digest xxhash.Digest
 	digest.Reset()
 	for _, part := range [...]string{parts.Method, parts.Domain, parts.Path} {
@@ -60,22 +60,22 @@
 	return target
 }
 
-// Identify returns the identity of a request. A caller's address is no part of it: one request may come from many.
-func Identify(parts Parts) Identity {
+// FingerprintOf returns the identity of a request. A caller's address is no part of it: one request may come from many.
+func FingerprintOf(parts RequestParts) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{parts.Method, parts.Domain, parts.Path, parts.Key} {
 		add(digest, part)
 	}
 	_, _ = digest.Write(parts.Body)
 	target := parts.Target()
-	var identity Identity
+	var identity Fingerprint
 	copy(identity[:], target[:])
 	copy(identity[targetBytes:], digest.Sum(nil))
 	return identity
 }
 
-// Mark is a digest of one thing that tells a caller from others: its address, or its credentials.
-type Mark string
+// CallerFingerprint is a digest of one thing that tells a caller from others: its address, or its credentials.
+type CallerFingerprint string
 
 const (
 	addressMark     = "a"
@@ -83,22 +83,22 @@
 )
 
 // shown reports whether the mark is of what a caller shows of itself, which its neighbours do not share.
-func (mark Mark) shown() bool {
+func (mark CallerFingerprint) shown() bool {
 	return strings.HasSuffix(string(mark), credentialsMark)
 }
 
-// Marks returns what tells the request's caller from others that send the same.
-func (parts *Parts) Marks() []Mark {
-	marks := []Mark{markOf(callerOf(parts.Caller), addressMark)}
+// CallerFingerprints returns what tells the request's caller from others that send the same.
+func (parts *RequestParts) CallerFingerprints() []CallerFingerprint {
+	marks := []CallerFingerprint{markOf(callerOf(parts.CallerAddress), addressMark)}
 	if parts.Credentials != "" {
 		marks = append(marks, markOf(parts.Credentials, credentialsMark))
 	}
 	return marks
 }
 
-func markOf(text, kind string) Mark {
+func markOf(text, kind string) CallerFingerprint {
 	sum := sha256.Sum256([]byte(text))
-	return Mark(hex.EncodeToString(sum[:markBytes]) + kind)
+	return CallerFingerprint(hex.EncodeToString(sum[:markBytes]) + kind)
 }
 
 // add adds a part with its length before it, so that none can pass for the end of another.
@@ -119,21 +119,21 @@
 }
 
 // Target returns what the request asks for.
-func (identity Identity) Target() Target {
+func (identity Fingerprint) Target() Target {
 	return Target(identity[:targetBytes])
 }
 
 // String returns the form for logs and records.
-func (identity Identity) String() string {
+func (identity Fingerprint) String() string {
 	return hex.EncodeToString(identity[:])
 }
 
-// ParseIdentity reads the form that String returns; ErrIdentity says that it is none.
-func ParseIdentity(text string) (Identity, error) {
-	var identity Identity
+// ParseFingerprint reads the form that String returns; ErrIdentity says that it is none.
+func ParseFingerprint(text string) (Fingerprint, error) {
+	var identity Fingerprint
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != identityBytes {
-		return identity, errors.Wrap(ErrIdentity, text)
+		return identity, errors.Wrap(ErrMalformedFingerprint, text)
 	}
 	copy(identity[:], data)
 	return identity, nil
--- a/poison/judge.go
+++ b/poison/judge.go
@@ -5,33 +5,33 @@
 // denial says for whom a request is refused: for all, or for callers with certain marks.
 type denial struct {
 	all     bool
-	callers map[Mark]bool
+	callers map[CallerFingerprint]bool
 }
 
-// Extent is for how many a request is refused.
-type Extent struct {
-	// All says that it is refused whoever sends it.
-	All bool
-	// Callers counts the marks of callers that it is refused to.
-	Callers int
+// DenialScope is for how many a request is refused.
+type DenialScope struct {
+	// AllCallers says that it is refused whoever sends it.
+	AllCallers bool
+	// CallerCount counts the marks of callers that it is refused to.
+	CallerCount int
 }
 
-// None reports whether the request is refused to nobody.
-func (extent Extent) None() bool {
-	return extent == Extent{}
+// IsEmpty reports whether the request is refused to nobody.
+func (extent DenialScope) IsEmpty() bool {
+	return extent == DenialScope{}
 }
 
-// Exceeds reports whether the request is refused to any that it was not refused to before.
-func (extent Extent) Exceeds(before Extent) bool {
-	return extent.All && !before.All || extent.Callers > before.Callers
+// IsWiderThan reports whether the request is refused to any that it was not refused to before.
+func (extent DenialScope) IsWiderThan(before DenialScope) bool {
+	return extent.AllCallers && !before.AllCallers || extent.CallerCount > before.CallerCount
 }
 
-func (denial denial) extent() Extent {
-	return Extent{All: denial.all, Callers: len(denial.callers)}
+func (denial denial) extent() DenialScope {
+	return DenialScope{AllCallers: denial.all, CallerCount: len(denial.callers)}
 }
 
-func (denial denial) holds(marks []Mark) bool {
-	return denial.all || slices.ContainsFunc(marks, func(mark Mark) bool { return denial.callers[mark] })
+func (denial denial) holds(marks []CallerFingerprint) bool {
+	return denial.all || slices.ContainsFunc(marks, func(mark CallerFingerprint) bool { return denial.callers[mark] })
 }
 
 // judge finds the requests to refuse. All that ran on an upstream ends with it, and on a busy service some request may
@@ -40,10 +40,10 @@
 func (table *Table) judge() {
 	beside := table.beside()
 	before := table.refused
-	table.refused = map[Identity]denial{}
+	table.refused = map[Fingerprint]denial{}
 	for identity, record := range table.records {
-		found := record.denied(before[identity], func(end End) int { return mostEnds(beside[end.Life], end, identity) })
-		if !found.extent().None() {
+		found := record.denied(before[identity], func(end Crash) int { return mostEnds(beside[end.Incarnation], end, identity) })
+		if !found.extent().IsEmpty() {
 			table.refused[identity] = found
 		}
 	}
@@ -52,9 +52,9 @@
 // denied says for whom the record's request is to be refused; rivals returns at how many ends another request stands
 // that was at work at one. If one caller's request was at work at all of the ends, it is refused to that caller alone:
 // others may be served with what they ask for alike.
-func (record *Record) denied(before denial, rivals func(end End) int) denial {
-	found := denial{callers: map[Mark]bool{}}
-	standing := record.Standing()
+func (record *Record) denied(before denial, rivals func(end Crash) int) denial {
+	found := denial{callers: map[CallerFingerprint]bool{}}
+	standing := record.UnansweredCrashes()
 	if deadly(standing, before.all, rivals) {
 		found.all = !ofOne(standing) && trials(standing) >= deadlyTrials
 	}
@@ -68,8 +68,8 @@
 }
 
 // deadly reports whether enough of some ends are held against what stands at all of them, or were before.
-func deadly(ends []End, before bool, rivals func(end End) int) bool {
-	if len(ends) < DeadlyEnds {
+func deadly(ends []Crash, before bool, rivals func(end Crash) int) bool {
+	if len(ends) < CrashesToDeny {
 		return false
 	}
 	caused := 0
@@ -78,30 +78,30 @@
 			caused++
 		}
 	}
-	return before || caused >= DeadlyEnds
+	return before || caused >= CrashesToDeny
 }
 
 // witnessed is an end at which a request stood that stands at so many ends in all.
 type witnessed struct {
-	identity Identity
-	end      End
+	identity Fingerprint
+	end      Crash
 	ends     int
 }
 
 // beside returns which requests stood at the ends of each life.
-func (table *Table) beside() map[Life][]witnessed {
-	beside := map[Life][]witnessed{}
+func (table *Table) beside() map[Incarnation][]witnessed {
+	beside := map[Incarnation][]witnessed{}
 	for identity, record := range table.records {
 		strength := record.strength()
-		for _, end := range record.Ends {
-			beside[end.Life] = append(beside[end.Life], witnessed{identity: identity, end: end, ends: strength})
+		for _, end := range record.Crashes {
+			beside[end.Incarnation] = append(beside[end.Incarnation], witnessed{identity: identity, end: end, ends: strength})
 		}
 	}
 	return beside
 }
 
 // mostEnds returns at how many ends another request stands that stood at this one.
-func mostEnds(all []witnessed, end End, but Identity) int {
+func mostEnds(all []witnessed, end Crash, but Fingerprint) int {
 	most := 0
 	for _, other := range all {
 		if other.identity != but && other.end.same(end) {
--- a/poison/record.go
+++ b/poison/record.go
@@ -19,55 +19,55 @@
 	maxMarks = 16
 )
 
-// ErrRecord means that a record cannot be read.
-var ErrRecord = errors.New("no record of a request")
-
-// End is an end of an upstream at which a request was at work.
-type End struct {
-	Life
-	// At is in Unix milliseconds on the clock of the host that saw it first.
-	At int64
-	// Begun is when the last copy of the request was sent that was at work there, in Unix milliseconds; 0 if not told.
-	Begun int64 `json:",omitempty"`
-	// Withdrawn says that an upstream has answered the request since, whoever sent it. The end counts for no caller
+// ErrMalformedRecord means that a record cannot be read.
+var ErrMalformedRecord = errors.New("no record of a request")
+
+// Crash is an end of an upstream at which a request was at work.
+type Crash struct {
+	Incarnation
+	// SeenAt is in Unix milliseconds on the clock of the host that saw it first.
+	SeenAt int64
+	// SentAt is when the last copy of the request was sent that was at work there, in Unix milliseconds; 0 if not told.
+	SentAt int64 `json:",omitempty"`
+	// Answered says that an upstream has answered the request since, whoever sent it. The end counts for no caller
 	// then but those whose own request was at work.
-	Withdrawn bool `json:",omitempty"`
+	Answered bool `json:",omitempty"`
 	// Callers are the marks of those whose request was at work; true says that an upstream has answered them since.
-	Callers map[Mark]bool `json:",omitempty"`
+	Callers map[CallerFingerprint]bool `json:",omitempty"`
 }
 
 // same reports whether two hosts mean the same end. A life that is told apart by its birth has one; of an upstream that
 // does not say when it was born, ends that lie near each other are taken for one.
-func (end End) same(other End) bool {
-	apart := time.Duration(max(end.At-other.At, other.At-end.At)) * time.Millisecond
-	return end.Life == other.Life && (end.Born != 0 || apart < sameEnd)
+func (end Crash) same(other Crash) bool {
+	apart := time.Duration(max(end.SeenAt-other.SeenAt, other.SeenAt-end.SeenAt)) * time.Millisecond
+	return end.Incarnation == other.Incarnation && (end.StartedAt != 0 || apart < sameEnd)
 }
 
 // Record is what is known of one request. Records are merged end by end, so that it does not matter in what order,
 // how often, or by which way they come.
 type Record struct {
-	Identity Identity `json:"-"`
-	Service  string
-	Ends     []End
+	Fingerprint Fingerprint `json:"-"`
+	Service     string
+	Crashes     []Crash
 }
 
 // DecodeRecord reads a record; ErrRecord says that it is none.
 func DecodeRecord(key string, value []byte) (Record, error) {
-	identity, err := ParseIdentity(key)
+	identity, err := ParseFingerprint(key)
 	if err != nil {
 		return Record{}, err
 	}
-	record := Record{Identity: identity}
+	record := Record{Fingerprint: identity}
 	err = json.Unmarshal(value, &record)
 	if err != nil {
-		return Record{}, errors.Wrap(ErrRecord, err.Error())
+		return Record{}, errors.Wrap(ErrMalformedRecord, err.Error())
 	}
-	if len(record.Ends) == 0 || len(record.Ends) > maxEnds {
-		return Record{}, errors.Wrapf(ErrRecord, "%d ends", len(record.Ends))
+	if len(record.Crashes) == 0 || len(record.Crashes) > maxEnds {
+		return Record{}, errors.Wrapf(ErrMalformedRecord, "%d ends", len(record.Crashes))
 	}
-	for _, end := range record.Ends {
+	for _, end := range record.Crashes {
 		if len(end.Callers) > maxMarks {
-			return Record{}, errors.Wrapf(ErrRecord, "%d callers at an end", len(end.Callers))
+			return Record{}, errors.Wrapf(ErrMalformedRecord, "%d callers at an end", len(end.Callers))
 		}
 	}
 	return record, nil
@@ -79,11 +79,11 @@
 	return data, errors.WithStack(err)
 }
 
-// Standing returns the ends that count whoever sends the request.
-func (record *Record) Standing() []End {
-	var standing []End
-	for _, end := range record.Ends {
-		if !end.Withdrawn {
+// UnansweredCrashes returns the ends that count whoever sends the request.
+func (record *Record) UnansweredCrashes() []Crash {
+	var standing []Crash
+	for _, end := range record.Crashes {
+		if !end.Answered {
 			standing = append(standing, end)
 		}
 	}
@@ -93,21 +93,21 @@
 // newest is when the record's last end was seen.
 func (record *Record) newest() int64 {
 	newest := int64(0)
-	for _, end := range record.Ends {
-		newest = max(newest, end.At)
+	for _, end := range record.Crashes {
+		newest = max(newest, end.SeenAt)
 	}
 	return newest
 }
 
 // add takes an end and reports whether it says anything new. What is withdrawn stays so, whatever comes late.
-func (record *Record) add(end End) bool {
-	known := slices.IndexFunc(record.Ends, end.same)
+func (record *Record) add(end Crash) bool {
+	known := slices.IndexFunc(record.Crashes, end.same)
 	if known >= 0 {
-		return record.Ends[known].merge(end)
+		return record.Crashes[known].merge(end)
 	}
 	end.Callers = maps.Clone(end.Callers)
-	record.Ends = append(record.Ends, end)
-	if len(record.Ends) > maxEnds {
+	record.Crashes = append(record.Crashes, end)
+	if len(record.Crashes) > maxEnds {
 		record.dropOldest()
 	}
 	return true
@@ -115,18 +115,18 @@
 
 func (record *Record) dropOldest() {
 	oldest := 0
-	for i, end := range record.Ends {
-		if end.At < record.Ends[oldest].At {
+	for i, end := range record.Crashes {
+		if end.SeenAt < record.Crashes[oldest].SeenAt {
 			oldest = i
 		}
 	}
-	record.Ends = slices.Delete(record.Ends, oldest, oldest+1)
+	record.Crashes = slices.Delete(record.Crashes, oldest, oldest+1)
 }
 
-// Lacks reports whether another record of the request says anything that this one does not.
-func (record *Record) Lacks(other Record) bool {
+// NeedsMerge reports whether another record of the request says anything that this one does not.
+func (record *Record) NeedsMerge(other Record) bool {
 	copied := record.clone()
-	for _, end := range other.Ends {
+	for _, end := range other.Crashes {
 		if copied.add(end) {
 			return true
 		}
@@ -135,12 +135,12 @@
 }
 
 // withdraw takes it that a caller has had a good answer, and reports whether that is news of any end.
-func (record *Record) withdraw(marks []Mark) bool {
+func (record *Record) withdraw(marks []CallerFingerprint) bool {
 	news := false
-	for i := range record.Ends {
-		end := &record.Ends[i]
-		news = news || !end.Withdrawn
-		end.Withdrawn = true
+	for i := range record.Crashes {
+		end := &record.Crashes[i]
+		news = news || !end.Answered
+		end.Answered = true
 		for _, mark := range marks {
 			if end.stands(mark) {
 				end.Callers[mark] = true
@@ -154,21 +154,21 @@
 // clone returns a copy that later changes do not touch.
 func (record *Record) clone() Record {
 	copied := *record
-	copied.Ends = slices.Clone(record.Ends)
-	for i := range copied.Ends {
-		copied.Ends[i].Callers = maps.Clone(copied.Ends[i].Callers)
+	copied.Crashes = slices.Clone(record.Crashes)
+	for i := range copied.Crashes {
+		copied.Crashes[i].Callers = maps.Clone(copied.Crashes[i].Callers)
 	}
 	return copied
 }
 
-// Fold merges what is told into a map of records by identity, and returns a new map; those that are too old at the
+// MergeRecord merges what is told into a map of records by identity, and returns a new map; those that are too old at the
 // time of telling are left out, and beyond a bound those that say least. Equal maps and equal words make equal maps.
-func Fold(records map[string]Record, told Record, now int64) map[string]Record {
+func MergeRecord(records map[string]Record, told Record, now int64) map[string]Record {
 	table := NewTable()
 	for key, record := range records {
-		identity, err := ParseIdentity(key)
+		identity, err := ParseFingerprint(key)
 		if err == nil {
-			record.Identity = identity
+			record.Fingerprint = identity
 			_, _ = table.Merge(record, now)
 		}
 	}
--- a/poison/table.go
+++ b/poison/table.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// DeadlyEnds is how many ends of upstreams a request stands at before it is refused. Fewer would refuse what merely
+	// CrashesToDeny is how many ends of upstreams a request stands at before it is refused. Fewer would refuse what merely
 	// was at work beside others; each one more costs an upstream with all that runs there.
-	DeadlyEnds = 3
+	CrashesToDeny = 3
 	// deadlyTrials is how many of these have to come of one send after another before a request is refused to all, or to all behind an address.
 	deadlyTrials = 2
 	// remembered is for how long after its last end a request is known. Refused for that long, it may end three more
@@ -25,47 +25,47 @@
 
 // Table keeps which requests were at work when upstreams ended, as all hosts together have seen it.
 type Table struct {
-	records map[Identity]*Record
-	refused map[Identity]denial
+	records map[Fingerprint]*Record
+	refused map[Fingerprint]denial
 	// targets counts the records by what their requests ask for.
 	targets map[Target]int
 	// own are the requests of which this host has seen something itself.
-	own map[Identity]bool
+	own map[Fingerprint]bool
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{records: map[Identity]*Record{}, refused: map[Identity]denial{}, targets: map[Target]int{}, own: map[Identity]bool{}}
+	return &Table{records: map[Fingerprint]*Record{}, refused: map[Fingerprint]denial{}, targets: map[Target]int{}, own: map[Fingerprint]bool{}}
 }
 
-// Ended takes an end that this host has seen, and returns the request's record if it is news.
-func (table *Table) Ended(found Break, at int64) (Record, bool) {
-	end := End{Life: found.Life, At: at, Begun: at - found.At.Sub(found.Begun).Milliseconds()}
-	for _, mark := range found.Marks {
+// RecordCrash takes an end that this host has seen, and returns the request's record if it is news.
+func (table *Table) RecordCrash(found UnansweredAttempt, at int64) (Record, bool) {
+	end := Crash{Incarnation: found.Incarnation, SeenAt: at, SentAt: at - found.EndedAt.Sub(found.SentAt).Milliseconds()}
+	for _, mark := range found.CallerFingerprints {
 		end.note(mark, false)
 	}
-	record, news := table.Merge(Record{Identity: found.Identity, Service: found.Service, Ends: []End{end}}, at)
-	_, kept := table.records[found.Identity]
+	record, news := table.Merge(Record{Fingerprint: found.Fingerprint, Service: found.Service, Crashes: []Crash{end}}, at)
+	_, kept := table.records[found.Fingerprint]
 	if news && kept {
-		table.own[found.Identity] = true
+		table.own[found.Fingerprint] = true
 	}
 	return record, news
 }
 
-// Own reports whether this host has seen something of a request itself, and has not only been told.
-func (table *Table) Own(identity Identity) bool {
+// IsObservedLocally reports whether this host has seen something of a request itself, and has not only been told.
+func (table *Table) IsObservedLocally(identity Fingerprint) bool {
 	return table.own[identity]
 }
 
 // Merge takes what another host has seen, and returns all that is known of the request if it is news.
 func (table *Table) Merge(told Record, now int64) (Record, bool) {
-	record, known := table.records[told.Identity]
+	record, known := table.records[told.Fingerprint]
 	if !known {
-		record = &Record{Identity: told.Identity, Service: told.Service}
+		record = &Record{Fingerprint: told.Fingerprint, Service: told.Service}
 	}
 	news := false
-	for _, end := range told.Ends {
-		if !forgotten(end.At, now) {
+	for _, end := range told.Crashes {
+		if !forgotten(end.SeenAt, now) {
 			news = record.add(end) || news
 		}
 	}
@@ -73,8 +73,8 @@
 		return Record{}, false
 	}
 	if !known {
-		table.records[told.Identity] = record
-		table.targets[told.Identity.Target()]++
+		table.records[told.Fingerprint] = record
+		table.targets[told.Fingerprint.Target()]++
 	}
 	table.forget(now)
 	table.judge()
@@ -82,9 +82,9 @@
 	return record.clone(), true
 }
 
-// Answered takes it that an upstream has run a caller's request to its end: those that have ended others did not by
+// RecordAnswer takes it that an upstream has run a caller's request to its end: those that have ended others did not by
 // what all callers send alike, nor by this one's. It returns the request's record if it is news.
-func (table *Table) Answered(identity Identity, marks ...Mark) (Record, bool) {
+func (table *Table) RecordAnswer(identity Fingerprint, marks ...CallerFingerprint) (Record, bool) {
 	record, known := table.records[identity]
 	if !known || !record.withdraw(marks) {
 		return Record{}, false
@@ -94,35 +94,35 @@
 	return record.clone(), true
 }
 
-// Refused reports whether a caller's request is not to be sent to any upstream.
-func (table *Table) Refused(identity Identity, marks ...Mark) bool {
+// IsDenied reports whether a caller's request is not to be sent to any upstream.
+func (table *Table) IsDenied(identity Fingerprint, marks ...CallerFingerprint) bool {
 	return table.refused[identity].holds(marks)
 }
 
-// Extent returns for whom a request is refused.
-func (table *Table) Extent(identity Identity) Extent {
+// DenialScope returns for whom a request is refused.
+func (table *Table) DenialScope(identity Fingerprint) DenialScope {
 	return table.refused[identity].extent()
 }
 
-// Concerns reports whether anything is known of a request that asks for a target: if not, its whole identity need not
+// HasTarget reports whether anything is known of a request that asks for a target: if not, its whole identity need not
 // be worked out.
-func (table *Table) Concerns(target Target) bool {
+func (table *Table) HasTarget(target Target) bool {
 	return table.targets[target] > 0
 }
 
-// Suspected reports whether a caller's request stands at any end.
-func (table *Table) Suspected(identity Identity, marks ...Mark) bool {
+// IsSuspected reports whether a caller's request stands at any end.
+func (table *Table) IsSuspected(identity Fingerprint, marks ...CallerFingerprint) bool {
 	record, known := table.records[identity]
 	if !known {
 		return false
 	}
-	return slices.ContainsFunc(record.Ends, func(end End) bool {
-		return !end.Withdrawn || slices.ContainsFunc(marks, end.stands)
+	return slices.ContainsFunc(record.Crashes, func(end Crash) bool {
+		return !end.Answered || slices.ContainsFunc(marks, end.stands)
 	})
 }
 
 // Find returns what is known of a request.
-func (table *Table) Find(identity Identity) (Record, bool) {
+func (table *Table) Find(identity Fingerprint) (Record, bool) {
 	record, known := table.records[identity]
 	if !known {
 		return Record{}, false
@@ -144,8 +144,8 @@
 	return len(table.refused), len(table.records)
 }
 
-// Until returns when a request is forgotten, in Unix milliseconds.
-func (table *Table) Until(identity Identity) int64 {
+// ExpiresAt returns when a request is forgotten, in Unix milliseconds.
+func (table *Table) ExpiresAt(identity Fingerprint) int64 {
 	record, known := table.records[identity]
 	if !known {
 		return 0
@@ -153,8 +153,8 @@
 	return record.newest() + remembered.Milliseconds()
 }
 
-// Forget drops what is too old, and returns what it dropped.
-func (table *Table) Forget(now int64) []Identity {
+// RemoveExpired drops what is too old, and returns what it dropped.
+func (table *Table) RemoveExpired(now int64) []Fingerprint {
 	dropped := table.forget(now)
 	if len(dropped) > 0 {
 		table.judge()
@@ -162,8 +162,8 @@
 	return dropped
 }
 
-func (table *Table) forget(now int64) []Identity {
-	var dropped []Identity
+func (table *Table) forget(now int64) []Fingerprint {
+	var dropped []Fingerprint
 	for identity, record := range table.records {
 		if forgotten(record.newest(), now) {
 			table.remove(identity)
@@ -196,10 +196,10 @@
 			least = record
 		}
 	}
-	table.remove(least.Identity)
+	table.remove(least.Fingerprint)
 }
 
-func (table *Table) remove(identity Identity) {
+func (table *Table) remove(identity Fingerprint) {
 	delete(table.records, identity)
 	delete(table.refused, identity)
 	delete(table.own, identity)
@@ -215,6 +215,6 @@
 	return cmp.Or(
 		cmp.Compare(record.strength(), other.strength()),
 		cmp.Compare(record.newest(), other.newest()),
-		bytes.Compare(record.Identity[:], other.Identity[:]),
+		bytes.Compare(record.Fingerprint[:], other.Fingerprint[:]),
 	) < 0
 }
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -14,15 +14,15 @@
 // noon is when the tests begin, in Unix milliseconds.
 const noon = 1_800_000_000_000
 
-func identity(number int) poison.Identity {
-	var identity poison.Identity
+func identity(number int) poison.Fingerprint {
+	var identity poison.Fingerprint
 	binary.BigEndian.PutUint32(identity[:], uint32(number))
 	return identity
 }
 
 // ended is a request at the end of an upstream.
-func ended(request int, upstream string, marks ...poison.Mark) poison.Break {
-	return poison.Break{Identity: identity(request), Service: "s", Life: poison.Life{Upstream: upstream}, Marks: marks}
+func ended(request int, upstream string, marks ...poison.CallerFingerprint) poison.UnansweredAttempt {
+	return poison.UnansweredAttempt{Fingerprint: identity(request), Service: "s", Incarnation: poison.Incarnation{Upstream: upstream}, CallerFingerprints: marks}
 }
 
 var _ = Describe("what is known of requests at upstreams' ends", func() {
@@ -38,27 +38,27 @@
 	end := func(upstream string, requests ...int) {
 		at += 5000
 		for _, request := range requests {
-			table.Ended(ended(request, upstream), at)
+			table.RecordCrash(ended(request, upstream), at)
 		}
 	}
 
 	It("has a request refused at its third end, not before", func() {
 		end("a", 1)
 		end("b", 1)
-		Expect(table.Refused(identity(1))).To(BeFalse())
-		Expect(table.Suspected(identity(1))).To(BeTrue())
+		Expect(table.IsDenied(identity(1))).To(BeFalse())
+		Expect(table.IsSuspected(identity(1))).To(BeTrue())
 		end("c", 1)
-		Expect(table.Refused(identity(1))).To(BeTrue())
+		Expect(table.IsDenied(identity(1))).To(BeTrue())
 	})
 
 	It("counts the end of one life once, whoever saw it and when, and the next end of the same name again", func() {
-		table.Ended(ended(1, "a"), noon)
-		table.Ended(ended(1, "a"), noon+900)
-		table.Ended(ended(1, "a"), noon-900)
+		table.RecordCrash(ended(1, "a"), noon)
+		table.RecordCrash(ended(1, "a"), noon+900)
+		table.RecordCrash(ended(1, "a"), noon-900)
 		end("b", 1)
-		Expect(table.Refused(identity(1))).To(BeFalse())
-		table.Ended(ended(1, "a"), noon+20_000)
-		Expect(table.Refused(identity(1))).To(BeTrue())
+		Expect(table.IsDenied(identity(1))).To(BeFalse())
+		table.RecordCrash(ended(1, "a"), noon+20_000)
+		Expect(table.IsDenied(identity(1))).To(BeTrue())
 	})
 
 	// One request ends upstream after upstream. A busy one of another caller stands beside it at two of three ends and at
@@ -68,8 +68,8 @@
 		end("b", 1, 2)
 		end("c", 1)
 		end("d", 1, 2)
-		Expect(table.Refused(identity(1))).To(BeTrue())
-		Expect(table.Refused(identity(2))).To(BeFalse())
+		Expect(table.IsDenied(identity(1))).To(BeTrue())
+		Expect(table.IsDenied(identity(2))).To(BeFalse())
 	})
 
 	// Two requests end upstreams, at times the same one. One of them must not hide the other for ever.
@@ -77,11 +77,11 @@
 		end("a", 1, 2)
 		end("b", 1)
 		end("c", 1)
-		for i := range poison.DeadlyEnds {
+		for i := range poison.CrashesToDeny {
 			end(fmt.Sprint("d", i), 2)
 		}
-		Expect(table.Refused(identity(1))).To(BeTrue())
-		Expect(table.Refused(identity(2))).To(BeTrue())
+		Expect(table.IsDenied(identity(1))).To(BeTrue())
+		Expect(table.IsDenied(identity(2))).To(BeTrue())
 	})
 
 	// What is refused is sent no more, so it cannot come to stand at more ends; what stood beside it can.
@@ -90,7 +90,7 @@
 			end(upstream, 1, 2)
 		}
 		end("d", 2)
-		Expect(table.Refused(identity(1))).To(BeTrue())
+		Expect(table.IsDenied(identity(1))).To(BeTrue())
 	})
 
 	It("takes all back when an upstream has served the request, and stays so though old word comes late", func() {
@@ -98,21 +98,21 @@
 			end(upstream, 1)
 		}
 		late, _ := table.Find(identity(1))
-		table.Answered(identity(1))
-		Expect(table.Refused(identity(1))).To(BeFalse())
+		table.RecordAnswer(identity(1))
+		Expect(table.IsDenied(identity(1))).To(BeFalse())
 		table.Merge(late, at)
-		Expect(table.Refused(identity(1))).To(BeFalse())
-		Expect(table.Suspected(identity(1))).To(BeFalse())
+		Expect(table.IsDenied(identity(1))).To(BeFalse())
+		Expect(table.IsSuspected(identity(1))).To(BeFalse())
 	})
 
 	It("is forgotten an hour after the last end", func() {
 		for _, upstream := range []string{"a", "b", "c"} {
 			end(upstream, 1)
 		}
-		Expect(table.Forget(at + time.Hour.Milliseconds())).To(BeEmpty())
-		Expect(table.Forget(at + time.Hour.Milliseconds() + 1)).To(Equal([]poison.Identity{identity(1)}))
-		Expect(table.Refused(identity(1))).To(BeFalse())
-		Expect(table.Concerns(identity(1).Target())).To(BeFalse())
+		Expect(table.RemoveExpired(at + time.Hour.Milliseconds())).To(BeEmpty())
+		Expect(table.RemoveExpired(at + time.Hour.Milliseconds() + 1)).To(Equal([]poison.Fingerprint{identity(1)}))
+		Expect(table.IsDenied(identity(1))).To(BeFalse())
+		Expect(table.HasTarget(identity(1).Target())).To(BeFalse())
 	})
 
 	// A caller sends many different requests to upstreams that end. None of them may push out what is known to end
@@ -122,12 +122,12 @@
 			end(upstream, 0)
 		}
 		for request := 1; request <= 3000; request++ {
-			table.Ended(ended(request, fmt.Sprint("f", request/20)), at+int64(request))
+			table.RecordCrash(ended(request, fmt.Sprint("f", request/20)), at+int64(request))
 		}
 		refused, known := table.Counts()
 		Expect(refused).To(Equal(1))
 		Expect(known).To(BeNumerically("<", 1000))
-		Expect(table.Refused(identity(0))).To(BeTrue())
+		Expect(table.IsDenied(identity(0))).To(BeTrue())
 	})
 
 	It("is the same after it was written and read", func() {
--- a/poison/witness.go
+++ b/poison/witness.go
@@ -20,46 +20,46 @@
 	maxAbandoned = 512
 )
 
-// Life is one life of an upstream, which may start again under its ID.
-type Life struct {
+// Incarnation is one life of an upstream, which may start again under its ID.
+type Incarnation struct {
 	Upstream string
-	// Born is in Unix milliseconds on the upstream's clock; 0 if it does not say.
-	Born int64 `json:",omitempty"`
+	// StartedAt is in Unix milliseconds on the upstream's clock; 0 if it does not say.
+	StartedAt int64 `json:",omitempty"`
 }
 
-// LifeOf returns an upstream's present life.
-func LifeOf(upstream cherrykeel.Upstream) Life {
-	return Life{Upstream: upstream.ID, Born: upstream.StartedAt}
+// IncarnationOf returns an upstream's present life.
+func IncarnationOf(upstream cherrykeel.Upstream) Incarnation {
+	return Incarnation{Upstream: upstream.ID, StartedAt: upstream.StartedAt}
 }
 
-// Break is a request that was sent and got no answer: its connection ended, or this host gave it up.
-type Break struct {
-	Identity Identity
-	// Marks are the caller's.
-	Marks []Mark
-	// Request is the ID of this attempt of the caller, for logs.
-	Request string
-	Service string
-	Life    Life
-	Address string
-	// Begun is when the request was sent, At when its connection ended.
-	Begun cherrykeel.Instant
-	At    cherrykeel.Instant
-	// Reset says that the connection was reset, not closed, and Abandoned that this host has closed it.
-	Reset     bool
-	Abandoned bool
+// UnansweredAttempt is a request that was sent and got no answer: its connection ended, or this host gave it up.
+type UnansweredAttempt struct {
+	Fingerprint Fingerprint
+	// CallerFingerprints are the caller's.
+	CallerFingerprints []CallerFingerprint
+	// RequestID is the ID of this attempt of the caller, for logs.
+	RequestID   string
+	Service     string
+	Incarnation Incarnation
+	Address     string
+	// SentAt is when the request was sent, At when its connection ended.
+	SentAt  cherrykeel.Instant
+	EndedAt cherrykeel.Instant
+	// ConnectionReset says that the connection was reset, not closed, and Abandoned that this host has closed it.
+	ConnectionReset bool
+	Abandoned       bool
 }
 
-// Witness keeps one host's breaks until it is known whether their upstreams have ended. What a host sees first is a
+// CrashDetector keeps one host's breaks until it is known whether their upstreams have ended. What a host sees first is a
 // connection that ends, and so it does for many reasons: the upstream was full, the network cut, an answer lost.
-type Witness struct {
-	breaks    []Break
-	abandoned []Break
+type CrashDetector struct {
+	breaks    []UnansweredAttempt
+	abandoned []UnansweredAttempt
 }
 
-// Broke notes a break.
-func (witness *Witness) Broke(found Break) {
-	witness.forget(found.At)
+// RecordUnanswered notes a break.
+func (witness *CrashDetector) RecordUnanswered(found UnansweredAttempt) {
+	witness.forget(found.EndedAt)
 	if found.Abandoned {
 		witness.abandoned = push(witness.abandoned, found, maxAbandoned)
 		return
@@ -68,57 +68,57 @@
 }
 
 // push adds a break, in place of the oldest one if there are as many as may be.
-func push(list []Break, found Break, most int) []Break {
+func push(list []UnansweredAttempt, found UnansweredAttempt, most int) []UnansweredAttempt {
 	if len(list) >= most {
 		list = list[1:]
 	}
 	return append(list, found)
 }
 
-// Answered takes it that an upstream's life has answered a request that was sent at the given time: breaks before
+// RecordAnswer takes it that an upstream's life has answered a request that was sent at the given time: breaks before
 // that were no end of it. What was abandoned may still wait there.
-func (witness *Witness) Answered(life Life, sent cherrykeel.Instant) {
-	_, witness.breaks = divide(witness.breaks, func(found Break) bool { return found.Life == life && found.At <= sent })
+func (witness *CrashDetector) RecordAnswer(life Incarnation, sent cherrykeel.Instant) {
+	_, witness.breaks = divide(witness.breaks, func(found UnansweredAttempt) bool { return found.Incarnation == life && found.EndedAt <= sent })
 }
 
-// Unreachable returns the breaks at an address where a connection is refused now, since no process listens there.
-func (witness *Witness) Unreachable(address string, now cherrykeel.Instant) []Break {
+// RemoveByAddress returns the breaks at an address where a connection is refused now, since no process listens there.
+func (witness *CrashDetector) RemoveByAddress(address string, now cherrykeel.Instant) []UnansweredAttempt {
 	witness.forget(now)
-	return witness.take(func(found Break) bool { return found.Address == address })
+	return witness.take(func(found UnansweredAttempt) bool { return found.Address == address })
 }
 
-// Ended returns the breaks of a life that is known to have ended.
-func (witness *Witness) Ended(life Life, now cherrykeel.Instant) []Break {
+// RemoveByIncarnation returns the breaks of a life that is known to have ended.
+func (witness *CrashDetector) RemoveByIncarnation(life Incarnation, now cherrykeel.Instant) []UnansweredAttempt {
 	witness.forget(now)
-	return witness.take(func(found Break) bool { return found.Life == life })
+	return witness.take(func(found UnansweredAttempt) bool { return found.Incarnation == life })
 }
 
-// Waits reports whether any break at the address still waits for its reason.
-func (witness *Witness) Waits(address string) bool {
-	return slices.ContainsFunc(witness.breaks, func(found Break) bool { return found.Address == address })
+// HasPending reports whether any break at the address still waits for its reason.
+func (witness *CrashDetector) HasPending(address string) bool {
+	return slices.ContainsFunc(witness.breaks, func(found UnansweredAttempt) bool { return found.Address == address })
 }
 
-// Empty reports whether no break waits for its reason any more.
-func (witness *Witness) Empty(now cherrykeel.Instant) bool {
+// IsEmpty reports whether no break waits for its reason any more.
+func (witness *CrashDetector) IsEmpty(now cherrykeel.Instant) bool {
 	witness.forget(now)
 	return len(witness.breaks)+len(witness.abandoned) == 0
 }
 
-func (witness *Witness) forget(now cherrykeel.Instant) {
-	_, witness.breaks = divide(witness.breaks, func(found Break) bool { return now.Sub(found.At) > pendingFor })
-	_, witness.abandoned = divide(witness.abandoned, func(found Break) bool { return now.Sub(found.At) > abandonedFor })
+func (witness *CrashDetector) forget(now cherrykeel.Instant) {
+	_, witness.breaks = divide(witness.breaks, func(found UnansweredAttempt) bool { return now.Sub(found.EndedAt) > pendingFor })
+	_, witness.abandoned = divide(witness.abandoned, func(found UnansweredAttempt) bool { return now.Sub(found.EndedAt) > abandonedFor })
 }
 
 // take removes the breaks that match and returns them.
-func (witness *Witness) take(matches func(found Break) bool) []Break {
-	var lost, left []Break
+func (witness *CrashDetector) take(matches func(found UnansweredAttempt) bool) []UnansweredAttempt {
+	var lost, left []UnansweredAttempt
 	lost, witness.breaks = divide(witness.breaks, matches)
 	left, witness.abandoned = divide(witness.abandoned, matches)
 	return append(lost, left...)
 }
 
 // divide returns the breaks that match, and the others in the list's own place.
-func divide(list []Break, matches func(found Break) bool) (matching, others []Break) {
+func divide(list []UnansweredAttempt, matches func(found UnansweredAttempt) bool) (matching, others []UnansweredAttempt) {
 	others = list[:0]
 	for _, found := range list {
 		if matches(found) {
--- a/poison/words_test.go
+++ b/poison/words_test.go
@@ -8,20 +8,20 @@
 )
 
 // oneEnd is a word of an upstream's end, in milliseconds from noon on.
-func oneEnd(upstream string, at, begun int64, marks ...poison.Mark) poison.Record {
-	callers := map[poison.Mark]bool{}
+func oneEnd(upstream string, at, begun int64, marks ...poison.CallerFingerprint) poison.Record {
+	callers := map[poison.CallerFingerprint]bool{}
 	for _, mark := range marks {
 		callers[mark] = false
 	}
-	end := poison.End{Life: poison.Life{Upstream: upstream, Born: 5}, At: noon + at, Begun: noon + begun, Callers: callers}
-	return poison.Record{Identity: identity(1), Service: "s", Ends: []poison.End{end}}
+	end := poison.Crash{Incarnation: poison.Incarnation{Upstream: upstream, StartedAt: 5}, SeenAt: noon + at, SentAt: noon + begun, Callers: callers}
+	return poison.Record{Fingerprint: identity(1), Service: "s", Crashes: []poison.Crash{end}}
 }
 
 // bareEnd is such a word of a host that knows neither callers nor when the request was sent.
 func bareEnd(upstream string, at int64) poison.Record {
 	record := oneEnd(upstream, at, 0)
-	record.Ends[0].Begun = 0
-	record.Ends[0].Callers = nil
+	record.Crashes[0].SentAt = 0
+	record.Crashes[0].Callers = nil
 	return record
 }
 
@@ -36,14 +36,14 @@
 var _ = Describe("hosts that hear the same words in another order", func() {
 	// Guards against hosts that refuse differently for good, though their records are alike.
 	DescribeTable("refuse the same", func(words ...poison.Record) {
-		want := hears(words...).Extent(identity(1))
+		want := hears(words...).DenialScope(identity(1))
 		for turn := range words {
 			turned := append(append([]poison.Record{}, words[turn:]...), words[:turn]...)
 			table := hears(turned...)
-			Expect(table.Extent(identity(1))).To(Equal(want))
+			Expect(table.DenialScope(identity(1))).To(Equal(want))
 			record, known := table.Find(identity(1))
 			Expect(known).To(BeTrue())
-			Expect(hears(record).Extent(identity(1))).To(Equal(want), "a host that starts on the record")
+			Expect(hears(record).DenialScope(identity(1))).To(Equal(want), "a host that starts on the record")
 		}
 	},
 		Entry("of an end that two hosts have seen at other times",
@@ -58,14 +58,14 @@
 	// Guards against one upstream's end that is told late, and counts as three.
 	It("take one life's end for one, however late they hear of it", func() {
 		table := hears(oneEnd("a", 0, -100, "x"), oneEnd("a", 2000, 1900, "y"), oneEnd("a", 4000, 3900, "z"))
-		Expect(table.Extent(identity(1)).None()).To(BeTrue())
+		Expect(table.DenialScope(identity(1)).IsEmpty()).To(BeTrue())
 	})
 
 	// Guards against all that are behind one address being refused a page, since their upstreams lost power together.
 	It("refuse nothing to an address for copies that were at work together", func() {
 		table := hears(oneEnd("a", 100, 0, "proxya", "1c"), oneEnd("b", 101, 1, "proxya", "2c"), oneEnd("c", 102, 2, "proxya", "3c"))
-		Expect(table.Refused(identity(1), "proxya", "4c")).To(BeFalse())
+		Expect(table.IsDenied(identity(1), "proxya", "4c")).To(BeFalse())
 		one := hears(oneEnd("a", 100, 0, "proxya", "1c"), oneEnd("b", 101, 1, "proxya", "1c"), oneEnd("c", 102, 2, "proxya", "1c"))
-		Expect(one.Refused(identity(1), "proxya", "1c")).To(BeTrue(), "one caller's copies")
+		Expect(one.IsDenied(identity(1), "proxya", "1c")).To(BeTrue(), "one caller's copies")
 	})
 })
--- a/relay/again.go
+++ b/relay/again.go
@@ -35,7 +35,7 @@
 	if result.outcome == outcomeUnknown && !exchange.route.Repeatable {
 		return false
 	}
-	if result.unanswered && exchange.denyRequest.Suspected() {
+	if result.unanswered && exchange.denyRequest.IsSuspected() {
 		return false
 	}
 	if result.misdirected && exchange.dispatcher.keyed {
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -122,7 +122,7 @@
 	if exchange.denyRequest == nil {
 		return fields
 	}
-	fingerprint, known := exchange.denyRequest.Identified()
+	fingerprint, known := exchange.denyRequest.ComputedFingerprint()
 	if known {
 		fields = append(fields, zap.Stringer("Identity", fingerprint))
 	}
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -121,15 +121,15 @@
 	remaining := exchange.deadline.Sub(exchange.relay.clock.Now())
 	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
-	care := conns.Care{MaxIdle: maxIdleRepeatable}
+	care := conns.SendOptions{MaxIdle: maxIdleRepeatable}
 	if !exchange.route.Repeatable {
-		care = conns.Care{MaxIdle: maxIdleUnrepeatable, Watch: newConnWatch}
+		care = conns.SendOptions{MaxIdle: maxIdleUnrepeatable, ResetWait: newConnWatch}
 	}
-	answer, progress, err := exchange.relay.pool.SendWith(ctx, slot.Upstream.Address, exchange.upstreamRequest(slot.Upstream, remaining), care)
+	answer, progress, err := exchange.relay.pool.SendWithOptions(ctx, slot.Upstream.Address, exchange.upstreamRequest(slot.Upstream, remaining), care)
 	if err != nil {
 		result := failedSend(progress, err)
-		result.unanswered = progress.Unanswered() && ctx.Err() == nil
-		result.abandoned = progress.Unanswered() && ctx.Err() != nil
+		result.unanswered = progress.IsUnanswered() && ctx.Err() == nil
+		result.abandoned = progress.IsUnanswered() && ctx.Err() != nil
 		return result
 	}
 	defer answer.Close()
@@ -162,7 +162,7 @@
 		result.classify(reply)
 	}
 	if result.outcome == outcomeUnknown {
-		answer.Spoil()
+		answer.DisableReuse()
 	}
 	return result
 }
--- a/relay/denied.go
+++ b/relay/denied.go
@@ -11,19 +11,19 @@
 )
 
 // fingerprintParts returns the parts of the request that are equal for all its repeats.
-func (exchange *exchange) fingerprintParts() poison.Parts {
+func (exchange *exchange) fingerprintParts() poison.RequestParts {
 	key := ""
 	if exchange.headers.Key != cherrykeel.NoKey {
 		key = strconv.Itoa(exchange.headers.Key)
 	}
-	return deny.PartsOf(exchange.request, exchange.request.RequestURI, key, exchange.body)
+	return deny.RequestPartsOf(exchange.request, exchange.request.RequestURI, key, exchange.body)
 }
 
 // refuseDenied refuses a request that was running at enough upstreams when they crashed. It is not sent, so it
 // certainly does not run; the caller is told to retry when the denial expires. It returns nil if the request is not
 // denied.
 func (exchange *exchange) refuseDenied() *cherrykeel.Failure {
-	remaining, refused := exchange.denyRequest.Refused()
+	remaining, refused := exchange.denyRequest.Denied()
 	if !refused {
 		return nil
 	}
@@ -36,22 +36,22 @@
 
 // recordEvidence records in the deny list what an attempt showed of the upstream's process and of the request.
 func (exchange *exchange) recordEvidence(slot *flow.Slot, result result, now cherrykeel.Instant) {
-	incarnation := poison.LifeOf(slot.Upstream)
+	incarnation := poison.IncarnationOf(slot.Upstream)
 	switch {
 	case result.unanswered, result.abandoned, result.isServerError():
-		exchange.denyRequest.Broke(poison.Break{
-			Request: exchange.headers.ID, Service: exchange.dispatcher.name, Life: incarnation, Address: slot.Upstream.Address,
-			Begun: slot.StartedAt, At: now,
-			Reset: result.reset, Abandoned: result.abandoned || result.isServerError(),
+		exchange.denyRequest.RecordUnanswered(poison.UnansweredAttempt{
+			RequestID: exchange.headers.ID, Service: exchange.dispatcher.name, Incarnation: incarnation, Address: slot.Upstream.Address,
+			SentAt: slot.StartedAt, EndedAt: now,
+			ConnectionReset: result.reset, Abandoned: result.abandoned || result.isServerError(),
 		})
 	case result.connectionRefused:
-		exchange.relay.DenyList.Unreachable(slot.Upstream.Address)
+		exchange.relay.DenyList.RecordRefusedConnection(slot.Upstream.Address)
 	}
 	if result.fromTarget {
-		exchange.relay.DenyList.Answered(incarnation, slot.StartedAt)
+		exchange.relay.DenyList.RecordAnswer(incarnation, slot.StartedAt)
 	}
 	if result.isServed() {
-		exchange.denyRequest.Served()
+		exchange.denyRequest.RecordSuccess()
 	}
 }
 
--- a/relay/denied_test.go
+++ b/relay/denied_test.go
@@ -41,10 +41,10 @@
 		relay.SetUpstreams([]cherrykeel.Upstream{{ID: "u", Service: "s", Address: "127.0.0.1:1", Slots: 1}})
 	})
 
-	addDenial := func(fingerprint poison.Identity) {
-		record := poison.Record{Identity: fingerprint, Service: "s"}
+	addDenial := func(fingerprint poison.Fingerprint) {
+		record := poison.Record{Fingerprint: fingerprint, Service: "s"}
 		for _, upstream := range []string{"a", "b", "c"} {
-			record.Ends = append(record.Ends, poison.End{Life: poison.Life{Upstream: upstream}, At: time.Now().UnixMilli()})
+			record.Crashes = append(record.Crashes, poison.Crash{Incarnation: poison.Incarnation{Upstream: upstream}, SeenAt: time.Now().UnixMilli()})
 		}
 		denied.Merge(record)
 	}
@@ -68,7 +68,7 @@
 		go send("/other")
 		Eventually(func() int { return relay.OwnCounts().Waiting[""] }).Should(Equal(2))
 		incoming := httptest.NewRequest(http.MethodGet, "http://h/deadly", nil)
-		addDenial(poison.Identify(poison.Parts{Method: http.MethodGet, Domain: "h", Path: incoming.RequestURI, Key: "7", Caller: incoming.RemoteAddr}))
+		addDenial(poison.FingerprintOf(poison.RequestParts{Method: http.MethodGet, Domain: "h", Path: incoming.RequestURI, Key: "7", CallerAddress: incoming.RemoteAddr}))
 		var writer *httptest.ResponseRecorder
 		Eventually(results).Should(Receive(&writer))
 		Expect(writer.Code).To(Equal(http.StatusServiceUnavailable))
@@ -82,8 +82,8 @@
 	// and the refusal must not state that it has not run.
 	It("is answered with an unknown outcome if an attempt may have run", func() {
 		exchange := &exchange{relay: relay, request: httptest.NewRequest(http.MethodGet, "http://h/deadly", nil), mayHaveRun: true, deadline: relay.clock.Now().Add(time.Minute)}
-		exchange.denyRequest = denied.Request(exchange.fingerprintParts())
-		addDenial(exchange.denyRequest.Identity())
+		exchange.denyRequest = denied.NewRequest(exchange.fingerprintParts())
+		addDenial(exchange.denyRequest.Fingerprint())
 		_, failure := exchange.acquireSlot(context.Background())
 		Expect(failure.Outcome).To(Equal(cherrykeel.OutcomeUnknown))
 		Expect(failure.Status).To(Equal(http.StatusBadGateway))
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -95,7 +95,7 @@
 		return cherrykeel.Refuse(http.StatusBadRequest, "body-broke", "%s", err)
 	}
 	exchange.body = body
-	exchange.denyRequest = exchange.relay.DenyList.Request(exchange.fingerprintParts())
+	exchange.denyRequest = exchange.relay.DenyList.NewRequest(exchange.fingerprintParts())
 	if exchange.outlastsHost() {
 		failure := exchange.refuse("stopping", "this host exits before the request's deadline")
 		failure.RetryAfter = otherHostRetryAfter
@@ -172,7 +172,7 @@
 
 // acquireSlot waits for a slot of an upstream, unless the request is denied or becomes denied while it waits.
 func (exchange *exchange) acquireSlot(ctx context.Context) (flow.Decision, *cherrykeel.Failure) {
-	denials := exchange.relay.DenyList.Changed()
+	denials := exchange.relay.DenyList.DenialAdded()
 	if failure := exchange.refuseDenied(); failure != nil {
 		return flow.Decision{}, failure
 	}
@@ -193,7 +193,7 @@
 		case decision := <-decisions:
 			return exchange.checkDecision(decision)
 		case <-denials:
-			denials = exchange.relay.DenyList.Changed()
+			denials = exchange.relay.DenyList.DenialAdded()
 			failure := exchange.refuseDenied()
 			if failure == nil {
 				continue
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -122,12 +122,12 @@
 // SetUpstreams replaces the upstreams that may get requests.
 func (relay *Relay) SetUpstreams(upstreams []cherrykeel.Upstream) {
 	for _, incarnation := range relay.replaceUpstreams(upstreams) {
-		relay.DenyList.Ended(incarnation)
+		relay.DenyList.RecordIncarnationEnded(incarnation)
 	}
 }
 
 // replaceUpstreams applies the upstreams and returns the incarnations that have ended.
-func (relay *Relay) replaceUpstreams(upstreams []cherrykeel.Upstream) []poison.Life {
+func (relay *Relay) replaceUpstreams(upstreams []cherrykeel.Upstream) []poison.Incarnation {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	ended := relay.closeEnded(upstreams)
@@ -138,19 +138,19 @@
 
 // closeEnded closes the connections to upstreams that have been restarted, and returns the incarnations that have
 // ended; Relay.mutex is held.
-func (relay *Relay) closeEnded(next []cherrykeel.Upstream) []poison.Life {
+func (relay *Relay) closeEnded(next []cherrykeel.Upstream) []poison.Incarnation {
 	startedAt := map[string]int64{}
 	for _, upstream := range next {
 		startedAt[upstream.ID] = upstream.StartedAt
 	}
-	var ended []poison.Life
+	var ended []poison.Incarnation
 	for _, upstream := range relay.upstreams {
 		nextStart, listed := startedAt[upstream.ID]
 		if !listed || nextStart > upstream.StartedAt {
-			ended = append(ended, poison.LifeOf(upstream))
+			ended = append(ended, poison.IncarnationOf(upstream))
 		}
 		if nextStart > upstream.StartedAt {
-			relay.pool.Forget(upstream.Address)
+			relay.pool.CloseIdle(upstream.Address)
 		}
 	}
 	return ended
