--- a/score/run.go
+++ b/score/run.go
@@ -33,37 +33,37 @@
 	KeyImbalance  float64
 	LoadImbalance float64
 	// Moved counts partitions that changed owner, Least those that had to.
-	Moved int
-	Least int
+	Moved    int
+	MinMoved int
 	// LongestGap and MeanGap are times without an owner able to serve, by key.
 	LongestGap time.Duration
 	MeanGap    time.Duration
-	// TwoOwners counts moments, a millisecond apart, at which a key had two owners.
-	TwoOwners int
+	// OwnerConflicts counts moments, a millisecond apart, at which a key had two owners.
+	OwnerConflicts int
 }
 
 // Run measures one scenario at one size.
 func Run(size Size, scenario Scenario, seed int64) []Row {
 	options := trial.Options{
 		Seed: seed, Hosts: size.Hosts, Upstreams: size.Upstreams, Zones: size.Zones, Partitions: size.Partitions,
-		Latency: size.Latency, Drift: 0.005, LeaseLength: 900 * time.Millisecond,
+		Latency: size.Latency, MaxClockDrift: 0.005, LeaseLength: 900 * time.Millisecond,
 	}
-	if scenario.Options != nil {
-		scenario.Options(&options)
+	if scenario.AdjustOptions != nil {
+		scenario.AdjustOptions(&options)
 	}
 	load := newLoad(seed)
 	world := trial.New(options)
 	world.Demand = load.demand(size.Partitions)
-	world.Run(calm)
+	world.RunUntil(calm)
 	before := currentPlacement(world)
-	least := scenario.Least(world)
+	least := scenario.MinMoved(world)
 	gone := scenario.gone(world)
-	scenario.Strike(world)
+	scenario.Inject(world)
 	gaps := watch(world)
-	world.Run(calm + settled)
+	world.RunUntil(calm + settled)
 	after := currentPlacement(world)
 
-	ours := Row{Size: size.Name, Scenario: scenario.Name, Version: "ours", Least: least}
+	ours := Row{Size: size.Name, Scenario: scenario.Name, Version: "ours", MinMoved: least}
 	ours.Moved = countMoved(before, after)
 	ours.KeyImbalance, ours.LoadImbalance = load.imbalance(after, live(world, gone))
 	gaps.fill(&ours)
@@ -73,7 +73,7 @@
 // runNaive is hash modulo over a list that shows a change after its lag; a key of a server that is
 // gone has no owner until then. Nothing tells when two hosts see different lists, so it is not counted.
 func runNaive(size Size, scenario Scenario, load load, before, after []string, least int) Row {
-	row := Row{Size: size.Name, Scenario: scenario.Name, Version: "naive", Least: least}
+	row := Row{Size: size.Name, Scenario: scenario.Name, Version: "naive", MinMoved: least}
 	placer := naive.NewModulo()
 	old := placer.Place(cherrykeel.Placement{}, size.Partitions, candidates(before), cherrykeel.Demand{}, 0)
 	next := placer.Place(cherrykeel.Placement{}, size.Partitions, candidates(after), cherrykeel.Demand{}, 0)
@@ -149,7 +149,7 @@
 	}
 	begun := world.Now()
 	for world.Now() < begun+watched {
-		world.Run(world.Now() + time.Millisecond)
+		world.RunUntil(world.Now() + time.Millisecond)
 		var hosts []*trial.Host
 		for _, host := range world.Hosts {
 			if !host.Dead && !host.Leaving {
@@ -157,7 +157,7 @@
 			}
 		}
 		for partition := range count {
-			gaps.server[partition] = world.Server(hosts[partition%len(hosts)], partition, "", gaps.server[partition])
+			gaps.server[partition] = world.ServingUpstream(hosts[partition%len(hosts)], partition, "", gaps.server[partition])
 			gaps.note(partition, gaps.server[partition] >= 0)
 		}
 		if world.Now()%(50*time.Millisecond) == 0 {
@@ -198,5 +198,5 @@
 	if affected > 0 {
 		row.MeanGap = sum / time.Duration(affected)
 	}
-	row.TwoOwners = gaps.double
+	row.OwnerConflicts = gaps.double
 }
--- a/score/scenario.go
+++ b/score/scenario.go
@@ -18,10 +18,10 @@
 // Scenario is one event, or a few, in a world that was calm before.
 type Scenario struct {
 	Name string
-	// Least is how many partitions must change owner because of it.
-	Least   func(world *trial.World) int
-	Strike  func(world *trial.World)
-	Options func(options *trial.Options)
+	// MinMoved is how many partitions must change owner because of it.
+	MinMoved      func(world *trial.World) int
+	Inject        func(world *trial.World)
+	AdjustOptions func(options *trial.Options)
 	// gone names the upstreams that are not there afterwards.
 	gone func(world *trial.World) []string
 }
@@ -42,8 +42,8 @@
 
 func currentPlacement(world *trial.World) cherrykeel.Placement {
 	for _, host := range world.Hosts {
-		if !host.Dead && !host.CutFromLog {
-			return host.State.Blocks[trial.Service].Placement
+		if !host.Dead && !host.LogUnreachable {
+			return host.State.Ownership[trial.Service].Placement
 		}
 	}
 	return cherrykeel.Placement{}
@@ -71,54 +71,54 @@
 // Scenarios lists all in the order in which they are printed.
 var Scenarios = []Scenario{
 	{
-		Name: "join", Strike: func(world *trial.World) { world.AddUpstream("up-new", 0) }, gone: nobody,
-		Least: func(world *trial.World) int { return world.Options.Partitions / (len(world.Upstreams) + 1) },
+		Name: "join", Inject: func(world *trial.World) { world.AddUpstream("up-new", 0) }, gone: nobody,
+		MinMoved: func(world *trial.World) int { return world.Options.Partitions / (len(world.Upstreams) + 1) },
 	},
 	{
-		Name: "planned leave", Strike: func(world *trial.World) { world.Upstreams[0].Draining = true }, gone: first,
-		Least: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "planned leave", Inject: func(world *trial.World) { world.Upstreams[0].Draining = true }, gone: first,
+		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
 	},
 	{
-		Name: "upstream lost", Strike: lose, gone: first,
-		Least: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "upstream lost", Inject: lose, gone: first,
+		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
 	},
 	{
-		Name: "upstream frozen 8s", Strike: func(world *trial.World) { world.Upstreams[0].PausedUntil = world.Now() + 8*time.Second }, gone: nobody,
+		Name: "upstream frozen 8s", Inject: func(world *trial.World) { world.Upstreams[0].SuspendedUntil = world.Now() + 8*time.Second }, gone: nobody,
 		// Its partitions must go elsewhere, and as many come back to it.
-		Least: func(world *trial.World) int { return 2 * owned(world, first(world)...) },
+		MinMoved: func(world *trial.World) int { return 2 * owned(world, first(world)...) },
 	},
 	{
-		Name: "zone lost", Strike: loseZone, gone: zoneOf,
-		Least: func(world *trial.World) int { return owned(world, zoneOf(world)...) },
+		Name: "zone lost", Inject: loseZone, gone: zoneOf,
+		MinMoved: func(world *trial.World) int { return owned(world, zoneOf(world)...) },
 	},
-	{Name: "keeper lost", Strike: loseKeeper, Least: none, gone: nobody},
+	{Name: "keeper lost", Inject: loseKeeper, MinMoved: none, gone: nobody},
 	{
-		Name: "keeper and upstream lost", Strike: func(world *trial.World) { loseKeeper(world); lose(world) }, gone: first,
-		Least: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "keeper and upstream lost", Inject: func(world *trial.World) { loseKeeper(world); lose(world) }, gone: first,
+		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
 	},
-	{Name: "keeper stopped as planned", Strike: func(world *trial.World) { world.Leave(world.KeeperHost()) }, Least: none, gone: nobody},
-	{Name: "all hosts restarted in turn", Strike: restartHosts, Least: none, gone: nobody},
+	{Name: "keeper stopped as planned", Inject: func(world *trial.World) { world.StartShutdown(world.KeeperHost()) }, MinMoved: none, gone: nobody},
+	{Name: "all hosts restarted in turn", Inject: restartHosts, MinMoved: none, gone: nobody},
 	{
-		Name: "log out, upstream lost", Strike: func(world *trial.World) { outage(world, 30*time.Second); lose(world) }, gone: first,
-		Least: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "log out, upstream lost", Inject: func(world *trial.World) { outage(world, 30*time.Second); lose(world) }, gone: first,
+		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
 	},
-	{Name: "log out 60s", Strike: func(world *trial.World) { outage(world, 60*time.Second) }, Least: none, gone: nobody},
+	{Name: "log out 60s", Inject: func(world *trial.World) { outage(world, 60*time.Second) }, MinMoved: none, gone: nobody},
 	{
-		Name: "no fences: planned leave", Options: withoutFences, Strike: func(world *trial.World) { world.Upstreams[0].Draining = true }, gone: first,
-		Least: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "no fences: planned leave", AdjustOptions: withoutFences, Inject: func(world *trial.World) { world.Upstreams[0].Draining = true }, gone: first,
+		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
 	},
 	{
-		Name: "no fences: upstream lost", Options: withoutFences, Strike: lose, gone: first,
-		Least: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "no fences: upstream lost", AdjustOptions: withoutFences, Inject: lose, gone: first,
+		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
 	},
-	{Name: "no fences: keeper lost", Options: withoutFences, Strike: loseKeeper, Least: none, gone: nobody},
+	{Name: "no fences: keeper lost", AdjustOptions: withoutFences, Inject: loseKeeper, MinMoved: none, gone: nobody},
 }
 
 func withoutFences(options *trial.Options) { options.NoFences = true }
 
 func outage(world *trial.World, length time.Duration) {
-	world.LogOut = true
-	world.At(world.Now()+length, func() { world.LogOut = false })
+	world.LogUnavailable = true
+	world.Schedule(world.Now()+length, func() { world.LogUnavailable = false })
 }
 
 // loseZone takes the first availability zone away, entry hosts and upstreams alike.
@@ -139,9 +139,9 @@
 // restartHosts replaces every entry host by a new one, a second and a half apart.
 func restartHosts(world *trial.World) {
 	for i, host := range world.Hosts {
-		world.At(world.Now()+time.Duration(i)*1500*time.Millisecond, func() {
+		world.Schedule(world.Now()+time.Duration(i)*1500*time.Millisecond, func() {
 			world.AddHost("new-"+host.Name, i%world.Options.Zones)
-			world.Leave(host)
+			world.StartShutdown(host)
 		})
 	}
 }
--- a/share/ended_test.go
+++ b/share/ended_test.go
@@ -29,7 +29,7 @@
 		crashed.stop()
 		unreachable := func() []string {
 			var names []string
-			for _, entry := range logged.FilterMessage(events.PeerSilent.Text).All() {
+			for _, entry := range logged.FilterMessage(events.PeerUnreachable.Text).All() {
 				names = append(names, entry.ContextMap()["Host"].(string))
 			}
 			return names
--- a/share/mesh.go
+++ b/share/mesh.go
@@ -164,7 +164,7 @@
 		mesh.hubSince = now
 	}
 	if before.GroupLabel != mesh.plan.GroupLabel || before.Aggregator != mesh.plan.Aggregator {
-		events.Log(mesh.logger, events.GroupChanged,
+		events.Log(mesh.logger, events.AggregatorChanged,
 			zap.String("Group", mesh.plan.GroupLabel), zap.String("Head", mesh.plan.Aggregator), zap.Int("Members", len(mesh.plan.Group)),
 			zap.Strings("Watchers", mesh.plan.Hubs), zap.Bool("Full", mesh.plan.FullMesh))
 	}
@@ -180,7 +180,7 @@
 			continue
 		}
 		mesh.unreachable[name] = true
-		events.Log(mesh.logger, events.PeerSilent, zap.String("Host", name), zap.Duration("Age", age))
+		events.Log(mesh.logger, events.PeerUnreachable, zap.String("Host", name), zap.Duration("Age", age))
 	}
 }
 
--- a/share/take.go
+++ b/share/take.go
@@ -96,7 +96,7 @@
 	mesh.contacts.recordReceived(report.Host, now)
 	if mesh.unreachable[report.Host] || !reported {
 		delete(mesh.unreachable, report.Host)
-		events.Log(mesh.logger, events.PeerHeard, zap.String("Host", report.Host), zap.Int64("Term", report.Term))
+		events.Log(mesh.logger, events.PeerReachable, zap.String("Host", report.Host), zap.Int64("Term", report.Term))
 	}
 	return true
 }
--- a/spans/change_test.go
+++ b/spans/change_test.go
@@ -47,8 +47,8 @@
 	It("holds only the spans that differ", func() {
 		before := spans.Table{Services: map[string][]spans.Owned{"keys": {{First: 0, Last: 9, Owner: "a"}, {First: 10, Last: cherrykeel.MaxKey, Owner: "b"}}}}
 		after := before.Clone()
-		after.Services["keys"][0].Moving = true
-		Expect(after.Diff(before).Services["keys"]).To(Equal([]spans.Owned{{First: 0, Last: 9, Owner: "a", Moving: true}}))
+		after.Services["keys"][0].InTransfer = true
+		Expect(after.Diff(before).Services["keys"]).To(Equal([]spans.Owned{{First: 0, Last: 9, Owner: "a", InTransfer: true}}))
 	})
 
 	It("includes a new service", func() {
--- a/spans/ledger_orders_test.go
+++ b/spans/ledger_orders_test.go
@@ -29,7 +29,7 @@
 func (model *model) grant(keeper *modelKeeper, owned spans.Owned) {
 	grant := modelGrant{modelOrder: modelOrder{owner: owned.Owner, span: owned.Span(), fence: owned.Fence}}
 	isChanging := keeper.writing && owned.Span() == keeper.changed.Span()
-	if owned.Moving || isChanging || keeper.pending[grant.modelOrder] || model.now >= keeper.stopsAt {
+	if owned.InTransfer || isChanging || keeper.pending[grant.modelOrder] || model.now >= keeper.stopsAt {
 		return
 	}
 	if keeper.ledger.FreeAt(service, grant.owner, grant.span) > model.now {
@@ -109,7 +109,7 @@
 func (model *model) release(owned spans.Owned) {
 	keeper := model.keeper
 	order := releaseOf(owned)
-	if !owned.Moving || keeper.pending[order] || keeper.released[order] {
+	if !owned.InTransfer || keeper.pending[order] || keeper.released[order] {
 		return
 	}
 	limit := rapid.SampledFrom([]time.Duration{shortLease, longLease}).Draw(model.t, "releaseLimit") + releaseMargin
--- a/spans/ledger_site_test.go
+++ b/spans/ledger_site_test.go
@@ -61,7 +61,7 @@
 // isWaitingFor reports whether the table still waits for a release.
 func (keeper *modelKeeper) isWaitingFor(release modelOrder) bool {
 	return slices.ContainsFunc(keeper.table.Services[service], func(owned spans.Owned) bool {
-		return owned.Moving && releaseOf(owned) == release
+		return owned.InTransfer && releaseOf(owned) == release
 	})
 }
 
@@ -148,9 +148,9 @@
 	return list[rapid.IntRange(0, len(list)-1).Draw(model.t, "span")], true
 }
 
-func isStable(owned spans.Owned) bool { return !owned.Moving }
+func isStable(owned spans.Owned) bool { return !owned.InTransfer }
 
-func isMoving(owned spans.Owned) bool { return owned.Moving }
+func isMoving(owned spans.Owned) bool { return owned.InTransfer }
 
 // isFree reports whether no upstream can hold a span, by the ledger.
 func (model *model) isFree(owned spans.Owned) bool {
--- a/spans/ledger_steps_test.go
+++ b/spans/ledger_steps_test.go
@@ -71,7 +71,7 @@
 	part := span(first, rapid.IntRange(first, owned.Last).Draw(model.t, "last"))
 	model.keeper.table.Split(service, part)
 	model.nextOffset()
-	owned.First, owned.Last, owned.Moving = part.First, part.Last, true
+	owned.First, owned.Last, owned.InTransfer = part.First, part.Last, true
 	replace(model.keeper.table, owned)
 	model.release(owned)
 }
@@ -101,7 +101,7 @@
 		model.reached[reachedReturn]++
 	}
 	model.log("%d-%d is transferred from %s to %s", owned.First, owned.Last, owned.Owner, target.id)
-	owned.Owner, owned.StartedAt, owned.Moving, owned.Fence = target.id, target.incarnation, false, model.nextOffset()
+	owned.Owner, owned.StartedAt, owned.InTransfer, owned.Fence = target.id, target.incarnation, false, model.nextOffset()
 	model.write(owned)
 }
 
@@ -149,7 +149,7 @@
 		return
 	}
 	left, right := &list[i], &list[i+1]
-	if left.Owner != right.Owner || left.StartedAt != right.StartedAt || left.Moving || right.Moving {
+	if left.Owner != right.Owner || left.StartedAt != right.StartedAt || left.InTransfer || right.InTransfer {
 		return
 	}
 	if left.Fence != right.Fence {
@@ -266,7 +266,7 @@
 	if upstream.dead || upstream.incarnation == owned.StartedAt {
 		return
 	}
-	owned.StartedAt, owned.Moving, owned.Fence = upstream.incarnation, false, fence
+	owned.StartedAt, owned.InTransfer, owned.Fence = upstream.incarnation, false, fence
 	model.reached[reachedNewIncarnation]++
 	model.log("%d-%d belongs to the new incarnation of %s under fence %d", owned.First, owned.Last, owned.Owner, fence)
 }
--- a/spans/lives_test.go
+++ b/spans/lives_test.go
@@ -17,7 +17,7 @@
 		all[0].StartedAt = 200
 		all[1].StartedAt = 50
 		table := spans.Table{Services: map[string][]spans.Owned{service: {
-			{First: 0, Last: 29999, Owner: "u0", Address: "10.0.0.0:80", StartedAt: 100, Fence: 3, Moving: true},
+			{First: 0, Last: 29999, Owner: "u0", Address: "10.0.0.0:80", StartedAt: 100, Fence: 3, InTransfer: true},
 			{First: 30000, Last: cherrykeel.MaxKey, Owner: "u1", Address: "10.0.0.1:80", StartedAt: 50, Fence: 4},
 		}}}
 		next, changed := table.NextSpans(service, spans.Input{
--- a/spans/next.go
+++ b/spans/next.go
@@ -99,13 +99,13 @@
 			owned = builder.grantToNewIncarnation(owned, owner)
 		}
 		switch {
-		case isCandidate && !owned.Moving:
+		case isCandidate && !owned.InTransfer:
 			list = append(list, owned)
 		case builder.input.IsFree(owned.Span()):
 			list = append(list, builder.distribute(owned)...)
 			builder.changed = true
-		case !owned.Moving && !builder.input.IsUnavailable(owned.Owner):
-			owned.Moving = true
+		case !owned.InTransfer && !builder.input.IsUnavailable(owned.Owner):
+			owned.InTransfer = true
 			list = append(list, owned)
 			builder.changed = true
 		default:
@@ -121,7 +121,7 @@
 func (builder *builder) grantToNewIncarnation(owned Owned, owner Candidate) Owned {
 	owned.Address = owner.Address
 	owned.StartedAt = owner.StartedAt
-	owned.Moving = false
+	owned.InTransfer = false
 	owned.Fence = builder.input.Offset
 	builder.changed = true
 	return owned
@@ -205,7 +205,7 @@
 			continue
 		}
 		utilization := (builder.loadByOwner()[candidate.ID] + more) / max(candidate.Capacity, math.SmallestNonzeroFloat64)
-		if candidate.ID == owned.Owner && owned.Moving && len(builder.candidates) > 1 {
+		if candidate.ID == owned.Owner && owned.InTransfer && len(builder.candidates) > 1 {
 			// A span that was released for balance should not return to its owner at once.
 			utilization *= 1 + maxImbalance
 		}
@@ -230,7 +230,7 @@
 func (builder *builder) markMoves() {
 	inTransfer := 0
 	for _, owned := range builder.list {
-		if owned.Moving {
+		if owned.InTransfer {
 			inTransfer++
 		}
 	}
@@ -244,7 +244,7 @@
 		for i := range builder.list {
 			owned := &builder.list[i]
 			if owned.Span() == move.Span && owned.Owner == move.From && builder.input.IsSettled(*owned) {
-				owned.Moving = true
+				owned.InTransfer = true
 				builder.changed = true
 			}
 		}
@@ -273,7 +273,7 @@
 }
 
 func (builder *builder) canMerge(left, right Owned) bool {
-	if left.Owner != right.Owner || left.Moving || right.Moving {
+	if left.Owner != right.Owner || left.InTransfer || right.InTransfer {
 		return false
 	}
 	return left.Fence == right.Fence || builder.input.IsSettled(left) && builder.input.IsSettled(right)
--- a/spans/pieces.go
+++ b/spans/pieces.go
@@ -48,7 +48,7 @@
 	best := Move{From: from, To: to}
 	bestScore := 0.0
 	for i, owned := range planner.list {
-		if owned.Owner != from || owned.Moving {
+		if owned.Owner != from || owned.InTransfer {
 			continue
 		}
 		for _, span := range planner.movableSpans(i, wanted, to) {
--- a/spans/plan.go
+++ b/spans/plan.go
@@ -137,7 +137,7 @@
 	for _, owned := range list {
 		load := demand.Load(owned.Span())
 		planner.totalLoad += load
-		if !owned.Moving {
+		if !owned.InTransfer {
 			planner.loads[owned.Owner] += load
 			planner.spanCount[owned.Owner]++
 		}
@@ -165,7 +165,7 @@
 // utilization. Counted with the old owner, the same load would be moved away twice.
 func (planner *planner) assignMovingLoad() {
 	for _, owned := range planner.list {
-		if !owned.Moving || len(planner.order) == 0 {
+		if !owned.InTransfer || len(planner.order) == 0 {
 			continue
 		}
 		load := planner.demand.Load(owned.Span())
--- a/spans/plan_test.go
+++ b/spans/plan_test.go
@@ -66,7 +66,7 @@
 func isInTransfer(list []spans.Owned, span cherrykeel.KeySpan) bool {
 	for _, owned := range list {
 		if owned.Span() == span {
-			return owned.Moving
+			return owned.InTransfer
 		}
 	}
 	return false
@@ -159,7 +159,7 @@
 			})
 			for _, owned := range list {
 				_, known := since[owned.Span()]
-				if owned.Moving && !known {
+				if owned.InTransfer && !known {
 					since[owned.Span()] = rounds
 				}
 			}
@@ -259,7 +259,7 @@
 		}
 		marked, changed := table.NextSpans(service, input)
 		Expect(changed).To(BeTrue())
-		Expect(marked[1].Moving).To(BeTrue())
+		Expect(marked[1].InTransfer).To(BeTrue())
 		Expect(marked[1].Owner).To(Equal("u1"))
 		table.Services[service] = marked
 		_, changed = table.NextSpans(service, input)
@@ -289,15 +289,15 @@
 
 	It("keeps owners and raises all fences when a keeper claims", func() {
 		table := spans.Table{Version: 4, Term: 1, Services: map[string][]spans.Owned{service: {
-			{First: 0, Last: 9, Owner: "a", Fence: 3, Moving: true}, {First: 10, Last: cherrykeel.MaxKey, Owner: "b", Fence: 4},
+			{First: 0, Last: 9, Owner: "a", Fence: 3, InTransfer: true}, {First: 10, Last: cherrykeel.MaxKey, Owner: "b", Fence: 4},
 		}}}
 		claimed := table.ClaimedBy("host-2", "life", 5)
 		for _, owned := range claimed.Services[service] {
 			Expect(owned.Fence).To(Equal(int64(5)))
-			Expect(owned.Moving).To(BeFalse())
+			Expect(owned.InTransfer).To(BeFalse())
 		}
 		Expect(claimed.Services[service][0].Owner).To(Equal("a"))
-		Expect(table.Services[service][0].Moving).To(BeTrue())
+		Expect(table.Services[service][0].InTransfer).To(BeTrue())
 		value, err := claimed.Encode()
 		Expect(err).NotTo(HaveOccurred())
 		decoded, err := spans.Decode(value, 5)
--- a/spans/spread_test.go
+++ b/spans/spread_test.go
@@ -51,10 +51,10 @@
 		})
 		list = next
 		for _, owned := range list {
-			if _, known := transferSince[owned.Span()]; owned.Moving && !known {
+			if _, known := transferSince[owned.Span()]; owned.InTransfer && !known {
 				transferSince[owned.Span()] = round
 			}
-			if !owned.Moving {
+			if !owned.InTransfer {
 				delete(transferSince, owned.Span())
 			}
 			if owned.Fence == int64(round) {
--- a/spans/table.go
+++ b/spans/table.go
@@ -22,8 +22,8 @@
 	// Fence is the offset of the record that granted the span to its owner, or that raised the fence later: a
 	// keeper's claim or a merge with a neighbour.
 	Fence int64
-	// Moving spans get no new requests: their owner is asked to release them.
-	Moving bool `json:",omitempty"`
+	// InTransfer spans get no new requests: their owner is asked to release them.
+	InTransfer bool `json:",omitempty"`
 }
 
 // Span returns the keys of the span.
@@ -117,7 +117,7 @@
 	for _, list := range claimed.Services {
 		for i := range list {
 			list[i].Fence = offset
-			list[i].Moving = false
+			list[i].InTransfer = false
 		}
 	}
 	return claimed
@@ -169,5 +169,5 @@
 }
 
 func (owned Owned) canMerge(next Owned) bool {
-	return owned.Owner == next.Owner && owned.Fence == next.Fence && !owned.Moving && !next.Moving
+	return owned.Owner == next.Owner && owned.Fence == next.Fence && !owned.InTransfer && !next.InTransfer
 }
--- a/tree/fields.go
+++ b/tree/fields.go
@@ -23,7 +23,7 @@
 const (
 	KindBool     Kind = "boolean"
 	KindInt      Kind = "integer"
-	KindShare    Kind = "number"
+	KindNumber   Kind = "number"
 	KindText     Kind = "text"
 	KindTexts    Kind = "list of texts"
 	KindDuration Kind = "duration"
@@ -65,7 +65,7 @@
 	{Name: "Priority", Kind: KindInt, Default: 5, Min: 1, Max: 9, Levels: everyLevel, Doc: "Who goes first when an upstream's slots are scarce; 1 is first."},
 	{Name: "Idempotent", Kind: KindText, Default: "method", Choices: []string{"method", "always", "never"}, Levels: everyLevel, Doc: "Which requests may run twice: as the HTTP method says, all, or none."},
 	{Name: "RepeatGuard", Kind: KindText, Default: "none", Choices: []string{"none", "log"}, Levels: everyLevel, Doc: "What stops a repeated Idempotency-Key: nothing of ours, or an intent written to the log before the request is sent."},
-	{Name: "RetryShare", Kind: KindShare, Default: 0.1, Min: 0.0, Max: 1.0, Levels: everyLevel, Doc: "Retries allowed, as a share of recent requests of the service."},
+	{Name: "RetryShare", Kind: KindNumber, Default: 0.1, Min: 0.0, Max: 1.0, Levels: everyLevel, Doc: "Retries allowed, as a share of recent requests of the service."},
 	{Name: "QueueLength", Kind: KindInt, Unit: "requests", Default: 64, Min: 0, Max: 100000, Levels: everyLevel, Doc: "Requests that may wait in one entry host for one upstream."},
 	{Name: "MaxBodyBytes", Kind: KindInt, Unit: "bytes", Default: 1 << 20, Min: 0, Max: 1 << 28, Levels: everyLevel, Doc: "Largest request body; a larger one is refused with 413."},
 	{Name: "ChecksFences", Kind: KindBool, Default: true, Levels: everyLevel, Doc: "Whether the upstreams refuse work and grants that are not theirs; if not, moves are slower (docs/design/ownership.md)."},
--- a/tree/node.go
+++ b/tree/node.go
@@ -39,13 +39,13 @@
 	return path[:index]
 }
 
-// Same reports whether two sets of fields hold the same values.
-func Same(one, other map[string]any) bool {
-	return bytes.Equal(Canonical(one), Canonical(other))
+// EqualFields reports whether two sets of fields hold the same values.
+func EqualFields(one, other map[string]any) bool {
+	return bytes.Equal(CanonicalJSON(one), CanonicalJSON(other))
 }
 
-// Canonical returns fields as JSON with sorted names, the same on every host.
-func Canonical(fields map[string]any) []byte {
+// CanonicalJSON returns fields as JSON with sorted names, the same on every host.
+func CanonicalJSON(fields map[string]any) []byte {
 	data, err := json.Marshal(fields)
 	if err != nil {
 		// Parse and JSON give only values that can be written back.
@@ -68,7 +68,7 @@
 	var edits []Edit
 	for _, path := range sortedNames(wanted) {
 		old, exists := inForce[path]
-		if exists && Same(old.Fields, wanted[path].Fields) {
+		if exists && EqualFields(old.Fields, wanted[path].Fields) {
 			continue
 		}
 		edits = append(edits, Edit{Path: path, Base: old.Version, Fields: wanted[path].Fields})
--- a/tree/value.go
+++ b/tree/value.go
@@ -24,7 +24,7 @@
 		}
 	case KindInt:
 		return field.checkInt(value)
-	case KindShare:
+	case KindNumber:
 		return field.checkShare(value)
 	case KindDuration:
 		return field.checkDuration(value)
--- a/trial/adversary.go
+++ b/trial/adversary.go
@@ -14,28 +14,28 @@
 type Adversary struct {
 	world   *World
 	blocked map[[2]string]time.Duration
-	// Lost and Late are the shares of messages that are lost, or take up to MaxDelay longer.
-	Lost     float64
-	Late     float64
-	MaxDelay time.Duration
-	// Pause is the mean time between two faults, MaxFault the longest that one lasts.
-	Pause    time.Duration
-	MaxFault time.Duration
-	hosts    int
-	faults   []func()
-	stopped  bool
+	// LossRate and Late are the shares of messages that are lost, or take up to MaxDelay longer.
+	LossRate  float64
+	DelayRate float64
+	MaxDelay  time.Duration
+	// MeanFaultInterval is the mean time between two faults, MaxFault the longest that one lasts.
+	MeanFaultInterval time.Duration
+	MaxFaultDuration  time.Duration
+	hosts             int
+	faults            []func()
+	stopped           bool
 }
 
 // NewAdversary returns an adversary that has taken over the world's network.
 func NewAdversary(world *World) *Adversary {
 	adversary := &Adversary{
-		world:    world,
-		blocked:  map[[2]string]time.Duration{},
-		Lost:     0.02,
-		Late:     0.02,
-		MaxDelay: 30 * time.Second,
-		Pause:    400 * time.Millisecond,
-		MaxFault: 6 * time.Second,
+		world:             world,
+		blocked:           map[[2]string]time.Duration{},
+		LossRate:          0.02,
+		DelayRate:         0.02,
+		MaxDelay:          30 * time.Second,
+		MeanFaultInterval: 400 * time.Millisecond,
+		MaxFaultDuration:  6 * time.Second,
 	}
 	adversary.faults = []func(){
 		adversary.pauseHost, adversary.pauseKeeper, adversary.pauseUpstream,
@@ -47,26 +47,26 @@
 	return adversary
 }
 
-// Hasty makes the adversary drain and bring back upstreams in quick succession, over a network
+// OnlyDrain makes the adversary drain and bring back upstreams in quick succession, over a network
 // on which many messages take up to a lease's length, and do nothing else.
-func (adversary *Adversary) Hasty() {
-	adversary.Lost = 0.1
-	adversary.Late = 0.3
+func (adversary *Adversary) OnlyDrain() {
+	adversary.LossRate = 0.1
+	adversary.DelayRate = 0.3
 	adversary.MaxDelay = adversary.world.Options.LeaseLength
-	adversary.Pause = 100 * time.Millisecond
-	adversary.MaxFault = 600 * time.Millisecond
+	adversary.MeanFaultInterval = 100 * time.Millisecond
+	adversary.MaxFaultDuration = 600 * time.Millisecond
 	adversary.faults = []func(){adversary.drain}
 }
 
-// Stranding makes the adversary do nothing but leave keepers alone with one upstream.
-func (adversary *Adversary) Stranding() {
-	adversary.Pause = 3 * time.Second
+// OnlyIsolateKeepers makes the adversary do nothing but leave keepers alone with one upstream.
+func (adversary *Adversary) OnlyIsolateKeepers() {
+	adversary.MeanFaultInterval = 3 * time.Second
 	adversary.faults = []func(){adversary.strand}
 }
 
-// Busy makes hosts send requests, over a network that loses some of their messages besides, and where upstreams
+// AddTraffic makes hosts send requests, over a network that loses some of their messages besides, and where upstreams
 // check no fences, operators change the time that a request may take.
-func (adversary *Adversary) Busy(partitionOf func(key string) int) {
+func (adversary *Adversary) AddTraffic(partitionOf func(key string) int) {
 	blocked := func(from, to string) bool { return adversary.world.Now() < adversary.blocked[[2]string{from, to}] }
 	traffic := NewTraffic(adversary.world, partitionOf, blocked)
 	traffic.Start()
@@ -76,7 +76,7 @@
 }
 
 func (adversary *Adversary) changeTimeouts(traffic *Traffic) {
-	adversary.world.At(adversary.world.Now()+traffic.within(2*adversary.MaxFault), func() {
+	adversary.world.Schedule(adversary.world.Now()+traffic.within(2*adversary.MaxFaultDuration), func() {
 		timeout := minTimeout + traffic.within(maxTimeout-minTimeout)
 		adversary.world.SetTimeout(timeout, func(*Host) time.Duration { return traffic.within(time.Second) })
 		adversary.changeTimeouts(traffic)
@@ -85,15 +85,15 @@
 
 // Start begins to cause faults after a calm time.
 func (adversary *Adversary) Start(calm time.Duration) {
-	adversary.world.At(calm, adversary.strike)
+	adversary.world.Schedule(calm, adversary.strike)
 }
 
 func (adversary *Adversary) network(from, to string) (time.Duration, bool) {
 	random := adversary.world.Random
-	if adversary.world.Now() < adversary.blocked[[2]string{from, to}] || random.Float64() < adversary.Lost {
+	if adversary.world.Now() < adversary.blocked[[2]string{from, to}] || random.Float64() < adversary.LossRate {
 		return 0, true
 	}
-	if random.Float64() < adversary.Late {
+	if random.Float64() < adversary.DelayRate {
 		// Half of the late messages come within about a lease, where they can do most harm.
 		most := adversary.MaxDelay
 		if random.Intn(2) == 0 {
@@ -107,8 +107,8 @@
 // Stop ends all faults that the adversary would still cause; those that last end by themselves.
 func (adversary *Adversary) Stop() {
 	adversary.stopped = true
-	adversary.Lost = 0
-	adversary.Late = 0
+	adversary.LossRate = 0
+	adversary.DelayRate = 0
 }
 
 func (adversary *Adversary) strike() {
@@ -116,8 +116,8 @@
 		return
 	}
 	adversary.faults[adversary.world.Random.Intn(len(adversary.faults))]()
-	pause := adversary.duration(2 * adversary.Pause)
-	adversary.world.At(adversary.world.Now()+pause, adversary.strike)
+	pause := adversary.duration(2 * adversary.MeanFaultInterval)
+	adversary.world.Schedule(adversary.world.Now()+pause, adversary.strike)
 }
 
 func (adversary *Adversary) duration(most time.Duration) time.Duration {
@@ -125,7 +125,7 @@
 }
 
 func (adversary *Adversary) later(call func()) {
-	adversary.world.At(adversary.world.Now()+adversary.duration(adversary.MaxFault), call)
+	adversary.world.Schedule(adversary.world.Now()+adversary.duration(adversary.MaxFaultDuration), call)
 }
 
 func (adversary *Adversary) anyHost() *Host {
@@ -139,7 +139,7 @@
 }
 
 func (adversary *Adversary) pause(process *Process) {
-	process.PausedUntil = adversary.world.Now() + adversary.duration(adversary.MaxFault)
+	process.SuspendedUntil = adversary.world.Now() + adversary.duration(adversary.MaxFaultDuration)
 }
 
 func (adversary *Adversary) pauseHost() { adversary.pause(&adversary.anyHost().Process) }
@@ -159,7 +159,7 @@
 }
 
 func (adversary *Adversary) block(one, other string) {
-	until := adversary.world.Now() + adversary.duration(adversary.MaxFault)
+	until := adversary.world.Now() + adversary.duration(adversary.MaxFaultDuration)
 	adversary.blocked[[2]string{one, other}] = until
 	if adversary.world.Random.Intn(2) == 0 {
 		adversary.blocked[[2]string{other, one}] = until
@@ -186,8 +186,8 @@
 	}
 	now := adversary.world.Now()
 	upstream := adversary.anyUpstream()
-	keeper.CutFromLog = true
-	adversary.world.At(now+adversary.MaxFault, func() { keeper.CutFromLog = false })
+	keeper.LogUnreachable = true
+	adversary.world.Schedule(now+adversary.MaxFaultDuration, func() { keeper.LogUnreachable = false })
 	apart := now + adversary.duration(3*time.Second)
 	for _, host := range adversary.world.Hosts {
 		if host == keeper {
@@ -195,19 +195,19 @@
 		}
 		adversary.blocked[[2]string{host.Name, keeper.Name}] = apart
 		adversary.blocked[[2]string{keeper.Name, host.Name}] = apart
-		adversary.blocked[[2]string{host.Name, upstream.Name}] = now + adversary.MaxFault
+		adversary.blocked[[2]string{host.Name, upstream.Name}] = now + adversary.MaxFaultDuration
 	}
 }
 
 func (adversary *Adversary) stopLog() {
-	adversary.world.LogOut = true
-	adversary.later(func() { adversary.world.LogOut = false })
+	adversary.world.LogUnavailable = true
+	adversary.later(func() { adversary.world.LogUnavailable = false })
 }
 
 func (adversary *Adversary) cutFromLog() {
 	host := adversary.anyHost()
-	host.CutFromLog = true
-	adversary.later(func() { host.CutFromLog = false })
+	host.LogUnreachable = true
+	adversary.later(func() { host.LogUnreachable = false })
 }
 
 func (adversary *Adversary) replaceHost() {
@@ -230,7 +230,7 @@
 		return
 	}
 	adversary.world.Kill(&upstream.Process)
-	adversary.later(func() { adversary.world.Restart(upstream) })
+	adversary.later(func() { adversary.world.RestartUpstream(upstream) })
 }
 
 func (adversary *Adversary) leave() {
@@ -238,7 +238,7 @@
 	if host.Dead || host.Leaving {
 		return
 	}
-	adversary.world.Leave(host)
+	adversary.world.StartShutdown(host)
 	adversary.addHost()
 }
 
--- a/trial/host.go
+++ b/trial/host.go
@@ -32,16 +32,16 @@
 	}
 }
 
-// Restart brings an upstream back as a new process that owns nothing.
-func (world *World) Restart(upstream *Upstream) {
+// RestartUpstream brings an upstream back as a new process that owns nothing.
+func (world *World) RestartUpstream(upstream *Upstream) {
 	upstream.Dead = false
 	// The new process's clock starts over.
 	upstream.offset = time.Second - time.Duration(float64(world.now)*upstream.rate)
 	upstream.Ownership = fakes.NewOwnership(upstream.Name+" "+strconv.Itoa(world.Steps), Service)
 }
 
-// Leave begins a host's planned stop; it dies once it keeps nothing.
-func (world *World) Leave(host *Host) {
+// StartShutdown begins a host's planned stop; it dies once it keeps nothing.
+func (world *World) StartShutdown(host *Host) {
 	host.Leaving = true
 	host.leftAt = world.now
 	world.awaitHandover(host)
@@ -113,7 +113,7 @@
 
 func (world *World) readTimeout(host *Host, timeout, after time.Duration) {
 	world.at(&host.Process, after, func() {
-		if host.CutFromLog || world.LogOut {
+		if host.LogUnreachable || world.LogUnavailable {
 			world.readTimeout(host, timeout, listLag)
 			return
 		}
@@ -124,7 +124,7 @@
 func (world *World) input(host *Host) keeper.Input {
 	input := keeper.Input{
 		Now:          world.local(&host.Process),
-		Block:        host.State.Blocks[Service],
+		Block:        host.State.Ownership[Service],
 		Service:      world.settings(host),
 		RemovedHosts: map[string]bool{},
 		Leaving:      host.Leaving,
@@ -196,7 +196,7 @@
 		if order.Query {
 			return host.View.Holding(world.local(&host.Process))
 		}
-		return host.View.Grant(order.Grant, world.local(&host.Process))
+		return host.View.ApplyGrant(order.Grant, world.local(&host.Process))
 	}
 }
 
@@ -207,10 +207,10 @@
 		return upstream.Ownership.Holding(now)
 	}
 	grant := order.Grant
-	switch world.Options.Break {
-	case BreakDeadline:
+	switch world.Options.Disabled {
+	case DisableDeadline:
 		grant.Until = now + world.Options.LeaseLength
-	case BreakFences:
+	case DisableFences:
 		held := upstream.Ownership.Holding(now)
 		if grant.Fence.Less(held.Fence) {
 			grant.Fence = held.Fence
@@ -227,7 +227,7 @@
 	}
 	answer := func() bool {
 		confirmed := witness.Witness.Confirm(Service, term, world.local(&witness.Process))
-		return confirmed || world.Options.Break == BreakWitnesses
+		return confirmed || world.Options.Disabled == DisableWitnesses
 	}
 	if witness == host {
 		if answer() {
@@ -280,11 +280,11 @@
 // append reaches the log after a while, unless the log is out by then.
 func (world *World) append(host *Host, record fold.Record) {
 	delay, lost := world.Network(host.Name, "log")
-	if lost || host.CutFromLog {
+	if lost || host.LogUnreachable {
 		return
 	}
-	world.At(world.now+world.Options.Latency+delay, func() {
-		if world.LogOut {
+	world.Schedule(world.now+world.Options.Latency+delay, func() {
+		if world.LogUnavailable {
 			return
 		}
 		data, err := fold.Encode(record)
@@ -301,7 +301,7 @@
 	begun := world.local(&host.Process)
 	known := len(world.records)
 	world.at(&host.Process, world.Options.Latency+delay, func() {
-		if !lost && !world.LogOut && !host.CutFromLog {
+		if !lost && !world.LogUnavailable && !host.LogUnreachable {
 			world.foldUpTo(host, known)
 			host.Witness.RecordCaughtUp(begun)
 		}
@@ -316,5 +316,5 @@
 			panic(err)
 		}
 	}
-	host.Witness.RecordTerm(Service, host.State.Blocks[Service].Term)
+	host.Witness.RecordTerm(Service, host.State.Ownership[Service].Term)
 }
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -24,7 +24,7 @@
 func options(seed int64) trial.Options {
 	return trial.Options{
 		Seed: seed, Hosts: 5, Upstreams: 4, Zones: 3, Partitions: partitions,
-		Latency: time.Millisecond, Drift: 0.01, LeaseLength: 900 * time.Millisecond,
+		Latency: time.Millisecond, MaxClockDrift: 0.01, LeaseLength: 900 * time.Millisecond,
 	}
 }
 
@@ -32,8 +32,8 @@
 func watch(world *trial.World) *string {
 	found := ""
 	keys := map[string]int{}
-	for key := range trial.KeyCount {
-		name := trial.KeyName(key)
+	for key := range trial.HotKeyCount {
+		name := trial.HotKeyName(key)
 		keys[name] = partitionOf(name)
 	}
 	world.Check = func(world *trial.World) {
@@ -54,9 +54,9 @@
 	return &found
 }
 
-func adversarial(seed int64, broken trial.Break, length time.Duration) (steps int, found string) {
+func adversarial(seed int64, broken trial.Safeguard, length time.Duration) (steps int, found string) {
 	world, _, violation := begin(seed, broken)
-	world.Run(length)
+	world.RunUntil(length)
 	return world.Steps, *violation
 }
 
@@ -68,34 +68,34 @@
 	violation := watch(world)
 	adversary := trial.NewAdversary(world)
 	adversary.Start(time.Second)
-	adversary.Busy(partitionOf)
-	world.Run(length)
+	adversary.AddTraffic(partitionOf)
+	world.RunUntil(length)
 	return world.Steps, *violation
 }
 
 // busy is an adversarial world in which requests run.
 func busy(seed int64, length time.Duration) (steps int, found string) {
-	world, adversary, violation := begin(seed, trial.BreakNothing)
-	adversary.Busy(partitionOf)
-	world.Run(length)
+	world, adversary, violation := begin(seed, trial.DisableNothing)
+	adversary.AddTraffic(partitionOf)
+	world.RunUntil(length)
 	return world.Steps, *violation
 }
 
 func partitionOf(key string) int { return route.Partition(key, partitions) }
 
-func begin(seed int64, broken trial.Break) (*trial.World, *trial.Adversary, *string) {
+func begin(seed int64, broken trial.Safeguard) (*trial.World, *trial.Adversary, *string) {
 	chosen := options(seed)
-	chosen.Break = broken
+	chosen.Disabled = broken
 	world := trial.New(chosen)
 	violation := watch(world)
 	adversary := trial.NewAdversary(world)
 	switch seed % 4 {
 	case 0:
 		// Hasty operators and a slow network, so that grants overtake one another.
-		adversary.Hasty()
+		adversary.OnlyDrain()
 	case 1:
 		// Keepers that are cut off together with an upstream.
-		adversary.Stranding()
+		adversary.OnlyIsolateKeepers()
 	}
 	adversary.Start(time.Second)
 	return world, adversary, violation
@@ -141,17 +141,17 @@
 		_, found := busy(512, 40*time.Second)
 		Expect(found).To(BeEmpty())
 		for _, seed := range []int64{22304} {
-			_, found := adversarial(seed, trial.BreakNothing, 40*time.Second)
+			_, found := adversarial(seed, trial.DisableNothing, 40*time.Second)
 			Expect(found).To(BeEmpty())
 		}
 	})
 
 	It("comes back for every key when the faults have ended", func() {
 		for seed := int64(1); seed <= 20; seed++ {
-			world, adversary, violation := begin(seed, trial.BreakNothing)
-			world.Run(20 * time.Second)
+			world, adversary, violation := begin(seed, trial.DisableNothing)
+			world.RunUntil(20 * time.Second)
 			adversary.Stop()
-			world.Run(60 * time.Second)
+			world.RunUntil(60 * time.Second)
 			Expect(*violation).To(BeEmpty())
 			for partition := range partitions {
 				Expect(world.Owners(partition, trial.OtherKey)).To(HaveLen(1), "seed %d partition %d", seed, partition)
@@ -160,7 +160,7 @@
 	})
 
 	// The check itself must be able to fail: without a safeguard, the same adversary finds two owners.
-	DescribeTable("is lost without a safeguard", func(broken trial.Break) {
+	DescribeTable("is lost without a safeguard", func(broken trial.Safeguard) {
 		for seed := int64(1); seed <= 200; seed++ {
 			_, found := adversarial(seed, broken, 30*time.Second)
 			if found != "" {
@@ -170,9 +170,9 @@
 		}
 		Fail("no second owner was found")
 	},
-		Entry("leases counted from a grant's arrival", trial.BreakDeadline),
-		Entry("fences that are not compared", trial.BreakFences),
-		Entry("witnesses that confirm any term", trial.BreakWitnesses),
+		Entry("leases counted from a grant's arrival", trial.DisableDeadline),
+		Entry("fences that are not compared", trial.DisableFences),
+		Entry("witnesses that confirm any term", trial.DisableWitnesses),
 	)
 })
 
@@ -194,9 +194,9 @@
 		world := trial.New(chosen)
 		violation := watch(world)
 		traffic := trial.NewTraffic(world, partitionOf, func(string, string) bool { return false })
-		traffic.Lost = 0
+		traffic.LossRate = 0
 		world.SetTimeout(first, func(*trial.Host) time.Duration { return 0 })
-		world.Run(read)
+		world.RunUntil(read)
 		keeper := world.KeeperHost()
 		sender := world.Hosts[0]
 		if sender == keeper {
@@ -205,7 +205,7 @@
 		strike := func() {
 			upstream := traffic.Send(sender, 0, trial.OtherKey, longest, longest)
 			Expect(upstream).NotTo(BeNil())
-			world.At(world.Now()+trial.MaxTransit, func() {
+			world.Schedule(world.Now()+trial.MaxTransitTime, func() {
 				world.Kill(&sender.Process)
 				upstream.Draining = true
 				if keeperDies {
@@ -217,8 +217,8 @@
 		if !keeperDies {
 			world.SetTimeout(second, func(*trial.Host) time.Duration { return 0 })
 		}
-		world.At(sent, strike)
-		world.Run(sent + enough)
+		world.Schedule(sent, strike)
+		world.RunUntil(sent + enough)
 		Expect(*violation).To(BeEmpty())
 		Expect(world.Owners(0, trial.OtherKey)).To(HaveLen(1))
 	},
@@ -230,7 +230,7 @@
 var _ = Describe("a calm world", func() {
 	It("gives every partition one owner", func() {
 		world := trial.New(options(1))
-		world.Run(3 * time.Second)
+		world.RunUntil(3 * time.Second)
 		for partition := range partitions {
 			Expect(world.Owners(partition, "")).To(HaveLen(1))
 		}
--- a/trial/work.go
+++ b/trial/work.go
@@ -11,22 +11,22 @@
 	"cherrykeel/lease"
 )
 
-// KeyCount is how many keys may be hot; their names are those of KeyName.
-const KeyCount = 4
+// HotKeyCount is how many keys may be hot; their names are those of KeyName.
+const HotKeyCount = 4
 
 // OtherKey stands for the keys of a partition that are never hot.
 const OtherKey = "other"
 
-// KeyName returns the name of a key that may be hot.
-func KeyName(key int) string {
+// HotKeyName returns the name of a key that may be hot.
+func HotKeyName(key int) string {
 	return "key-" + strconv.Itoa(key)
 }
 
 const (
 	// workPause is the mean time between two requests of a busy world.
 	workPause = 60 * time.Millisecond
-	// MaxTransit is the longest that a request of a busy world is on its way.
-	MaxTransit = 200 * time.Millisecond
+	// MaxTransitTime is the longest that a request of a busy world is on its way.
+	MaxTransitTime = 200 * time.Millisecond
 	// leaveShare is the share of callers that go away before they are answered.
 	leaveShare = 0.3
 	// lostShare is the share of requests, answers and ends of connections that are lost.
@@ -52,8 +52,8 @@
 	random      *rand.Rand
 	partitionOf func(key string) int
 	blocked     func(from, to string) bool
-	// Lost is the share of requests, answers and ends of connections that are lost.
-	Lost float64
+	// LossRate is the share of requests, answers and ends of connections that are lost.
+	LossRate float64
 }
 
 // NewTraffic returns the traffic of a world; blocked reports whether messages between two processes are lost now.
@@ -63,13 +63,13 @@
 		random:      rand.New(rand.NewSource(world.Options.Seed)),
 		partitionOf: partitionOf,
 		blocked:     blocked,
-		Lost:        lostShare,
+		LossRate:    lostShare,
 	}
 }
 
 // Start begins to send, and goes on for as long as the world runs.
 func (traffic *Traffic) Start() {
-	traffic.world.At(traffic.world.Now()+traffic.within(2*workPause), func() {
+	traffic.world.Schedule(traffic.world.Now()+traffic.within(2*workPause), func() {
 		traffic.request()
 		traffic.Start()
 	})
@@ -84,11 +84,11 @@
 	key := OtherKey
 	partition := traffic.random.Intn(traffic.world.Options.Partitions)
 	if traffic.random.Intn(2) == 0 {
-		key = KeyName(traffic.random.Intn(KeyCount))
+		key = HotKeyName(traffic.random.Intn(HotKeyCount))
 		partition = traffic.partitionOf(key)
 	}
 	host := traffic.world.Hosts[traffic.random.Intn(len(traffic.world.Hosts))]
-	if host.Dead || traffic.world.Now() < host.PausedUntil {
+	if host.Dead || traffic.world.Now() < host.SuspendedUntil {
 		return
 	}
 	waits := host.timeout
@@ -120,7 +120,7 @@
 		return host.timeout
 	}
 	now := traffic.world.local(&host.Process)
-	return host.View.Limit(now.Add(host.timeout), now).Sub(now)
+	return host.View.LimitDeadline(now.Add(host.timeout), now).Sub(now)
 }
 
 // request is one that a host passes on to an upstream.
@@ -154,7 +154,7 @@
 	if !world.Options.NoFences {
 		return world.Upstreams[request.traffic.random.Intn(len(world.Upstreams))]
 	}
-	name, allowed := request.host.View.Enter(request.work.partition, request.work.key, request.begun)
+	name, allowed := request.host.View.StartRequest(request.work.partition, request.work.key, request.begun)
 	if !allowed {
 		return nil
 	}
@@ -164,8 +164,8 @@
 // carry takes a message to a process, unless it is lost.
 func (request *request) carry(from, to string, process *Process, arrive func()) {
 	traffic := request.traffic
-	transit := traffic.within(MaxTransit)
-	if traffic.random.Float64() >= traffic.Lost && !traffic.blocked(from, to) {
+	transit := traffic.within(MaxTransitTime)
+	if traffic.random.Float64() >= traffic.LossRate && !traffic.blocked(from, to) {
 		traffic.world.at(process, transit, arrive)
 	}
 }
@@ -175,7 +175,7 @@
 // it to drop that, since it alone can tell.
 func (request *request) arrive() {
 	world, work := request.traffic.world, request.work
-	late := world.now > request.sentAt+MaxTransit
+	late := world.now > request.sentAt+MaxTransitTime
 	if request.left || late && world.Options.NoFences {
 		return
 	}
@@ -211,7 +211,7 @@
 		return
 	}
 	request.left = true
-	request.host.View.Leave(request.work.upstream.Name, request.work.partition, request.work.key)
+	request.host.View.FinishRequest(request.work.upstream.Name, request.work.partition, request.work.key)
 }
 
 // abandon is the end of the host's wait: it closes the connection, which the upstream may hear of late or never.
@@ -222,7 +222,7 @@
 	request.left = true
 	work := request.work
 	until := request.begun.Add(lease.MaxProcessingTime(request.timeout))
-	request.host.View.Abandon(work.upstream.Name, work.partition, work.key, until)
+	request.host.View.AbandonRequest(work.upstream.Name, work.partition, work.key, until)
 	request.carry(request.host.Name, work.upstream.Name, &work.upstream.Process, func() {
 		if work.ownership != nil && !work.ended {
 			request.end()
--- a/trial/world.go
+++ b/trial/world.go
@@ -32,27 +32,27 @@
 	Partitions int
 	// Latency is one message's time on the way.
 	Latency time.Duration
-	// Drift is how far clocks run from true time at the most, as a share.
-	Drift       float64
-	LeaseLength time.Duration
+	// MaxClockDrift is how far clocks run from true time at the most, as a share.
+	MaxClockDrift float64
+	LeaseLength   time.Duration
 	// NoFences stands for upstreams that do not check who gives them orders.
 	NoFences bool
-	Break    Break
+	Disabled Safeguard
 }
 
-// Break takes a safeguard away, to show that its loss is found.
-type Break string
+// Safeguard takes a safeguard away, to show that its loss is found.
+type Safeguard string
 
 // The safeguards that can be taken away.
 const (
-	// BreakNothing is the real thing.
-	BreakNothing Break = ""
-	// BreakDeadline counts a lease from the grant's arrival, as a naive lease does.
-	BreakDeadline Break = "deadline"
-	// BreakFences lets upstreams take grants of older terms.
-	BreakFences Break = "fences"
-	// BreakWitnesses lets witnesses confirm any term.
-	BreakWitnesses Break = "witnesses"
+	// DisableNothing is the real thing.
+	DisableNothing Safeguard = ""
+	// DisableDeadline counts a lease from the grant's arrival, as a naive lease does.
+	DisableDeadline Safeguard = "deadline"
+	// DisableFences lets upstreams take grants of older terms.
+	DisableFences Safeguard = "fences"
+	// DisableWitnesses lets witnesses confirm any term.
+	DisableWitnesses Safeguard = "witnesses"
 )
 
 // Network says what becomes of a message: how much longer than usual it takes, or that it is lost.
@@ -66,10 +66,10 @@
 	Hosts     []*Host
 	Upstreams []*Upstream
 	Network   Network
-	// LogOut makes every append and every read of the log fail.
-	LogOut bool
-	Demand cherrykeel.Demand
-	Placer cherrykeel.Placer
+	// LogUnavailable makes every append and every read of the log fail.
+	LogUnavailable bool
+	Demand         cherrykeel.Demand
+	Placer         cherrykeel.Placer
 	// Steps counts everything that has happened; Check is called after each of them.
 	Steps   int
 	Check   func(world *World)
@@ -85,21 +85,21 @@
 	Name string
 	Zone string
 	Dead bool
-	// PausedUntil is when the process wakes; what reaches it before waits.
-	PausedUntil time.Duration
-	rate        float64
-	offset      time.Duration
+	// SuspendedUntil is when the process wakes; what reaches it before waits.
+	SuspendedUntil time.Duration
+	rate           float64
+	offset         time.Duration
 }
 
 // Host is an entry host's part in ownership.
 type Host struct {
 	Process
 	Leaving bool
-	// CutFromLog keeps the log from this host alone.
-	CutFromLog bool
-	Keeper     *keeper.Keeper
-	Witness    *lease.Witness
-	State      *fold.State
+	// LogUnreachable keeps the log from this host alone.
+	LogUnreachable bool
+	Keeper         *keeper.Keeper
+	Witness        *lease.Witness
+	State          *fold.State
 	// View is the host's lease on sending, for upstreams that do not check fences.
 	View *views.View
 	// timeout is the longest that a request may take, by the settings that the host has read.
@@ -173,7 +173,7 @@
 }
 
 func (world *World) process(name string, zone int) Process {
-	drift := world.Options.Drift * (2*world.Random.Float64() - 1)
+	drift := world.Options.MaxClockDrift * (2*world.Random.Float64() - 1)
 	offset := time.Duration(world.Random.Int63n(int64(time.Hour))) + time.Second
 	return Process{Name: name, Zone: "zone-" + strconv.Itoa(zone), rate: 1 + drift, offset: offset}
 }
@@ -222,7 +222,7 @@
 		if process.Dead {
 			return
 		}
-		if left := process.PausedUntil - world.now; left > 0 {
+		if left := process.SuspendedUntil - world.now; left > 0 {
 			world.at(process, left, call)
 			return
 		}
@@ -230,8 +230,8 @@
 	}})
 }
 
-// At runs a scenario's step at a time.
-func (world *World) At(at time.Duration, call func()) {
+// Schedule runs a scenario's step at a time.
+func (world *World) Schedule(at time.Duration, call func()) {
 	world.serial++
 	heap.Push(&world.events, event{at: at, serial: world.serial, call: call})
 }
@@ -245,8 +245,8 @@
 	world.at(to, world.Options.Latency+delay, call)
 }
 
-// Run goes on until a time.
-func (world *World) Run(until time.Duration) {
+// RunUntil goes on until a time.
+func (world *World) RunUntil(until time.Duration) {
 	for len(world.events) > 0 && world.events[0].at <= until {
 		next := heap.Pop(&world.events).(event)
 		world.now = next.at
@@ -274,22 +274,22 @@
 		return upstream.Ownership.Owns(world.LocalTime(upstream), partition, key)
 	}
 	for _, host := range world.Hosts {
-		if !host.Dead && world.Sends(host, partition, key) == upstream.Name {
+		if !host.Dead && world.SendTarget(host, partition, key) == upstream.Name {
 			return true
 		}
 	}
 	return false
 }
 
-// Sends returns the upstream that a host may send a key's requests to, where upstreams check no fences.
-func (world *World) Sends(host *Host, partition int, key string) string {
+// SendTarget returns the upstream that a host may send a key's requests to, where upstreams check no fences.
+func (world *World) SendTarget(host *Host, partition int, key string) string {
 	name, _ := host.View.Owner(partition, key, world.local(&host.Process))
 	return name
 }
 
-// Server returns the index of the upstream that answers a key's requests now, when they come
+// ServingUpstream returns the index of the upstream that answers a key's requests now, when they come
 // through a host, or -1; it looks at the hinted one first.
-func (world *World) Server(host *Host, partition int, key string, hint int) int {
+func (world *World) ServingUpstream(host *Host, partition int, key string, hint int) int {
 	if hint >= 0 && world.serves(host, world.Upstreams[hint], partition, key) {
 		return hint
 	}
@@ -302,11 +302,11 @@
 }
 
 func (world *World) serves(host *Host, upstream *Upstream, partition int, key string) bool {
-	if upstream.Dead || world.now < upstream.PausedUntil {
+	if upstream.Dead || world.now < upstream.SuspendedUntil {
 		return false
 	}
 	if world.Options.NoFences {
-		return world.Sends(host, partition, key) == upstream.Name
+		return world.SendTarget(host, partition, key) == upstream.Name
 	}
 	return upstream.Ownership.Owns(world.LocalTime(upstream), partition, key)
 }
@@ -314,7 +314,7 @@
 // KeeperHost returns the host that holds the role, or nil.
 func (world *World) KeeperHost() *Host {
 	for _, host := range world.Hosts {
-		if !host.Dead && host.Keeper.HoldsRole() && host.State.Blocks[Service].Keeper == host.Name {
+		if !host.Dead && host.Keeper.HoldsRole() && host.State.Ownership[Service].Keeper == host.Name {
 			return host
 		}
 	}
--- a/views/view.go
+++ b/views/view.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Grant takes a keeper's grant, if its fence is not older than the one held.
-func (view *View) Grant(grant cherrykeel.Grant, now cherrykeel.Instant) cherrykeel.Holding {
+// ApplyGrant takes a keeper's grant, if its fence is not older than the one held.
+func (view *View) ApplyGrant(grant cherrykeel.Grant, now cherrykeel.Instant) cherrykeel.Holding {
 	reason := ""
 	switch {
 	case grant.Incarnation != view.boot:
@@ -153,16 +153,16 @@
 	return owner, owner != ""
 }
 
-// Limit returns the deadline of a request that is sent now, which the keeper counts on if the host is lost.
-func (view *View) Limit(deadline, now cherrykeel.Instant) cherrykeel.Instant {
+// LimitDeadline returns the deadline of a request that is sent now, which the keeper counts on if the host is lost.
+func (view *View) LimitDeadline(deadline, now cherrykeel.Instant) cherrykeel.Instant {
 	if view.timeout == 0 {
 		return deadline
 	}
 	return min(deadline, now.Add(view.timeout))
 }
 
-// Enter is Owner for a request that is sent at once; it is counted until Leave.
-func (view *View) Enter(partition int, key string, now cherrykeel.Instant) (string, bool) {
+// StartRequest is Owner for a request that is sent at once; it is counted until Leave.
+func (view *View) StartRequest(partition int, key string, now cherrykeel.Instant) (string, bool) {
 	owner, allowed := view.Owner(partition, key, now)
 	if allowed {
 		view.inFlight[flight{upstream: owner, partition: partition, key: key}]++
@@ -170,25 +170,25 @@
 	return owner, allowed
 }
 
-// Abandon ends a request that Enter has counted and whose upstream may work on it until an instant, since
+// AbandonRequest ends a request that Enter has counted and whose upstream may work on it until an instant, since
 // it was not the upstream that ended it: the key must not have another owner before.
-func (view *View) Abandon(upstream string, partition int, key string, until cherrykeel.Instant) {
-	view.Leave(upstream, partition, key)
+func (view *View) AbandonRequest(upstream string, partition int, key string, until cherrykeel.Instant) {
+	view.FinishRequest(upstream, partition, key)
 	ended := flight{upstream: upstream, partition: partition, key: key}
 	view.abandoned[ended] = max(view.abandoned[ended], until)
 }
 
-// Clear takes back what the host may send, for another number of partitions; the fence and the requests
+// ClearGrant takes back what the host may send, for another number of partitions; the fence and the requests
 // that are at work stay, so that the host does not pass for one that has just started.
-func (view *View) Clear(partitions int) {
+func (view *View) ClearGrant(partitions int) {
 	view.until = 0
 	view.owners = make([]string, partitions)
 	view.hotKeys = map[string]string{}
 	view.except = map[string]bool{}
 }
 
-// Leave ends a request that Enter has counted.
-func (view *View) Leave(upstream string, partition int, key string) {
+// FinishRequest ends a request that Enter has counted.
+func (view *View) FinishRequest(upstream string, partition int, key string) {
 	ended := flight{upstream: upstream, partition: partition, key: key}
 	view.inFlight[ended]--
 	if view.inFlight[ended] <= 0 {
--- a/watch/entries.go
+++ b/watch/entries.go
@@ -41,7 +41,7 @@
 	}
 	upstreams.offset = max(upstreams.offset, record.Offset)
 	upstreams.unannounced = append(upstreams.unannounced, record)
-	events.Log(upstreams.logger, events.UpstreamSeen,
+	events.Log(upstreams.logger, events.UpstreamChanged,
 		zap.String("Upstream", upstream.ID), zap.String("Service", upstream.Service), zap.String("Address", upstream.Address),
 		zap.Int64("Born", upstream.StartedAt), zap.Bool("Leaving", upstream.Leaving), zap.Duration("Cold", upstream.RemainingWarmup), zap.Int64("Offset", record.Offset))
 	return true
--- a/watch/known.go
+++ b/watch/known.go
@@ -51,7 +51,7 @@
 	}
 	follower.mutex.Unlock()
 	if recovered {
-		events.Log(follower.logger, events.TopicBack, zap.String("Topic", follower.name), zap.Int64("Offset", next), zap.Bool("First", first))
+		events.Log(follower.logger, events.TopicAvailable, zap.String("Topic", follower.name), zap.Int64("Offset", next), zap.Bool("First", first))
 	}
 	return forward
 }
@@ -62,7 +62,7 @@
 	follower.unavailable = true
 	follower.mutex.Unlock()
 	if !wasUnavailable {
-		events.Log(follower.logger, events.TopicLost, zap.String("Topic", follower.name), zap.Error(err))
+		events.Log(follower.logger, events.TopicUnavailable, zap.String("Topic", follower.name), zap.Error(err))
 	}
 }
 
--- a/watch/peers.go
+++ b/watch/peers.go
@@ -92,7 +92,7 @@
 	}
 	peers.peers[record.Key] = peer
 	peers.readAt[record.Key] = peers.clock.Now()
-	events.Log(peers.logger, events.PeerSeen,
+	events.Log(peers.logger, events.PeerAnnounced,
 		zap.String("Host", peer.Name), zap.String("Life", peer.Incarnation), zap.String("Address", peer.InternalAddress), zap.Int64("Offset", record.Offset))
 	return true
 }
--- a/watch/table.go
+++ b/watch/table.go
@@ -173,7 +173,7 @@
 	for service, list := range next.Services {
 		for _, owned := range list {
 			before, known := view.table.Find(service, owned.First)
-			if known && before.Owner == owned.Owner && !before.Moving {
+			if known && before.Owner == owned.Owner && !before.InTransfer {
 				continue
 			}
 			view.reassigned = append(view.reassigned, reassignedSpan{service: service, span: owned.Span(), until: now.Add(grantDelay)})
@@ -189,7 +189,7 @@
 	if !known {
 		return flow.Owner{}
 	}
-	owner := flow.Owner{ID: owned.Owner, InTransfer: owned.Moving, Fence: owned.Fence}
+	owner := flow.Owner{ID: owned.Owner, InTransfer: owned.InTransfer, Fence: owned.Fence}
 	if len(view.reassigned) == 0 || owner.InTransfer {
 		return owner
 	}
--- a/watch/zones.go
+++ b/watch/zones.go
@@ -128,7 +128,7 @@
 	zones.zones[zone] = ZoneState{
 		Evacuated: evacuated, Offset: order.Offset, Since: zones.clock.Now(), FoundAtStart: !zones.hasRead && !update.FromPeer,
 	}
-	event := events.ZoneTakenBack
+	event := events.ZoneRestored
 	if evacuated {
 		event = events.ZoneEvacuated
 	}
--- a/wire/client.go
+++ b/wire/client.go
@@ -10,8 +10,8 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// ErrPeer means that a peer did not answer.
-var ErrPeer = errors.New("the peer did not answer")
+// ErrCallFailed means that a peer did not answer.
+var ErrCallFailed = errors.New("the peer did not answer")
 
 const dialTimeout = 300 * time.Millisecond
 
@@ -40,7 +40,7 @@
 	if !errors.As(err, &remote) && ctx.Err() == nil {
 		client.drop(address, conn)
 	}
-	return errors.Wrapf(ErrPeer, "%s at %s: %v", method, address, err)
+	return errors.Wrapf(ErrCallFailed, "%s at %s: %v", method, address, err)
 }
 
 func (client *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
@@ -53,7 +53,7 @@
 	dialer := net.Dialer{Timeout: dialTimeout}
 	socket, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(ErrPeer, err.Error())
+		return nil, errors.Wrap(ErrCallFailed, err.Error())
 	}
 	return client.keep(address, socket), nil
 }
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -12,16 +12,16 @@
 
 // The methods of the inner protocol.
 const (
-	MethodHello   = "Host.Hello"
-	MethodConfirm = "Keeper.Confirm"
-	MethodTeach   = "Keeper.Teach"
-	MethodSilence = "Keeper.Silence"
-	MethodOverlay = "Keeper.Overlay"
-	MethodRelay   = "Grant.Relay"
-	MethodView    = "Grant.View"
-	MethodFetch   = "Log.Fetch"
-	MethodSlots   = "Slots.Ask"
-	MethodDenied  = "Requests.Denied"
+	MethodHello             = "Host.Hello"
+	MethodConfirm           = "Keeper.Confirm"
+	MethodAnnounceTerm      = "Keeper.Teach"
+	MethodSilence           = "Keeper.Silence"
+	MethodOverlay           = "Keeper.Overlay"
+	MethodForwardGrant      = "Grant.Relay"
+	MethodViewGrant         = "Grant.View"
+	MethodFetch             = "Log.Fetch"
+	MethodSlots             = "Slots.Ask"
+	MethodSuspectedRequests = "Requests.Denied"
 )
 
 // Hello tells a peer how its sender fares, about once a second.
@@ -59,8 +59,8 @@
 	Confirmed []string
 }
 
-// Teach tells a witness a service's new term.
-type Teach struct {
+// AnnounceTerm tells a witness a service's new term.
+type AnnounceTerm struct {
 	Service string
 	Term    int64
 }
@@ -80,16 +80,16 @@
 	keeper.Overlay
 }
 
-// Relay asks a peer to pass a grant, or a question, on to an upstream.
-type Relay struct {
+// ForwardGrant asks a peer to pass a grant, or a question, on to an upstream.
+type ForwardGrant struct {
 	Address string
-	Ask     bool
+	Query   bool
 	Grant   cherrykeel.Grant
 }
 
-// View gives a host a lease on sending to upstreams that do not check fences.
-type View struct {
-	Ask   bool
+// ViewGrant gives a host a lease on sending to upstreams that do not check fences.
+type ViewGrant struct {
+	Query bool
 	Grant cherrykeel.Grant
 }
 
@@ -100,13 +100,13 @@
 
 // FetchReply is the answer to Fetch.
 type FetchReply struct {
-	follow.Relay
+	follow.MissingRecords
 }
 
 // Slots asks a steward for parts of upstreams' slots, by service and upstream.
 type Slots struct {
-	Host  string
-	Wants map[string]map[string]admit.SlotRequest
+	Host     string
+	Requests map[string]map[string]admit.SlotRequest
 }
 
 // SlotsReply gives the parts; they may be used for Length from when they were asked for.
@@ -115,10 +115,10 @@
 	Length  time.Duration
 }
 
-// Denied tells of requests that were at work when upstreams ended, while the log that says so is out.
-type Denied struct {
-	Denials []fold.Denial
+// SuspectedRequests tells of requests that were at work when upstreams ended, while the log that says so is out.
+type SuspectedRequests struct {
+	Requests []fold.SuspectedRequest
 }
 
-// Done is the answer of methods that return nothing.
-type Done struct{}
+// EmptyReply is the answer of methods that return nothing.
+type EmptyReply struct{}
