--- a/grants/claim.go
+++ b/grants/claim.go
@@ -13,123 +13,124 @@
 )
 
 const (
-	// evidenceAge is how old a host's word may be to count. A keeper that is cut off, or slept, stops
-	// granting this long after more than half of the hosts have learned of another term.
-	evidenceAge = time.Second
+	// maxEvidenceAge is the maximum age of another host's report that counts. A keeper that is isolated, or was
+	// suspended, stops granting this long after more than half of the hosts have learned of another term.
+	maxEvidenceAge = time.Second
 	// writeTimeout bounds one write of the table.
 	writeTimeout = time.Second
-	// reportLate is how much later than it was sent a host may date another's report: it looks for a standstill of its
-	// own each 500 ms at the least.
-	reportLate = 500 * time.Millisecond
-	// firstClaim is how long a host waits after its start to hear from the others.
-	firstClaim = 400 * time.Millisecond
-	// storelessKeeper is how long a keeper may be without the store while others have it.
-	storelessKeeper = time.Second
-	// announceTime is within what a host's announcement arrives that a table of its has overtaken.
-	announceTime = 500 * time.Millisecond
-	// writePause is waited after a write that the store did not take.
-	writePause = 500 * time.Millisecond
+	// maxReportDelay bounds by how much later than it was sent a host may date a received report. A host checks at
+	// least every 500 ms whether it was itself suspended.
+	maxReportDelay = 500 * time.Millisecond
+	// firstClaimDelay is how long a host waits after its start for reports of the other hosts before it may claim.
+	firstClaimDelay = 400 * time.Millisecond
+	// storelessClaimDelay is how long the store may be unavailable to the keeper, while other hosts can use it, before
+	// one of them claims.
+	storelessClaimDelay = time.Second
+	// maxAnnounceDelay bounds how much later than its table a host's announcement may arrive.
+	maxAnnounceDelay = 500 * time.Millisecond
+	// writeRetryDelay is the pause after a failed write.
+	writeRetryDelay = 500 * time.Millisecond
 )
 
-// consider claims the duty if nobody has it or its holder cannot do it.
-func (keeper *Keeper) consider(ctx context.Context, table spans.Table, next int64, now cherrykeel.Instant) {
-	if keeper.writing || now < keeper.writeAfter || !keeper.able(now) {
-		keeper.open = false
+// considerClaim claims the keeper's role if no host has it or its holder cannot fulfil it.
+func (keeper *Keeper) considerClaim(ctx context.Context, table spans.Table, next int64, now cherrykeel.Instant) {
+	if keeper.writing || now < keeper.writeAfter || !keeper.canKeep(now) {
+		keeper.vacant = false
 		return
 	}
-	reason := keeper.vacancy(table, now)
+	reason := keeper.vacancyReason(table, now)
 	if reason == "" {
-		keeper.open = false
+		keeper.vacant = false
 		return
 	}
-	if !keeper.open {
-		keeper.open = true
-		keeper.openSince = now
+	if !keeper.vacant {
+		keeper.vacant = true
+		keeper.vacantSince = now
 	}
-	stagger := time.Duration(keeper.world.Rank()) * claimStep
-	if now.Sub(keeper.openSince) < stagger {
+	delay := time.Duration(keeper.environment.Rank()) * claimStagger
+	if now.Sub(keeper.vacantSince) < delay {
 		return
 	}
 	keeper.claim(ctx, table, next, reason)
 }
 
-// able reports whether this host could do the duty.
-func (keeper *Keeper) able(now cherrykeel.Instant) bool {
-	if keeper.resigned || keeper.world.StoreAvailableFor() == 0 || now.Sub(keeper.started) < firstClaim {
+// canKeep reports whether this host could fulfil the keeper's role.
+func (keeper *Keeper) canKeep(now cherrykeel.Instant) bool {
+	if keeper.resigned || keeper.environment.StoreAvailableFor() == 0 || now.Sub(keeper.startedAt) < firstClaimDelay {
 		return false
 	}
-	return len(keeper.world.KeyedServices()) > 0 && len(keeper.world.Upstreams()) > 0 && keeper.hearsMost()
+	return len(keeper.environment.KeyedServices()) > 0 && len(keeper.environment.Upstreams()) > 0 && keeper.hasMajority()
 }
 
-// vacancy returns why another host should have the duty, or nothing.
-func (keeper *Keeper) vacancy(table spans.Table, now cherrykeel.Instant) string {
+// vacancyReason returns why another host should take over the keeper's role, or "" if it should not.
+func (keeper *Keeper) vacancyReason(table spans.Table, now cherrykeel.Instant) string {
 	if table.Incarnation == "" {
-		return "nobody has it"
+		return "there is no keeper"
 	}
-	if keeper.startedAnew(table, now) {
-		return "its holder started anew"
+	if keeper.hasKeeperRestarted(table, now) {
+		return "the keeper has restarted"
 	}
-	if keeper.storeless(table.Keeper, now) {
-		if now.Sub(keeper.storelessAt) < storelessKeeper {
+	if keeper.isKeeperStoreless(table.Keeper, now) {
+		if now.Sub(keeper.keeperStorelessSince) < storelessClaimDelay {
 			return ""
 		}
-		return "the store does not serve its holder"
+		return "the store is unavailable to the keeper"
 	}
-	silence, heard := keeper.mesh.TimeSinceReport(table.Keeper)
-	if !heard {
-		silence = min(now.Sub(keeper.started)-firstClaim, now.Sub(keeper.seenAt))
+	silence, received := keeper.mesh.TimeSinceReport(table.Keeper)
+	if !received {
+		silence = min(now.Sub(keeper.startedAt)-firstClaimDelay, now.Sub(keeper.seenAt))
 	}
-	if silence < silentKeeper {
+	if silence < maxKeeperSilence {
 		return ""
 	}
-	return "its holder is silent"
+	return "the keeper sends no reports"
 }
 
-// startedAnew reports whether the holder's process is another one than the table names. A table that is
-// newer than what the host last announced names the newer process, whose announcement is on its way.
-func (keeper *Keeper) startedAnew(table spans.Table, now cherrykeel.Instant) bool {
-	life, age, known := keeper.world.PeerIncarnation(table.Keeper)
-	if !known || life == table.Incarnation {
+// hasKeeperRestarted reports whether the keeper's process is another incarnation than the table names. A table that is
+// newer than the host's last announcement names the newer process, whose announcement is on its way.
+func (keeper *Keeper) hasKeeperRestarted(table spans.Table, now cherrykeel.Instant) bool {
+	incarnation, age, known := keeper.environment.PeerIncarnation(table.Keeper)
+	if !known || incarnation == table.Incarnation {
 		return false
 	}
 	tableAge := now.Sub(keeper.seenAt)
-	return age <= tableAge || tableAge > announceTime
+	return age <= tableAge || tableAge > maxAnnounceDelay
 }
 
-// storeless reports whether the holder says that the store does not serve it, while it serves this host.
-// Such a keeper renews what there is and cannot move a key from a server that leaves or dies.
-func (keeper *Keeper) storeless(holder string, now cherrykeel.Instant) bool {
-	for _, heard := range keeper.mesh.Reports(evidenceAge) {
-		if heard.Report.Host != holder || heard.Report.StoreAvailable {
+// isKeeperStoreless reports whether the keeper reports that the store is unavailable to it, while this host can use it.
+// Such a keeper renews the existing grants, but cannot transfer a key from an upstream that leaves or crashes.
+func (keeper *Keeper) isKeeperStoreless(holder string, now cherrykeel.Instant) bool {
+	for _, received := range keeper.mesh.Reports(maxEvidenceAge) {
+		if received.Report.Host != holder || received.Report.StoreAvailable {
 			continue
 		}
-		if !keeper.holderStoreless {
-			keeper.holderStoreless = true
-			keeper.storelessAt = now
+		if !keeper.keeperStoreless {
+			keeper.keeperStoreless = true
+			keeper.keeperStorelessSince = now
 		}
 		return true
 	}
-	keeper.holderStoreless = false
+	keeper.keeperStoreless = false
 	return false
 }
 
-// hearsMost reports whether this host hears more than half of the hosts: one that does not would win
-// the duty in the store and could not use it.
-func (keeper *Keeper) hearsMost() bool {
-	heard := 1 + len(keeper.mesh.Reports(evidenceAge))
-	return 2*heard > keeper.mesh.HostCount()
+// hasMajority reports whether this host receives reports from enough hosts to form a majority with them. Without one it
+// would win the claim in the store, but could not grant anything.
+func (keeper *Keeper) hasMajority() bool {
+	received := 1 + len(keeper.mesh.Reports(maxEvidenceAge))
+	return 2*received > keeper.mesh.HostCount()
 }
 
 func (keeper *Keeper) claim(ctx context.Context, table spans.Table, next int64, reason string) {
 	claimed := table.ClaimedBy(keeper.self.Name, keeper.self.Incarnation, next)
-	keeper.claimed = claimOf{at: next, before: table.Term}
+	keeper.lastClaim = claimAttempt{offset: next, replacedTerm: table.Term}
 	events.Log(keeper.logger, events.KeeperClaimed,
 		zap.String("Reason", reason), zap.String("Before", table.Keeper), zap.Int64("OldTerm", table.Term), zap.Int64("At", next))
-	keeper.write(ctx, claimed, next)
+	keeper.writeTable(ctx, claimed, next)
 }
 
-// write proposes a table; what came of it is seen when the table is read.
-func (keeper *Keeper) write(ctx context.Context, table spans.Table, at int64) {
+// writeTable proposes a table at an offset; if the outcome is unknown, the next read of the table shows it.
+func (keeper *Keeper) writeTable(ctx context.Context, table spans.Table, at int64) {
 	value, err := table.Encode()
 	if err != nil {
 		events.Log(keeper.logger, events.WriteFailed, zap.Error(err))
@@ -142,31 +143,32 @@
 		err := keeper.log.PutAt(ctx, keeper.key, value, at)
 		keeper.results <- func(now cherrykeel.Instant) {
 			keeper.writing = false
-			keeper.urgent = true
+			keeper.needsTick = true
 			if err == nil {
 				keeper.table.ApplyOwnWrite(value, at)
 				return
 			}
 			if !errors.Is(err, cherrykeel.ErrConflict) {
-				keeper.writeAfter = now.Add(writePause)
+				keeper.writeAfter = now.Add(writeRetryDelay)
 				events.Log(keeper.logger, events.WriteFailed, zap.Int64("At", at), zap.Error(err))
 			}
-			// Whether it was written, and what was written instead, is in the store.
-			keeper.world.RereadTable()
+			// A read shows whether the table was written, or which one was written instead.
+			keeper.environment.RereadTable()
 		}
 	})
 }
 
-// giveUp writes that nobody keeps, so that the next host need not wait for this one's silence.
-func (keeper *Keeper) giveUp(ctx context.Context) {
+// writeResignation writes a table without a keeper, so that the next host need not wait until this one is silent for
+// long.
+func (keeper *Keeper) writeResignation(ctx context.Context) {
 	keeper.resigned = true
 	table, next, known := keeper.table.Current()
 	if !known || keeper.term < 0 || table.Keeper != keeper.self.Name {
 		return
 	}
-	left := table.Clone()
-	left.Incarnation = ""
-	value, err := left.Encode()
+	resigned := table.Clone()
+	resigned.Incarnation = ""
+	value, err := resigned.Encode()
 	if err == nil {
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		defer cancel()
@@ -179,46 +181,46 @@
 	keeper.table.ApplyOwnWrite(value, next)
 }
 
-// sure reports whether more than half of the hosts confirm that they know no newer term. It is asked
-// before each grant: without it a keeper that was cut off or asleep would go on beside its successor.
-func (keeper *Keeper) sure(term int64, now cherrykeel.Instant) bool {
+// isConfirmed reports whether more than half of the hosts confirm that they know no newer term. It is checked before
+// each grant: without it a keeper that was isolated or suspended would go on granting beside its successor.
+func (keeper *Keeper) isConfirmed(term int64, now cherrykeel.Instant) bool {
 	confirming, knowing := 1, 1
-	for _, heard := range keeper.mesh.Reports(evidenceAge) {
-		if heard.Report.Term > term {
-			return keeper.noteSure(false, confirming)
+	for _, received := range keeper.mesh.Reports(maxEvidenceAge) {
+		if received.Report.Term > term {
+			return keeper.recordConfirmation(false, confirming)
 		}
-		if heard.Report.Term >= 0 {
+		if received.Report.Term >= 0 {
 			confirming++
 		}
-		if heard.Report.Term == term {
+		if received.Report.Term == term {
 			knowing++
 		}
 	}
 	known := keeper.mesh.HostCount()
-	if 2*knowing > known && !keeper.known {
-		keeper.known = true
-		keeper.knownAt = now
+	if 2*knowing > known && !keeper.majorityKnows {
+		keeper.majorityKnows = true
+		keeper.majorityKnowsSince = now
 	}
-	return keeper.noteSure(2*confirming > known, confirming)
+	return keeper.recordConfirmation(2*confirming > known, confirming)
 }
 
-func (keeper *Keeper) noteSure(sure bool, confirming int) bool {
-	if !sure && !keeper.unsure {
+func (keeper *Keeper) recordConfirmation(confirmed bool, confirming int) bool {
+	if !confirmed && !keeper.unconfirmed {
 		events.Log(keeper.logger, events.KeeperUnconfirmed, zap.Int64("Term", keeper.term), zap.Int("Confirming", confirming), zap.Int("Hosts", keeper.mesh.HostCount()))
 	}
-	keeper.unsure = !sure
-	return sure
+	keeper.unconfirmed = !confirmed
+	return confirmed
 }
 
-// bound lowers what the keeper before may have granted to what it can have: it stopped when its
-// evidence had aged, and its last grant ends after the longest hold.
-func (keeper *Keeper) bound(now cherrykeel.Instant) {
-	if !keeper.known {
+// boundEarlierLeases replaces the unknown ends of leases from earlier terms by an upper bound: the previous keeper
+// stopped granting when its evidence had become too old, and its last grant ends after the longest lease.
+func (keeper *Keeper) boundEarlierLeases(now cherrykeel.Instant) {
+	if !keeper.majorityKnows {
 		return
 	}
-	lastArrival := keeper.knownAt.Add(evidenceAge + reportLate + arriveWithin)
+	lastArrival := keeper.majorityKnowsSince.Add(maxEvidenceAge + maxReportDelay + maxArrivalDelay)
 	until := spans.LatestLeaseEnd(lastArrival, keeper.bounds().MaxLeaseDuration)
 	for _, owner := range keeper.ledger.BoundUnknownLeases(until) {
-		keeper.contact(owner).holds(until)
+		keeper.contact(owner).recordLease(until)
 	}
 }
--- a/grants/fakes_test.go
+++ b/grants/fakes_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	generous = "20s"
-	service  = "halls"
-	myself   = "host-1"
+	longTimeout = "20s"
+	service     = "halls"
+	selfName    = "host-1"
 )
 
-// shiftedClock is the process's clock, set forward by the test as a suspension does.
+// shiftedClock is the process's clock, which a test can set forward as a suspension would.
 type shiftedClock struct {
 	mutex sync.Mutex
 	shift time.Duration
@@ -35,20 +35,20 @@
 
 func (clock *shiftedClock) Wall() time.Time { return time.Time{} }
 
-// fakeStore is the log, the view of its table, and the world of one keeper.
+// fakeStore is the log, the view of its table, and the Environment of one keeper.
 type fakeStore struct {
-	mutex sync.Mutex
-	table spans.Table
-	next  int64
-	away  bool
-	// unwell stores have just come back.
-	unwell    bool
-	loseReply bool
-	writes    int
-	upstreams []cherrykeel.Upstream
-	ended     map[string]bool
-	rank      int
-	garbled   bool
+	mutex       sync.Mutex
+	table       spans.Table
+	next        int64
+	unavailable bool
+	// recovering means that the store has just become available again.
+	recovering bool
+	loseReply  bool
+	writes     int
+	upstreams  []cherrykeel.Upstream
+	ended      map[string]bool
+	rank       int
+	corrupt    bool
 }
 
 func newFakeStore(ids ...string) *fakeStore {
@@ -73,27 +73,27 @@
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.writes++
-	if store.away {
+	if store.unavailable {
 		return errors.WithStack(cherrykeel.ErrStoreUnavailable)
 	}
 	if at != store.next {
 		return errors.WithStack(cherrykeel.ErrConflict)
 	}
-	store.take(value, at)
+	store.apply(value, at)
 	if store.loseReply {
 		return errors.WithStack(cherrykeel.ErrStoreUnavailable)
 	}
 	return nil
 }
 
-func (store *fakeStore) take(value []byte, at int64) {
+func (store *fakeStore) apply(value []byte, at int64) {
 	table, err := spans.Decode(value, at)
 	if err != nil || at < store.next {
 		return
 	}
 	store.table = table
 	store.next = at + 1
-	store.garbled = false
+	store.corrupt = false
 }
 
 func (store *fakeStore) Current() (spans.Table, int64, bool) {
@@ -105,13 +105,13 @@
 func (store *fakeStore) ApplyOwnWrite(value []byte, offset int64) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	store.take(value, offset)
+	store.apply(value, offset)
 }
 
 func (store *fakeStore) IsCorrupt() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	return store.garbled
+	return store.corrupt
 }
 
 func (store *fakeStore) KeyedServices() []cherrykeel.RoutedService {
@@ -139,10 +139,10 @@
 func (store *fakeStore) StoreAvailableFor() time.Duration {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	if store.away {
+	if store.unavailable {
 		return 0
 	}
-	if store.unwell {
+	if store.recovering {
 		return time.Millisecond
 	}
 	return time.Hour
@@ -160,7 +160,7 @@
 	change()
 }
 
-// claim writes a table of another host, as if it had claimed.
+// claim writes a table with another host as the keeper.
 func (store *fakeStore) claim(host string) {
 	store.set(func() {
 		store.table = store.table.ClaimedBy(host, "life-"+host, store.next)
@@ -173,22 +173,22 @@
 	return table.Keeper
 }
 
-// fakeMesh says what the test lets the other hosts say.
+// fakeMesh returns the reports that the test sets for the other hosts.
 type fakeMesh struct {
-	mutex   sync.Mutex
-	clock   *shiftedClock
-	known   int
-	reports []share.ReceivedReport
-	finals  *share.FinalGrants
+	mutex       sync.Mutex
+	clock       *shiftedClock
+	hostCount   int
+	reports     []share.ReceivedReport
+	finalGrants *share.FinalGrants
 }
 
 func (mesh *fakeMesh) Reports(age time.Duration) []share.ReceivedReport {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	var fresh []share.ReceivedReport
-	for _, heard := range mesh.reports {
-		if mesh.clock.Now().Sub(heard.ReceivedAt) <= age {
-			fresh = append(fresh, heard)
+	for _, received := range mesh.reports {
+		if mesh.clock.Now().Sub(received.ReceivedAt) <= age {
+			fresh = append(fresh, received)
 		}
 	}
 	return fresh
@@ -197,9 +197,9 @@
 func (mesh *fakeMesh) TimeSinceReport(name string) (time.Duration, bool) {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	for _, heard := range mesh.reports {
-		if heard.Report.Host == name {
-			return mesh.clock.Now().Sub(heard.ReceivedAt), true
+	for _, received := range mesh.reports {
+		if received.Report.Host == name {
+			return mesh.clock.Now().Sub(received.ReceivedAt), true
 		}
 	}
 	return 0, false
@@ -208,19 +208,19 @@
 func (mesh *fakeMesh) HostCount() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	return mesh.known
+	return mesh.hostCount
 }
 
-// hear makes the hosts report the newest term of the store until the spec ends.
-func (mesh *fakeMesh) hear(store *fakeStore, known int, names ...string) (stop func()) {
+// reportFrom makes the named hosts report the newest term in the store, until stop is called or the spec ends.
+func (mesh *fakeMesh) reportFrom(store *fakeStore, hostCount int, names ...string) (stop func()) {
 	mesh.mutex.Lock()
-	mesh.known = known
+	mesh.hostCount = hostCount
 	mesh.mutex.Unlock()
 	done := make(chan struct{})
 	ended := make(chan struct{})
 	var once sync.Once
-	// Nothing is heard after stop has returned: a report that is still under way then would be dated by the
-	// clock that the test sets forward next.
+	// No report arrives after stop has returned: one that is still under way would be dated by the clock that the test
+	// sets forward next.
 	stop = func() {
 		once.Do(func() { close(done) })
 		<-ended
@@ -233,7 +233,7 @@
 			mesh.mutex.Lock()
 			mesh.reports = nil
 			for _, name := range names {
-				mesh.reports = append(mesh.reports, share.ReceivedReport{ReceivedAt: mesh.clock.Now(), Report: share.Report{Host: name, Term: table.Term, StoreAvailable: true, FinalGrants: mesh.finals}})
+				mesh.reports = append(mesh.reports, share.ReceivedReport{ReceivedAt: mesh.clock.Now(), Report: share.Report{Host: name, Term: table.Term, StoreAvailable: true, FinalGrants: mesh.finalGrants}})
 			}
 			mesh.mutex.Unlock()
 			select {
@@ -251,37 +251,37 @@
 	grant cherrykeel.SpanGrant
 }
 
-// fakeGranter keeps what servers hold and checks that no key has two owners.
+// fakeGranter records what upstreams hold and counts keys with two owners.
 type fakeGranter struct {
-	mutex    sync.Mutex
-	sent     []sentGrant
-	held     map[string]map[cherrykeel.KeySpan]time.Time
-	dead     map[string]bool
-	fences   map[string]int64
-	twice    int
-	released []string
-	hold     chan struct{}
-	leaving  map[string]bool
-	probed   int
-	// resets is how many of the next grants to a server end with their connection, and releasesLost how many of
-	// the next releases are carried out without an answer.
-	resets       map[string]int
-	releasesLost int
-	// longest servers keep the longer one of two holds; others go by the last grant.
-	longest bool
-	// asked counts all grants that were sent, answered or not.
-	asked map[string]int
+	mutex        sync.Mutex
+	sent         []sentGrant
+	held         map[string]map[cherrykeel.KeySpan]time.Time
+	unresponsive map[string]bool
+	fences       map[string]int64
+	overlaps     int
+	released     []string
+	finishWork   chan struct{}
+	leaving      map[string]bool
+	probed       int
+	// resets is the number of the next grants to an upstream whose connections are reset; lostReleaseAnswers is the
+	// number of the next releases that are carried out but not answered.
+	resets             map[string]int
+	lostReleaseAnswers int
+	// keepsLonger makes upstreams keep the longer of two leases; otherwise the last grant counts.
+	keepsLonger bool
+	// attempts counts all grants that were sent, by upstream, whether answered or not.
+	attempts map[string]int
 }
 
 func newFakeGranter() *fakeGranter {
-	return &fakeGranter{held: map[string]map[cherrykeel.KeySpan]time.Time{}, dead: map[string]bool{}, fences: map[string]int64{}, asked: map[string]int{}}
+	return &fakeGranter{held: map[string]map[cherrykeel.KeySpan]time.Time{}, unresponsive: map[string]bool{}, fences: map[string]int64{}, attempts: map[string]int{}}
 }
 
 func (granter *fakeGranter) Grant(_ context.Context, upstream cherrykeel.Upstream, grant cherrykeel.SpanGrant) error {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
-	granter.asked[upstream.ID]++
-	if granter.dead[upstream.ID] {
+	granter.attempts[upstream.ID]++
+	if granter.unresponsive[upstream.ID] {
 		return errors.WithStack(cherrykeel.ErrNoAnswer)
 	}
 	if granter.resets[upstream.ID] > 0 {
@@ -296,7 +296,7 @@
 		for span, until := range spans {
 			overlaps := span.First <= grant.Span.Last && span.Last >= grant.Span.First
 			if other != upstream.ID && overlaps && time.Now().Before(until) {
-				granter.twice++
+				granter.overlaps++
 			}
 		}
 	}
@@ -304,7 +304,7 @@
 		granter.held[upstream.ID] = map[cherrykeel.KeySpan]time.Time{}
 	}
 	until := time.Now().Add(grant.LeaseDuration)
-	if before := granter.held[upstream.ID][grant.Span]; granter.longest && before.After(until) {
+	if before := granter.held[upstream.ID][grant.Span]; granter.keepsLonger && before.After(until) {
 		until = before
 	}
 	granter.held[upstream.ID][grant.Span] = until
@@ -312,16 +312,16 @@
 }
 
 func (granter *fakeGranter) Release(ctx context.Context, upstream cherrykeel.Upstream, span cherrykeel.KeySpan, _ int64) (string, error) {
-	if granter.hold != nil {
+	if granter.finishWork != nil {
 		select {
-		case <-granter.hold:
+		case <-granter.finishWork:
 		case <-ctx.Done():
 			return "", errors.WithStack(cherrykeel.ErrNoAnswer)
 		}
 	}
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
-	if granter.dead[upstream.ID] {
+	if granter.unresponsive[upstream.ID] {
 		return "", errors.WithStack(cherrykeel.ErrNoAnswer)
 	}
 	granter.released = append(granter.released, upstream.ID)
@@ -330,8 +330,8 @@
 			delete(granter.held[upstream.ID], held)
 		}
 	}
-	if granter.releasesLost > 0 {
-		granter.releasesLost--
+	if granter.lostReleaseAnswers > 0 {
+		granter.lostReleaseAnswers--
 		return "", errors.WithStack(cherrykeel.ErrNoAnswer)
 	}
 	return "token-" + upstream.ID, nil
@@ -344,10 +344,10 @@
 	return granter.leaving[upstream.ID], nil
 }
 
-func (granter *fakeGranter) tries(id string) int {
+func (granter *fakeGranter) attemptsTo(id string) int {
 	granter.mutex.Lock()
 	defer granter.mutex.Unlock()
-	return granter.asked[id]
+	return granter.attempts[id]
 }
 
 func (granter *fakeGranter) set(change func()) {
--- a/grants/meter.go
+++ b/grants/meter.go
@@ -9,7 +9,7 @@
 	"cherrykeel"
 )
 
-// waitBuckets reach from a free worker to the time after which an order is not sent any more.
+// waitBuckets range from no wait for a worker up to the wait after which an order is no longer sent.
 var waitBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 12)
 
 const (
@@ -17,24 +17,24 @@
 	orderRelease = "release"
 )
 
-// meter counts orders to upstreams and what came of them, and the evidence by which spans changed hands.
+// meter counts orders to upstreams by their results, and transferred spans by the evidence that they were free.
 type meter struct {
 	scope tally.Scope
 }
 
-// ordered counts an order by its result, and how long it waited for a worker.
-func (meter meter) ordered(order string, err error, waited time.Duration) {
-	scope := meter.scope.Tagged(map[string]string{"order": order, "result": result(err)})
+// countOrder counts an order by its result, and records how long it waited for a worker.
+func (meter meter) countOrder(order string, err error, waited time.Duration) {
+	scope := meter.scope.Tagged(map[string]string{"order": order, "result": resultLabel(err)})
 	scope.Counter("orders").Inc(1)
 	meter.scope.Tagged(map[string]string{"order": order}).Histogram("order_wait", waitBuckets).RecordDuration(waited)
 }
 
-// gave counts a span that was given on.
-func (meter meter) gave(by evidence) {
+// countTransfer counts a transferred span.
+func (meter meter) countTransfer(by evidence) {
 	meter.scope.Tagged(map[string]string{"free_by": string(by)}).Counter("spans_given_on").Inc(1)
 }
 
-func result(err error) string {
+func resultLabel(err error) string {
 	switch {
 	case err == nil:
 		return "answered"
--- a/grants/overtaken_test.go
+++ b/grants/overtaken_test.go
@@ -43,28 +43,28 @@
 }
 
 var _ = Describe("grants that a release has overtaken", func() {
-	// The workers for grants are busy for 200 ms, since many upstreams do not answer. A renewal waits there while its
-	// span begins to move; the release has workers of its own and arrives first. The upstream refuses the renewal for
-	// the release's fence. Taken for another keeper's, that refusal makes this one claim anew, and for 12 s no key
-	// of an owner that is lost is given on.
-	It("do not make the keeper claim anew", func() {
+	// The workers for grants are busy for 200 ms because many upstreams don't answer. A renewal waits there while its
+	// span starts to move; the release has its own workers and arrives first. The upstream refuses the renewal because
+	// of the release's fence. If the keeper took that for another keeper's fence, it would claim a new term, and could
+	// transfer no key of an unavailable owner for 12 s.
+	It("do not make the keeper claim a new term", func() {
 		const service = "halls"
 		clock := fakes.NewClock(cherrykeel.Instant(time.Hour))
-		log := &openLog{values: make(chan []byte, 1)}
-		keeper := newStepped("host-1", clock, log, smallWorld{}, &fencedGranter{})
+		log := &unansweredLog{values: make(chan []byte, 1)}
+		keeper := newSteppedKeeper("host-1", clock, log, smallEnvironment{}, &fencedGranter{})
 		busy := make(chan struct{})
 		keeper.workers.grants = pond.NewPool(1)
 		keeper.workers.grants.Submit(func() { <-busy })
 		owned := spans.Owned{First: 0, Last: cherrykeel.MaxKey, Owner: "u1", Address: "u1", Fence: 4}
 		table := spans.Table{Version: 4, Term: 1, Services: map[string][]spans.Owned{service: {owned}}}
-		keeper.renew(context.Background(), table, clock.Now())
+		keeper.renewGrants(context.Background(), table, clock.Now())
 		owned.InTransfer = true
 		moving := spans.Table{Version: 5, Term: 1, Services: map[string][]spans.Owned{service: {owned}}}
-		keeper.release(context.Background(), moving, clock.Now())
-		settle(keeper)
+		keeper.releaseMoving(context.Background(), moving, clock.Now())
+		processResult(keeper)
 		clock.Advance(200 * time.Millisecond)
 		close(busy)
-		settle(keeper)
-		Expect(keeper.refused(context.Background(), moving, 6)).To(BeFalse())
+		processResult(keeper)
+		Expect(keeper.reclaimAfterRefusal(context.Background(), moving, 6)).To(BeFalse())
 	})
 })
--- a/topo/bench_test.go
+++ b/topo/bench_test.go
@@ -8,7 +8,7 @@
 	"cherrykeel/topo"
 )
 
-// BenchmarkPlan is the plan of one host of 195 in six availability zones, which each host makes anew every 80 ms.
+// BenchmarkPlan computes the plan of one host of 195 in six availability zones, as each host does every 80 ms.
 func BenchmarkPlan(b *testing.B) {
 	var peers []cherrykeel.Peer
 	for i := range 195 {
@@ -17,12 +17,12 @@
 	fleet := topo.NewFleet("front-7", peers)
 	b.ReportAllocs()
 	for b.Loop() {
-		fleet.Plan(everyone{})
+		fleet.Plan(allReachable{})
 	}
 }
 
-// everyone is a fleet in which nobody is silent.
-type everyone struct{}
+// allReachable is a View in which every host and the store are reachable.
+type allReachable struct{}
 
-func (everyone) IsUnreachable(string) bool      { return false }
-func (everyone) IsStoreUnreachable(string) bool { return false }
+func (allReachable) IsUnreachable(string) bool      { return false }
+func (allReachable) IsStoreUnreachable(string) bool { return false }
--- a/topo/fleet.go
+++ b/topo/fleet.go
@@ -9,36 +9,36 @@
 	"cherrykeel"
 )
 
-// Fleet is the part of the plan that changes only with the hosts there are. Plans are made every 80 ms; with the order
-// and the groups in them each took 0.16 ms for 195 hosts, 2 ms of a core in each second.
+// Fleet is the part of a plan that changes only when the set of hosts changes. Plans are computed every 80 ms; with the
+// order and the groups each would take 0.16 ms for 195 hosts, 2 ms of a core in each second.
 type Fleet struct {
 	self   string
-	order  []string
-	places map[string]int
+	names  []string
+	ranks  map[string]int
 	groups map[string][]string
 	labels []string
-	// label names the group of self.
-	label string
+	// ownLabel is the label of the group of self.
+	ownLabel string
 }
 
-// NewFleet returns the order and the groups of the hosts, as the host named self sees them; peers include it.
+// NewFleet returns the order and the groups of the hosts for the host named self; peers include it.
 func NewFleet(self string, peers []cherrykeel.Peer) *Fleet {
-	ordered := order(peers)
-	fleet := &Fleet{self: self, places: map[string]int{}, groups: divide(ordered)}
+	ordered := sortByCapacity(peers)
+	fleet := &Fleet{self: self, ranks: map[string]int{}, groups: divideIntoGroups(ordered)}
 	for place, peer := range ordered {
-		fleet.order = append(fleet.order, peer.Name)
-		fleet.places[peer.Name] = place
+		fleet.names = append(fleet.names, peer.Name)
+		fleet.ranks[peer.Name] = place
 	}
-	fleet.labels = labels(fleet.groups)
+	fleet.labels = sortedLabels(fleet.groups)
 	for label, names := range fleet.groups {
 		if contains(names, self) {
-			fleet.label = label
+			fleet.ownLabel = label
 		}
 	}
 	return fleet
 }
 
-func order(peers []cherrykeel.Peer) []cherrykeel.Peer {
+func sortByCapacity(peers []cherrykeel.Peer) []cherrykeel.Peer {
 	ordered := append([]cherrykeel.Peer(nil), peers...)
 	sort.Slice(ordered, func(i, j int) bool {
 		one, two := ordered[i], ordered[j]
@@ -54,25 +54,25 @@
 	return ordered
 }
 
-// divide returns the groups by label, each in the given order; an availability zone is one group, or
-// several of about equal size.
-func divide(ordered []cherrykeel.Peer) map[string][]string {
+// divideIntoGroups returns the groups by label, each in the given order; an availability zone is one group, or several
+// of about equal size.
+func divideIntoGroups(ordered []cherrykeel.Peer) map[string][]string {
 	sizes := map[string]int{}
 	for _, peer := range ordered {
 		sizes[peer.Zone]++
 	}
-	dealt := map[string]int{}
+	assigned := map[string]int{}
 	groups := map[string][]string{}
 	for _, peer := range ordered {
-		parts := (sizes[peer.Zone] + groupHosts - 1) / groupHosts
-		label := peer.Zone + "/" + strconv.Itoa(dealt[peer.Zone]%parts)
-		dealt[peer.Zone]++
+		groupCount := (sizes[peer.Zone] + maxGroupHosts - 1) / maxGroupHosts
+		label := peer.Zone + "/" + strconv.Itoa(assigned[peer.Zone]%groupCount)
+		assigned[peer.Zone]++
 		groups[label] = append(groups[label], peer.Name)
 	}
 	return groups
 }
 
-func labels(groups map[string][]string) []string {
+func sortedLabels(groups map[string][]string) []string {
 	all := make([]string, 0, len(groups))
 	for label := range groups {
 		all = append(all, label)
--- a/topo/plan.go
+++ b/topo/plan.go
@@ -5,56 +5,57 @@
 )
 
 const (
-	// MaxFullMeshHosts is up to how many hosts each tells each other one: 12 send some 130 messages in the time in
-	// which 72 would send 5,100, and 72 did not play a quiet day to its end that way.
+	// MaxFullMeshHosts is the largest number of hosts at which each host sends to every other one. 12 hosts send about
+	// 130 messages in the time in which 72 would send 5,100; 72 hosts that did so failed even under light traffic.
 	MaxFullMeshHosts = 12
-	// groupHosts bounds a group. Its head sends one sum to each member about six times a second; 24 sums of
-	// 2 KB are 290 KB/s, a quarter of the smallest link seen, 10 Mbit/s.
-	groupHosts = 24
-	// watchers is how many hosts hear from all. They are spread over the hosts by a hash, so that the loss of
-	// a quarter of them at once takes all four in 1 case of 250; others take their places a second later.
-	watchers = 4
-	// sumsPerTick bounds how many sums a head sends to other heads in a tick of 80 ms: up to four groups hear of each
-	// other in each one. A request takes 0.1 to 0.5 s, and older counts say little.
-	sumsPerTick = 3
-	// slowestSumTicks bounds how old counts of other groups become.
-	slowestSumTicks = 4
-	// relaysPerGroup is how many hosts of each group pass on what is told to all, so that neither one that has died
-	// unnoticed nor a lost datagram leaves a group without it.
-	relaysPerGroup = 2
-	// mostWatchers bounds them with those whom the store does not serve. While it serves nobody, each that said so was
-	// followed by the next one, and in 3 s of an outage dozens of 195 hosts told all others; of twelve that are spread
-	// over the hosts one is served unless nearly nobody is.
-	mostWatchers = 3 * watchers
+	// maxGroupHosts bounds the size of a group. Its aggregator sends one sum to each member about six times a second;
+	// 24 sums of 2 KB are 290 KB/s, a quarter of the smallest link, 10 Mbit/s.
+	maxGroupHosts = 24
+	// hubCount is the number of hubs. They are spread over the hosts by a hash, so that a failure of a quarter of the
+	// hosts includes all four in 1 case of 250; others replace them a second later.
+	hubCount = 4
+	// maxSumsPerTick bounds the sums that an aggregator sends to other aggregators in a tick of 80 ms: up to four
+	// groups exchange their sums in each tick. A request takes 0.1 to 0.5 s, so older counts are of little use.
+	maxSumsPerTick = 3
+	// maxSumTicks bounds the age of the counts of other groups, in ticks.
+	maxSumTicks = 4
+	// forwardersPerGroup is the number of hosts of each group that forward announcements to it. With two, neither an
+	// undetected crash nor a lost datagram leaves a group without an announcement.
+	forwardersPerGroup = 2
+	// maxHubs bounds the hubs including those to which the store is unavailable. Without it, while the store serves no
+	// host, each hub that reports this adds the next host as a hub: within 3 s of an outage dozens of 195 hosts sent to
+	// all others. Of twelve hubs that are spread over the hosts, the store serves at least one unless it serves almost
+	// no host.
+	maxHubs = 3 * hubCount
 )
 
-// View is what a host knows of the others' state.
+// View is what a host knows of the state of the other hosts.
 type View interface {
-	// IsUnreachable reports whether a host should have been heard and has not.
+	// IsUnreachable reports whether an expected report of a host is missing.
 	IsUnreachable(name string) bool
-	// IsStoreUnreachable reports whether a host says that the store does not serve it.
+	// IsStoreUnreachable reports whether a host reports that the store is unavailable to it.
 	IsStoreUnreachable(name string) bool
 }
 
-// Plan says to whom one host sends.
+// Plan determines to which hosts one host sends.
 type Plan struct {
-	// FullMesh means that each host tells each other one, and nothing else of the plan counts.
+	// FullMesh means that each host sends to every other one; the rest of the plan does not apply then.
 	FullMesh bool
-	// Order has all hosts: those that can carry most first, the others by a hash.
+	// Order has all hosts: first those with the highest capacity, and by a hash of their names among equals.
 	Order []string
-	// Hubs hear the reports of all hosts and send theirs to all.
+	// Hubs receive the reports of all hosts and send theirs to all.
 	Hubs []string
-	// Group has the hosts of this host's group, itself included, and Head sums up their loads.
+	// Group has the hosts of this host's group, including itself; Aggregator sums their loads.
 	Group      []string
 	Aggregator string
-	// Aggregators are the heads of the other groups, as far as this host can tell.
+	// Aggregators are the aggregators of the other groups, as far as this host can tell.
 	Aggregators []string
-	// Forwarders are the hosts of the other groups that pass on to their groups what is told to all.
+	// Forwarders are the hosts of the other groups that forward announcements to their groups.
 	Forwarders []string
-	// GroupLabel names this host's group.
+	// GroupLabel is the label of this host's group.
 	GroupLabel string
 
-	places map[string]int
+	ranks map[string]int
 }
 
 // New returns the plan of the host named self; peers include it.
@@ -62,47 +63,47 @@
 	return NewFleet(self, peers).Plan(view)
 }
 
-// Plan returns the present plan by what is known of the hosts.
+// Plan returns the plan for the present state of the hosts.
 func (fleet *Fleet) Plan(view View) Plan {
 	plan := Plan{
-		FullMesh: len(fleet.order) <= MaxFullMeshHosts,
-		Order:    fleet.order, GroupLabel: fleet.label, Group: fleet.groups[fleet.label],
-		places: fleet.places,
+		FullMesh: len(fleet.names) <= MaxFullMeshHosts,
+		Order:    fleet.names, GroupLabel: fleet.ownLabel, Group: fleet.groups[fleet.ownLabel],
+		ranks: fleet.ranks,
 	}
-	plan.Hubs = chooseWatchers(fleet.self, fleet.order, view)
+	plan.Hubs = chooseHubs(fleet.self, fleet.names, view)
 	if len(plan.Group) > 0 {
-		plan.Aggregator = first(fleet.self, plan.Group, view)
+		plan.Aggregator = firstReachable(fleet.self, plan.Group, view)
 	}
 	for _, label := range fleet.labels {
 		if label != plan.GroupLabel {
-			plan.Aggregators = append(plan.Aggregators, first(fleet.self, fleet.groups[label], view))
-			plan.Forwarders = append(plan.Forwarders, heard(fleet.groups[label], view)...)
+			plan.Aggregators = append(plan.Aggregators, firstReachable(fleet.self, fleet.groups[label], view))
+			plan.Forwarders = append(plan.Forwarders, reachableForwarders(fleet.groups[label], view)...)
 		}
 	}
 	return plan
 }
 
-// IsHub reports whether a host is a watcher.
+// IsHub reports whether a host is a hub.
 func (plan Plan) IsHub(name string) bool {
 	return contains(plan.Hubs, name)
 }
 
-// Rank returns a host's place in the order, or the number of hosts if it is not there.
+// Rank returns a host's position in the order, from 0, or the number of hosts if it is not there.
 func (plan Plan) Rank(name string) int {
-	place, known := plan.places[name]
+	place, known := plan.ranks[name]
 	if !known {
 		return len(plan.Order)
 	}
 	return place
 }
 
-// chooseWatchers takes the first hosts that are heard. One whom the store does not serve is kept, but does
-// not count: it could not read the store for the others, nor claim the keeping of spans.
-func chooseWatchers(self string, order []string, view View) []string {
+// chooseHubs returns the first reachable hosts. A host to which the store is unavailable is included but does not count
+// toward hubCount: it could not read the store for the others, nor claim the keeper's role.
+func chooseHubs(self string, order []string, view View) []string {
 	var chosen []string
 	counted := 0
 	for _, name := range order {
-		if counted == watchers || len(chosen) == mostWatchers {
+		if counted == hubCount || len(chosen) == maxHubs {
 			break
 		}
 		if name != self && view.IsUnreachable(name) {
@@ -116,8 +117,8 @@
 	return chosen
 }
 
-// first returns the first host that is not silent, or the first if all are.
-func first(self string, names []string, view View) string {
+// firstReachable returns the first reachable host, or the first of all if none is reachable.
+func firstReachable(self string, names []string, view View) string {
 	for _, name := range names {
 		if name == self || !view.IsUnreachable(name) {
 			return name
@@ -126,16 +127,16 @@
 	return names[0]
 }
 
-// heard returns the first hosts of a group that are not silent, or the first ones if all are.
-func heard(names []string, view View) []string {
+// reachableForwarders returns the first reachable hosts of a group, or the first ones if none is reachable.
+func reachableForwarders(names []string, view View) []string {
 	var relays []string
 	for _, name := range names {
-		if len(relays) < relaysPerGroup && !view.IsUnreachable(name) {
+		if len(relays) < forwardersPerGroup && !view.IsUnreachable(name) {
 			relays = append(relays, name)
 		}
 	}
 	if len(relays) == 0 {
-		return names[:min(relaysPerGroup, len(names))]
+		return names[:min(forwardersPerGroup, len(names))]
 	}
 	return relays
 }
@@ -149,8 +150,9 @@
 	return false
 }
 
-// SumTicks returns in how many ticks once a head tells the other heads its sum, and its group theirs.
+// SumTicks returns the interval, in ticks, at which an aggregator sends its sum to the other aggregators, and their
+// sums to its group.
 func (plan Plan) SumTicks() int {
-	ticks := (len(plan.Aggregators) + sumsPerTick - 1) / sumsPerTick
-	return min(max(1, ticks), slowestSumTicks)
+	ticks := (len(plan.Aggregators) + maxSumsPerTick - 1) / maxSumsPerTick
+	return min(max(1, ticks), maxSumTicks)
 }
