--- a/caller/answer.go
+++ b/caller/answer.go
@@ -16,11 +16,11 @@
 	done chan struct{}
 	once sync.Once
 	// aborted answers end the connection without a byte.
-	aborted bool
-	request *http.Request
-	held    int64
-	// last answers are followed by the connection's close, which the caller asked for or the host decided.
-	last bool
+	aborted  bool
+	request  *http.Request
+	acquired int64
+	// closeAfter answers are followed by the connection's close, which the caller asked for or the host decided.
+	closeAfter bool
 }
 
 func newAnswer(request *http.Request) *answer {
@@ -49,8 +49,8 @@
 	answer.once.Do(func() { close(answer.done) })
 }
 
-// bodiless reports whether the answer must not have a body, whatever its headers say.
-func (answer *answer) bodiless() bool {
+// isBodiless reports whether the answer must not have a body, whatever its headers say.
+func (answer *answer) isBodiless() bool {
 	if answer.request != nil && answer.request.Method == http.MethodHead {
 		return true
 	}
@@ -64,19 +64,19 @@
 	}
 	header := answer.header
 	header.Del("Transfer-Encoding")
-	if answer.last {
+	if answer.closeAfter {
 		header.Set("Connection", "close")
 	} else {
 		header.Del("Connection")
 	}
-	if !answer.bodiless() {
+	if !answer.isBodiless() {
 		header.Set("Content-Length", strconv.Itoa(answer.body.Len()))
 	}
 	var buffer bytes.Buffer
 	buffer.WriteString("HTTP/1.1 " + strconv.Itoa(answer.status) + " " + http.StatusText(answer.status) + "\r\n")
 	_ = header.Write(&buffer)
 	buffer.WriteString("\r\n")
-	if !answer.bodiless() {
+	if !answer.isBodiless() {
 		buffer.Write(answer.body.Bytes())
 	}
 	return buffer.Bytes()
--- a/caller/body.go
+++ b/caller/body.go
@@ -12,39 +12,39 @@
 	"github.com/pkg/errors"
 )
 
-// memory bounds the bodies that are held at once, so that large ones cannot get the process killed
+// bodyMemory bounds the bodies that are held at once, so that large ones cannot get the process killed
 // with all its requests. A body may take half of what is left: the more is held, the smaller a body
 // has to be, so a few large ones leave room for the usual small ones.
-type memory struct {
+type bodyMemory struct {
 	mutex sync.Mutex
 	limit int64
-	held  int64
+	inUse int64
 }
 
-// freeBytes is always granted; a body as small as this is not worth a refusal.
-const freeBytes = 16 << 10
+// alwaysGrantedBytes is always granted; a body as small as this is not worth a refusal.
+const alwaysGrantedBytes = 16 << 10
 
-func (memory *memory) take(size int64) bool {
+func (memory *bodyMemory) acquire(size int64) bool {
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
-	if size > freeBytes && size > (memory.limit-memory.held)/2 {
+	if size > alwaysGrantedBytes && size > (memory.limit-memory.inUse)/2 {
 		return false
 	}
-	memory.held += size
+	memory.inUse += size
 	return true
 }
 
-func (memory *memory) giveBack(size int64) {
+func (memory *bodyMemory) release(size int64) {
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
-	memory.held -= size
+	memory.inUse -= size
 }
 
 // body is a request's whole body.
 type body struct {
 	data []byte
-	// held is what the memory counts for it.
-	held int64
+	// acquired is what the memory counts for it.
+	acquired int64
 }
 
 // BufferedBody is a request's body that has been read; handlers need not copy it.
@@ -66,7 +66,7 @@
 // bodyReader reads one body within the limits.
 type bodyReader struct {
 	reader *bufio.Reader
-	memory *memory
+	memory *bodyMemory
 	limit  int64
 	body   body
 }
@@ -76,25 +76,25 @@
 	if length == lengthUnknown {
 		err = bodyReader.readChunks()
 	} else {
-		err = bodyReader.extend(length)
+		err = bodyReader.readMore(length)
 	}
 	if err != nil {
-		bodyReader.memory.giveBack(bodyReader.body.held)
+		bodyReader.memory.release(bodyReader.body.acquired)
 		return body{}, err
 	}
 	return bodyReader.body, nil
 }
 
-// extend reads that many more bytes of the body.
-func (bodyReader *bodyReader) extend(size int64) error {
+// readMore reads that many more bytes of the body.
+func (bodyReader *bodyReader) readMore(size int64) error {
 	already := int64(len(bodyReader.body.data))
 	if size > bodyReader.limit-already {
 		return errors.WithStack(ErrBodyTooLarge)
 	}
-	if !bodyReader.memory.take(size) {
+	if !bodyReader.memory.acquire(size) {
 		return errors.WithStack(ErrNoMemory)
 	}
-	bodyReader.body.held += size
+	bodyReader.body.acquired += size
 	// Grown by shares: a body of 64 MiB in chunks of 1 KB would else be copied 65,000 times.
 	bodyReader.body.data = slices.Grow(bodyReader.body.data, int(size))[:already+size]
 	_, err := io.ReadFull(bodyReader.reader, bodyReader.body.data[already:])
@@ -109,14 +109,14 @@
 		if err != nil {
 			return err
 		}
-		size, err := chunkSize(line)
+		size, err := parseChunkSize(line)
 		if err != nil {
 			return err
 		}
 		if size == 0 {
 			return skipTrailer(bodyReader.reader)
 		}
-		err = bodyReader.extend(size)
+		err = bodyReader.readMore(size)
 		if err != nil {
 			return err
 		}
@@ -130,7 +130,7 @@
 	}
 }
 
-func chunkSize(line string) (int64, error) {
+func parseChunkSize(line string) (int64, error) {
 	digits, _, _ := strings.Cut(line, ";")
 	digits = strings.TrimRight(digits, " \t")
 	size, err := strconv.ParseUint(digits, 16, 40)
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -23,7 +23,7 @@
 	RunSpecs(t, "caller")
 }
 
-const generous = "20s"
+const testTimeout = "20s"
 
 // serve starts a server and returns it with a way to connect.
 func serve(handler http.HandlerFunc, options ...caller.Option) (*caller.Server, func() net.Conn) {
@@ -65,7 +65,7 @@
 	return response.StatusCode, string(body), response.Header
 }
 
-func limits(change func(*cherrykeel.CallerLimits)) caller.Option {
+func withLimits(change func(*cherrykeel.CallerLimits)) caller.Option {
 	return caller.WithLimits(func() cherrykeel.CallerLimits {
 		limits := caller.DefaultLimits()
 		change(&limits)
@@ -149,7 +149,7 @@
 	)
 
 	DescribeTable("bounds what a caller may send", func(text string, expected int) {
-		_, connect := serve(echo, limits(func(limits *cherrykeel.CallerLimits) {
+		_, connect := serve(echo, withLimits(func(limits *cherrykeel.CallerLimits) {
 			limits.HeaderBytes = 200
 			limits.BodyBytes = 10
 			limits.HeaderTimeout = 50 * time.Millisecond
@@ -179,7 +179,7 @@
 			status, _, header := answer(bufio.NewReader(socket))
 			Expect(header.Get("Retry-After")).NotTo(BeEmpty())
 			return status
-		}, generous).Should(Equal(http.StatusServiceUnavailable))
+		}, testTimeout).Should(Equal(http.StatusServiceUnavailable))
 	})
 
 	// The caller sends three safe requests at once. They run beside each other, and the answers come in the
@@ -195,7 +195,7 @@
 		socket := connect()
 		send(socket, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\nGET /3 HTTP/1.1\r\nHost: h\r\n\r\n")
 		for range 3 {
-			Eventually(started, generous).Should(Receive())
+			Eventually(started, testTimeout).Should(Receive())
 		}
 		close(release["/3"])
 		close(release["/2"])
@@ -220,10 +220,10 @@
 		})
 		socket := connect()
 		send(socket, "GET / HTTP/1.1\r\nHost: h\r\n\r\nPOST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
-		Eventually(started, generous).Should(Receive(Equal("GET")))
+		Eventually(started, testTimeout).Should(Receive(Equal("GET")))
 		Consistently(started, "100ms").ShouldNot(Receive())
 		close(release)
-		Eventually(started, generous).Should(Receive(Equal("POST")))
+		Eventually(started, testTimeout).Should(Receive(Equal("POST")))
 	})
 
 	// A caller leaves while its requests run, one of them still unread behind the others. Each has to end,
@@ -238,11 +238,11 @@
 		})
 		socket := connect()
 		send(socket, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\nPOST /3 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc")
-		Eventually(started, generous).Should(Receive())
-		Eventually(started, generous).Should(Receive())
+		Eventually(started, testTimeout).Should(Receive())
+		Eventually(started, testTimeout).Should(Receive())
 		_ = socket.Close()
-		Eventually(ended, generous).Should(Receive())
-		Eventually(ended, generous).Should(Receive())
+		Eventually(ended, testTimeout).Should(Receive())
+		Eventually(ended, testTimeout).Should(Receive())
 	})
 
 	// The host is told to stop. Requests that run are answered whole, each connection ends with its next
@@ -258,8 +258,8 @@
 		idle := connect()
 		busy := connect()
 		send(busy, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		Eventually(started, generous).Should(Receive())
-		Eventually(server.OpenConns, generous).Should(Equal(2))
+		Eventually(started, testTimeout).Should(Receive())
+		Eventually(server.OpenConns, testTimeout).Should(Equal(2))
 		server.DisableKeepAlives()
 		server.CloseIdle()
 		_, err := bufio.NewReader(idle).ReadByte()
@@ -270,7 +270,7 @@
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(body).To(Equal("whole"))
 		Expect(header.Get("Connection")).To(Equal("close"))
-		Eventually(server.OpenConns, generous).Should(BeZero())
+		Eventually(server.OpenConns, testTimeout).Should(BeZero())
 	})
 
 	It("reads a large body in many small chunks", func() {
@@ -288,7 +288,7 @@
 	})
 
 	It("ends a connection that was idle for too long", func() {
-		_, connect := serve(echo, limits(func(limits *cherrykeel.CallerLimits) { limits.IdleTimeout = 30 * time.Millisecond }))
+		_, connect := serve(echo, withLimits(func(limits *cherrykeel.CallerLimits) { limits.IdleTimeout = 30 * time.Millisecond }))
 		_, err := bufio.NewReader(connect()).ReadByte()
 		Expect(err).To(Equal(io.EOF))
 	})
@@ -302,7 +302,7 @@
 				<-running
 			}
 			_, _ = io.WriteString(writer, "done")
-		}, limits(func(limits *cherrykeel.CallerLimits) { limits.IdleTimeout = 10 * time.Millisecond }))
+		}, withLimits(func(limits *cherrykeel.CallerLimits) { limits.IdleTimeout = 10 * time.Millisecond }))
 		conn := connect()
 		reader := bufio.NewReader(conn)
 		for _, path := range []string{"/slow", "/"} {
--- a/caller/head.go
+++ b/caller/head.go
@@ -109,11 +109,11 @@
 
 // headFields collects the fields that say where a body ends and who is asked.
 type headFields struct {
-	length  int64
-	lengths int
-	chunked bool
-	codings int
-	hosts   int
+	length      int64
+	lengthCount int
+	chunked     bool
+	codingCount int
+	hostCount   int
 }
 
 func (fields *headFields) add(line string) error {
@@ -127,18 +127,18 @@
 	}
 	switch strings.ToLower(name) {
 	case "host":
-		fields.hosts++
+		fields.hostCount++
 	case "content-length":
 		return fields.addLength(value)
 	case "transfer-encoding":
-		fields.codings++
+		fields.codingCount++
 		fields.chunked = strings.EqualFold(value, "chunked")
 	}
 	return nil
 }
 
 func (fields *headFields) addLength(value string) error {
-	fields.lengths++
+	fields.lengthCount++
 	length, err := strconv.ParseUint(value, 10, 62)
 	if err != nil || strings.HasPrefix(value, "+") {
 		return errors.Wrap(ErrMalformed, "the length is no number")
@@ -149,13 +149,13 @@
 
 func (fields *headFields) bodyLength(hostNeeded bool) (int64, error) {
 	switch {
-	case fields.hosts > 1 || hostNeeded && fields.hosts == 0:
+	case fields.hostCount > 1 || hostNeeded && fields.hostCount == 0:
 		return 0, errors.Wrap(ErrMalformed, "the request names not exactly one host")
-	case fields.lengths > 1:
+	case fields.lengthCount > 1:
 		return 0, errors.Wrap(ErrMalformed, "the request has more than one length")
-	case fields.lengths > 0 && fields.codings > 0:
+	case fields.lengthCount > 0 && fields.codingCount > 0:
 		return 0, errors.Wrap(ErrMalformed, "the request has both a length and a transfer coding")
-	case fields.codings > 1 || fields.codings == 1 && !fields.chunked:
+	case fields.codingCount > 1 || fields.codingCount == 1 && !fields.chunked:
 		return 0, errors.Wrap(ErrMalformed, "the transfer coding is not chunked")
 	case fields.chunked:
 		return lengthUnknown, nil
--- a/caller/idle_test.go
+++ b/caller/idle_test.go
@@ -20,24 +20,24 @@
 	"cherrykeel/sock"
 )
 
-// busyHost lets the goroutines of the process run one at a time, as on a host that is short of processor time: what
+// useOneProcessor lets the goroutines of the process run one at a time, as on a host that is short of processor time: what
 // has come on a socket stays unread until the running goroutine gives way.
-func busyHost() {
+func useOneProcessor() {
 	before := runtime.GOMAXPROCS(1)
 	DeferCleanup(func() { runtime.GOMAXPROCS(before) })
 }
 
-// giveWay lets other goroutines run that many times.
-func giveWay(times int) {
+// yieldTimes lets other goroutines run that many times.
+func yieldTimes(times int) {
 	for range times {
 		runtime.Gosched()
 	}
 }
 
 const (
-	// mostSteps is more often than a request's bytes pass from goroutine to goroutine until it is taken.
-	mostSteps     = 12
-	roundsOfSteps = 5
+	// maxSteps is more often than a request's bytes pass from goroutine to goroutine until it is taken.
+	maxSteps      = 12
+	roundsPerStep = 5
 )
 
 var _ = Describe("connections that a stopping host closes as idle", func() {
@@ -52,8 +52,8 @@
 
 	// Guards against a request that came in time and is given up, since the host has not looked at it yet.
 	It("answers a request that has come before the close, however far it has been read", func() {
-		busyHost()
-		for steps := range mostSteps * roundsOfSteps {
+		useOneProcessor()
+		for steps := range maxSteps * roundsPerStep {
 			server, connect := serve(echo)
 			rested := connect()
 			ask(rested)
@@ -61,7 +61,7 @@
 			time.Sleep(time.Millisecond)
 			server.DisableKeepAlives()
 			ask(rested)
-			giveWay(steps % mostSteps)
+			yieldTimes(steps % maxSteps)
 			server.CloseIdle()
 			expectAnswer(rested)
 		}
@@ -78,7 +78,7 @@
 		first, err := http.ReadResponse(reader, nil)
 		Expect(err).NotTo(HaveOccurred())
 		server.DisableKeepAlives()
-		for range mostSteps {
+		for range maxSteps {
 			server.CloseIdle()
 			time.Sleep(time.Millisecond)
 		}
@@ -102,9 +102,9 @@
 			return caller.DefaultLimits()
 		}))
 		socket := connect()
-		Eventually(looks.Load, generous).Should(BeNumerically(">", 0))
+		Eventually(looks.Load, testTimeout).Should(BeNumerically(">", 0))
 		ask(socket)
-		Eventually(func() bool { return sock.HasUnacknowledged(socket.(*net.TCPConn)) }, generous).Should(BeFalse())
+		Eventually(func() bool { return sock.HasUnacknowledged(socket.(*net.TCPConn)) }, testTimeout).Should(BeFalse())
 		time.Sleep(time.Millisecond)
 		server.DisableKeepAlives()
 		server.CloseIdle()
@@ -117,23 +117,23 @@
 		core, logged := observer.New(zap.DebugLevel)
 		server, connect := serve(echo, caller.WithLogger(zap.New(core)))
 		socket := connect()
-		Eventually(server.OpenConns, generous).Should(Equal(1))
+		Eventually(server.OpenConns, testTimeout).Should(Equal(1))
 		server.CloseIdle()
 		_, err := bufio.NewReader(socket).ReadByte()
 		Expect(err).To(Equal(io.EOF))
 		_, _ = io.WriteString(socket, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		Eventually(server.OpenConns, generous).Should(BeZero())
+		Eventually(server.OpenConns, testTimeout).Should(BeZero())
 		Eventually(func() error {
 			_, err := io.WriteString(socket, "x")
 			return err
-		}, generous).Should(HaveOccurred())
+		}, testTimeout).Should(HaveOccurred())
 		Expect(logged.FilterMessage(events.RequestAfterClose.Text).All()).To(BeEmpty())
 	})
 
 	// Guards against the first request of a connection being given up, since it was accepted just before the close.
 	It("answers the first request of a connection that it has just accepted", func() {
-		busyHost()
-		for steps := range mostSteps * roundsOfSteps {
+		useOneProcessor()
+		for steps := range maxSteps * roundsPerStep {
 			server, connect := serve(echo)
 			socket := connect()
 			ask(socket)
@@ -141,7 +141,7 @@
 				runtime.Gosched()
 			}
 			server.DisableKeepAlives()
-			giveWay(steps % mostSteps)
+			yieldTimes(steps % maxSteps)
 			server.CloseIdle()
 			expectAnswer(socket)
 		}
--- a/caller/pump.go
+++ b/caller/pump.go
@@ -11,25 +11,25 @@
 
 const (
 	chunkBytes = 4 << 10
-	// aheadChunks bounds what is read before it is asked for: 64 KiB a connection. Within it the
+	// readAheadChunks bounds what is read before it is asked for: 64 KiB a connection. Within it the
 	// end of the connection is seen at once, also behind pipelined requests.
-	aheadChunks = 16
+	readAheadChunks = 16
 )
 
 // pump reads a socket all the time, so that a caller that leaves is noticed while its request runs.
 type pump struct {
-	intake *sock.Reader
+	reader *sock.Reader
 	chunks chan []byte
-	rest   []byte
-	// handed counts the bytes that Read has returned; the reading goroutine alone uses it.
-	handed int64
-	// stopped lets the reading goroutine end when nobody takes its chunks any more.
-	stopped  chan struct{}
+	unread []byte
+	// returnedBytes counts the bytes that Read has returned; the reading goroutine alone uses it.
+	returnedBytes int64
+	// done lets the reading goroutine end when nobody takes its chunks any more.
+	done     chan struct{}
 	deadline time.Time
 }
 
 func newPump(socket net.Conn, onEnd func()) *pump {
-	pump := &pump{intake: sock.NewReader(socket), chunks: make(chan []byte, aheadChunks), stopped: make(chan struct{})}
+	pump := &pump{reader: sock.NewReader(socket), chunks: make(chan []byte, readAheadChunks), done: make(chan struct{})}
 	go pump.run(onEnd)
 	return pump
 }
@@ -39,12 +39,12 @@
 	defer onEnd()
 	buffer := make([]byte, chunkBytes)
 	for {
-		count, err := pump.intake.Read(buffer)
+		count, err := pump.reader.Read(buffer)
 		if count > 0 {
 			chunk := append([]byte(nil), buffer[:count]...)
 			select {
 			case pump.chunks <- chunk:
-			case <-pump.stopped:
+			case <-pump.done:
 				return
 			}
 		}
@@ -61,19 +61,19 @@
 
 // Read implements io.Reader.
 func (pump *pump) Read(buffer []byte) (int, error) {
-	if len(pump.rest) == 0 {
-		err := pump.fill()
+	if len(pump.unread) == 0 {
+		err := pump.nextChunk()
 		if err != nil {
 			return 0, err
 		}
 	}
-	count := copy(buffer, pump.rest)
-	pump.rest = pump.rest[count:]
-	pump.handed += int64(count)
+	count := copy(buffer, pump.unread)
+	pump.unread = pump.unread[count:]
+	pump.returnedBytes += int64(count)
 	return count, nil
 }
 
-func (pump *pump) fill() error {
+func (pump *pump) nextChunk() error {
 	var late <-chan time.Time
 	if !pump.deadline.IsZero() {
 		timer := time.NewTimer(time.Until(pump.deadline))
@@ -82,21 +82,21 @@
 	}
 	select {
 	case chunk, open := <-pump.chunks:
-		return pump.take(chunk, open)
+		return pump.setChunk(chunk, open)
 	case <-late:
 	}
 	// On a busy host the time can be up before this goroutine sees what came within it.
-	if !pump.intake.HasMoreThan(pump.handed) {
+	if !pump.reader.HasMoreThan(pump.returnedBytes) {
 		return os.ErrDeadlineExceeded
 	}
 	chunk, open := <-pump.chunks
-	return pump.take(chunk, open)
+	return pump.setChunk(chunk, open)
 }
 
-func (pump *pump) take(chunk []byte, open bool) error {
+func (pump *pump) setChunk(chunk []byte, open bool) error {
 	if !open {
 		return io.EOF
 	}
-	pump.rest = chunk
+	pump.unread = chunk
 	return nil
 }
--- a/caller/read.go
+++ b/caller/read.go
@@ -19,25 +19,25 @@
 	idleGrace = time.Second
 )
 
-func (conn *conn) readAll() {
+func (conn *conn) readLoop() {
 	defer close(conn.answers)
 	defer func() {
 		failure := recover()
 		if failure != nil {
-			conn.panicked(failure)
+			conn.logPanic(failure)
 		}
 	}()
-	for conn.readOne() {
+	for conn.readRequest() {
 	}
 }
 
-// readOne reads a request and hands it to the handler; it reports whether another may follow.
-func (conn *conn) readOne() bool {
-	if !conn.await() {
+// readRequest reads a request and hands it to the handler; it reports whether another may follow.
+func (conn *conn) readRequest() bool {
+	if !conn.awaitRequest() {
 		return false
 	}
-	if !conn.begin() {
-		conn.noteCrossed()
+	if !conn.isAccepting() {
+		conn.logCrossedRequest()
 		return false
 	}
 	limits := conn.server.limits()
@@ -57,12 +57,12 @@
 	return conn.dispatch(request, body)
 }
 
-// await waits for the first byte of a request; false if there will be none, or the connection has been idle
+// awaitRequest waits for the first byte of a request; false if there will be none, or the connection has been idle
 // for too long. It is idle from its last answer on, and by the limit that is in force when its time is up.
-func (conn *conn) await() bool {
+func (conn *conn) awaitRequest() bool {
 	for {
-		left := conn.idleLeft()
-		if left <= 0 && conn.endIdle() {
+		left := conn.idleTimeLeft()
+		if left <= 0 && conn.stopIfIdle() {
 			return false
 		}
 		if left <= 0 {
@@ -79,12 +79,12 @@
 	}
 }
 
-// idleLeft returns for how long the connection may still wait for a request.
-func (conn *conn) idleLeft() time.Duration {
+// idleTimeLeft returns for how long the connection may still wait for a request.
+func (conn *conn) idleTimeLeft() time.Duration {
 	allowed := conn.server.limits().IdleTimeout + idleGrace
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	if conn.open > 0 {
+	if conn.unanswered > 0 {
 		return allowed
 	}
 	return allowed - time.Since(conn.idleSince)
@@ -96,17 +96,17 @@
 		return body{}, errors.WithStack(ErrBodyTooLarge)
 	}
 	if request.Header.Get("Expect") != "" && length != 0 {
-		conn.proceed()
+		conn.sendContinue()
 	}
 	conn.pump.setDeadline(time.Now().Add(bodyTimeout))
 	reader := bodyReader{reader: conn.reader, memory: conn.server.memory, limit: limits.BodyBytes}
 	return reader.read(length)
 }
 
-// proceed asks for a body that the caller holds back, once the answers before it are written. An answer counts as
+// sendContinue asks for a body that the caller holds back, once the answers before it are written. An answer counts as
 // unwritten for a moment after its bytes have gone out; a caller that sends its next request at once was never asked
 // for the body then, and got a timeout in place of its answer.
-func (conn *conn) proceed() {
+func (conn *conn) sendContinue() {
 	if conn.awaitAnswers() {
 		_, _ = conn.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
@@ -116,31 +116,31 @@
 func (conn *conn) awaitAnswers() bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	conn.awaitWritten()
+	conn.awaitAnswersLocked()
 	return !conn.closing && conn.ctx.Err() == nil
 }
 
-// awaitWritten waits until all answers are written or the connection ends; conn.mutex is held.
-func (conn *conn) awaitWritten() {
-	for conn.open > 0 && conn.ctx.Err() == nil && !conn.closing {
-		conn.written.Wait()
+// awaitAnswersLocked waits until all answers are written or the connection ends; conn.mutex is held.
+func (conn *conn) awaitAnswersLocked() {
+	for conn.unanswered > 0 && conn.ctx.Err() == nil && !conn.closing {
+		conn.stateChanged.Wait()
 	}
 }
 
-// begin reports whether the connection still takes requests.
-func (conn *conn) begin() bool {
+// isAccepting reports whether the connection still takes requests.
+func (conn *conn) isAccepting() bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	return !conn.closing
 }
 
-// noteCrossed logs that a request came too late to be taken: its caller has to send it again.
-func (conn *conn) noteCrossed() {
+// logCrossedRequest logs that a request came too late to be taken: its caller has to send it again.
+func (conn *conn) logCrossedRequest() {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	now := time.Now()
 	events.Log(conn.server.logger, events.RequestAfterClose,
 		zap.String("Caller", conn.socket.RemoteAddr().String()),
-		zap.Duration("Opened", now.Sub(conn.openedAt)), zap.Duration("Closed", now.Sub(conn.closedAt)),
-		zap.Int("Answered", conn.answered), zap.Int("Open", conn.open))
+		zap.Duration("Opened", now.Sub(conn.openedAt)), zap.Duration("Closed", now.Sub(conn.closingSince)),
+		zap.Int("Answered", conn.answerCount), zap.Int("Open", conn.unanswered))
 }
--- a/caller/server.go
+++ b/caller/server.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// defaultMemory bounds held bodies when no setting does.
-	defaultMemory = 64 << 20
+	// defaultBodyMemory bounds held bodies when no setting does.
+	defaultBodyMemory = 64 << 20
 	// memoryRetryAfter, in seconds, is about how long the bodies held take to be sent on.
 	memoryRetryAfter = "0.3"
-	// acceptPause is waited when no connection can be taken, as when descriptors have run out.
-	acceptPause = 20 * time.Millisecond
+	// acceptRetryDelay is waited when no connection can be taken, as when descriptors have run out.
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
 // defaultLimits hold until the operator's are known; they are the widest that operators use.
@@ -37,12 +37,12 @@
 type Server struct {
 	handler http.Handler
 	limits  func() cherrykeel.CallerLimits
-	memory  *memory
+	memory  *bodyMemory
 	logger  *zap.Logger
 
-	ending atomic.Bool
-	mutex  sync.Mutex
-	conns  map[*conn]bool
+	stopping atomic.Bool
+	mutex    sync.Mutex
+	conns    map[*conn]bool
 }
 
 // Option changes a Server under construction.
@@ -74,7 +74,7 @@
 	server := &Server{
 		handler: handler,
 		limits:  func() cherrykeel.CallerLimits { return defaultLimits },
-		memory:  &memory{limit: defaultMemory},
+		memory:  &bodyMemory{limit: defaultBodyMemory},
 		logger:  zap.NewNop(),
 		conns:   map[*conn]bool{},
 	}
@@ -90,18 +90,18 @@
 		socket, err := listener.Accept()
 		if err == nil {
 			// Counted before its goroutine runs, so that a stopping host does not end meanwhile.
-			go server.serve(server.open(socket))
+			go server.serve(server.addConn(socket))
 			continue
 		}
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		events.Log(server.logger, events.AcceptFailed, zap.Error(err))
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-func (server *Server) open(socket net.Conn) *conn {
+func (server *Server) addConn(socket net.Conn) *conn {
 	conn := newConn(server, socket)
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -118,18 +118,18 @@
 
 // DisableKeepAlives lets each connection end with its next answer; requests go on being taken until then.
 func (server *Server) DisableKeepAlives() {
-	server.ending.Store(true)
+	server.stopping.Store(true)
 }
 
 // CloseIdle ends the connections on which nothing is read, waits or runs. Meanwhile others can be counted and taken:
 // thousands of closes on a slow processor would else hold up the stop.
 func (server *Server) CloseIdle() {
-	for _, conn := range server.current() {
-		conn.closeIdle()
+	for _, conn := range server.openConns() {
+		conn.closeIfIdle()
 	}
 }
 
-func (server *Server) current() []*conn {
+func (server *Server) openConns() []*conn {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return slices.Collect(maps.Keys(server.conns))
@@ -142,11 +142,11 @@
 	return len(server.conns)
 }
 
-func (server *Server) stopping() bool {
-	return server.ending.Load()
+func (server *Server) isStopping() bool {
+	return server.stopping.Load()
 }
 
-func (server *Server) refused(conn *conn, err error, status int) {
+func (server *Server) logRefused(conn *conn, err error, status int) {
 	events.Log(server.logger, events.RequestRefusedEarly,
 		zap.String("Caller", conn.socket.RemoteAddr().String()),
 		zap.Int("Status", status),
--- a/caller/stop_test.go
+++ b/caller/stop_test.go
@@ -25,7 +25,7 @@
 				server.Serve(listener)
 			}()
 			callers := fakes.StartCallers(16, fakes.AskAnew("http://"+listener.Addr().String()))
-			Eventually(callers.Answered, generous).Should(BeNumerically(">", 100))
+			Eventually(callers.Answered, testTimeout).Should(BeNumerically(">", 100))
 
 			server.DisableKeepAlives()
 			Expect(listener.Stop()).To(Succeed())
@@ -34,7 +34,7 @@
 				server.CloseIdle()
 				return server.OpenConns()
 			}
-			Eventually(open, generous, "1ms").Should(BeZero())
+			Eventually(open, testTimeout, "1ms").Should(BeZero())
 
 			Expect(callers.Failures()).To(HaveEach(MatchError(syscall.ECONNREFUSED)))
 		}
