--- a/conns/care_test.go
+++ b/conns/care_test.go
@@ -71,7 +71,7 @@
 		address := serveConns(func(_ int64, conn *net.TCPConn) {
 			buffer := make([]byte, 4096)
 			_, _ = conn.Read(buffer)
-			_, _ = conn.Write([]byte(whole))
+			_, _ = conn.Write([]byte(fullAnswer))
 			_, _ = conn.Read(buffer)
 			_ = conn.Close()
 		})
@@ -91,7 +91,7 @@
 					reset(conn)
 					return
 				}
-				_, _ = conn.Write([]byte(whole))
+				_, _ = conn.Write([]byte(fullAnswer))
 				rested = time.Now()
 			}
 		}
@@ -119,7 +119,7 @@
 			buffer := make([]byte, 4096)
 			_, _ = conn.Read(buffer)
 			if number == 1 {
-				_, _ = conn.Write([]byte(whole))
+				_, _ = conn.Write([]byte(fullAnswer))
 				_, _ = conn.Read(buffer)
 			}
 			reset(conn)
@@ -132,7 +132,7 @@
 				if err != nil {
 					return
 				}
-				_, _ = conn.Write([]byte(whole))
+				_, _ = conn.Write([]byte(fullAnswer))
 			}
 		})
 		pool := conns.NewPool()
--- a/conns/conn.go
+++ b/conns/conn.go
@@ -17,11 +17,11 @@
 	socket  net.Conn
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// written counts the bytes handed to the socket for the present request.
-	written int
-	since   time.Time
-	// keep is how long the connection may be idle and still be used.
-	keep time.Duration
+	// writtenBytes counts the bytes handed to the socket for the present request.
+	writtenBytes int
+	idleSince    time.Time
+	// idleLimit is how long the connection may be idle and still be used.
+	idleLimit time.Duration
 }
 
 func newConn(address string, socket net.Conn) *conn {
@@ -37,32 +37,32 @@
 
 func (writer countingWriter) Write(data []byte) (int, error) {
 	// Counted before the write: bytes of a write that fails may have left all the same.
-	writer.conn.written += len(data)
+	writer.conn.writtenBytes += len(data)
 	return writer.conn.socket.Write(data)
 }
 
-// rested returns how long the connection was idle before its present request; 0 for a new one.
-func (conn *conn) rested() time.Duration {
-	if conn.since.IsZero() {
+// idleTime returns how long the connection was idle before its present request; 0 for a new one.
+func (conn *conn) idleTime() time.Duration {
+	if conn.idleSince.IsZero() {
 		return 0
 	}
-	return time.Since(conn.since)
+	return time.Since(conn.idleSince)
 }
 
-// stands reports whether a new connection is still open and silent after a while. On a busy host the while can be over
+// staysOpen reports whether a new connection is still open and silent after a while. On a busy host the while can be over
 // before this goroutine sees what came within it, so the socket is asked once more.
-func (conn *conn) stands(watch time.Duration) bool {
+func (conn *conn) staysOpen(watch time.Duration) bool {
 	_ = conn.socket.SetReadDeadline(time.Now().Add(watch))
 	_, err := conn.reader.Peek(1)
 	_ = conn.socket.SetReadDeadline(time.Time{})
-	return errors.Is(err, os.ErrDeadlineExceeded) && conn.silent()
+	return errors.Is(err, os.ErrDeadlineExceeded) && conn.isOpenAndQuiet()
 }
 
-// silent reports whether an idle connection is still open and has nothing to read.
+// isOpenAndQuiet reports whether an idle connection is still open and has nothing to read.
 // An upstream that closed it, or sent an answer nobody asked for, must not get
 // or answer the next request: without the look, a request would be lost on a
 // closed connection, or paired with a late answer to the previous one.
-func (conn *conn) silent() bool {
+func (conn *conn) isOpenAndQuiet() bool {
 	if conn.reader.Buffered() > 0 {
 		return false
 	}
--- a/conns/conns_test.go
+++ b/conns/conns_test.go
@@ -20,8 +20,8 @@
 	RunSpecs(t, "conns")
 }
 
-// scripted answers each request on a connection with the next text, and closes after "close".
-func scripted(texts ...string) string {
+// serveScript answers each request on a connection with the next text, and closes after "close".
+func serveScript(texts ...string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(listener.Close)
@@ -64,14 +64,14 @@
 	return string(body), progress, err
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
+const fullAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
 
 var _ = Describe("a pool of connections", func() {
 	// An upstream sends a second answer that nobody asked for. Were the connection used again,
 	// the next caller would get the answer to somebody else's request.
 	It("does not use a connection on which an unasked answer has arrived", func() {
 		pool := conns.NewPool()
-		address := scripted(whole+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", whole)
+		address := serveScript(fullAnswer+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", fullAnswer)
 		for range 3 {
 			body, _, err := get(pool, context.Background(), address)
 			Expect(err).NotTo(HaveOccurred())
@@ -81,7 +81,7 @@
 
 	It("uses a connection again after a whole answer", func() {
 		pool := conns.NewPool()
-		address := scripted(whole, strings.Replace(whole, "first", "again", 1))
+		address := serveScript(fullAnswer, strings.Replace(fullAnswer, "first", "again", 1))
 		body, _, _ := get(pool, context.Background(), address)
 		Expect(body).To(Equal("first"))
 		body, _, _ = get(pool, context.Background(), address)
@@ -91,7 +91,7 @@
 
 	DescribeTable("tells a broken answer from a whole one", func(text string, progress conns.Progress, failure error) {
 		pool := conns.NewPool()
-		address := scripted(text, "close")
+		address := serveScript(text, "close")
 		_, got, err := get(pool, context.Background(), address)
 		Expect(err).To(MatchError(failure))
 		Expect(got).To(Equal(progress))
@@ -116,14 +116,14 @@
 
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(20*time.Millisecond, cancel)
-		_, progress, err = get(pool, ctx, scripted())
+		_, progress, err = get(pool, ctx, serveScript())
 		Expect(err).To(MatchError(conns.ErrBroken))
 		Expect(progress).To(Equal(conns.Sent))
 	})
 
 	It("makes no more connections than its limit", func() {
 		pool := conns.NewPool()
-		address := scripted()
+		address := serveScript()
 		pool.SetLimit(address, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
--- a/conns/dialer.go
+++ b/conns/dialer.go
@@ -11,8 +11,8 @@
 // keepAliveEvery is the pace of probes on idle connections. Two missed probes end a connection
 // that went silent without a reset, which nothing else would show while nothing is sent.
 const (
-	keepAliveEvery  = time.Second
-	keepAliveMisses = 2
+	keepAliveInterval = time.Second
+	keepAliveMisses   = 2
 )
 
 // NewDialer returns a dialer whose connections fail when sent bytes stay unacknowledged for
@@ -22,7 +22,7 @@
 	if userTimeout == 0 {
 		return dialer
 	}
-	dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: keepAliveEvery, Interval: keepAliveEvery, Count: keepAliveMisses}
+	dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveMisses}
 	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
 		var failure error
 		err := raw.Control(func(descriptor uintptr) {
--- a/conns/exchange.go
+++ b/conns/exchange.go
@@ -24,21 +24,21 @@
 	ErrCloseDelimited = errors.New("the answer does not say where it ends")
 )
 
-var past = time.Unix(1, 0)
+var pastTime = time.Unix(1, 0)
 
 // Answer is an upstream's answer whose head has arrived.
 type Answer struct {
 	Status int
 	Header http.Header
 	// Length is -1 when the answer comes in chunks.
-	Length   int64
-	response *http.Response
-	conn     *conn
-	pool     *Pool
-	stop     func() bool
-	whole    bool
-	ended    bool
-	onClose  func()
+	Length     int64
+	response   *http.Response
+	conn       *conn
+	pool       *Pool
+	stopCancel func() bool
+	complete   bool
+	closed     bool
+	onClose    func()
 }
 
 // OnClose sets what Close calls once.
@@ -72,30 +72,30 @@
 
 // SendWithOptions is Send over a connection that meets the care, or a new one.
 func (pool *Pool) SendWithOptions(ctx context.Context, address string, request *http.Request, care SendOptions) (*Answer, Progress, error) {
-	conn, err := pool.take(ctx, address, care)
+	conn, err := pool.acquire(ctx, address, care)
 	if err != nil {
 		return nil, NotSent, err
 	}
 	if care.Ready != nil && !care.Ready() {
-		pool.giveBack(conn)
+		pool.release(conn)
 		return nil, NotSent, errors.WithStack(ErrNotReady)
 	}
-	conn.written = 0
-	rested := conn.rested()
+	conn.writtenBytes = 0
+	rested := conn.idleTime()
 	stop := context.AfterFunc(ctx, func() {
-		_ = conn.socket.SetDeadline(past)
+		_ = conn.socket.SetDeadline(pastTime)
 	})
-	answer, progress, err := conn.exchange(request, pool.unframed)
+	answer, progress, err := conn.exchange(request, pool.allowCloseDelimited)
 	if err != nil {
 		stop()
 		pool.discard(conn)
 		if progress == Sent && ctx.Err() == nil {
-			pool.lost(rested)
+			pool.recordLoss(rested)
 		}
 		return nil, progress, err
 	}
 	answer.pool = pool
-	answer.stop = stop
+	answer.stopCancel = stop
 	return answer, AnswerBegun, nil
 }
 
@@ -105,28 +105,28 @@
 		err = conn.writer.Flush()
 	}
 	if err != nil {
-		return nil, conn.progressOfWrite(), broken(err)
+		return nil, conn.writeProgress(), brokenError(err)
 	}
 	response, err := conn.readHead(request)
 	if err != nil {
-		return nil, Sent, broken(err)
+		return nil, Sent, brokenError(err)
 	}
-	if unframed(response) && !(takesUnframed && response.StatusCode != http.StatusSwitchingProtocols) {
+	if isCloseDelimited(response) && !(takesUnframed && response.StatusCode != http.StatusSwitchingProtocols) {
 		return nil, AnswerBegun, errors.WithStack(ErrCloseDelimited)
 	}
 	answer := &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, response: response, conn: conn}
 	return answer, AnswerBegun, nil
 }
 
-func broken(err error) error {
+func brokenError(err error) error {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return errors.Wrap(ErrReset, err.Error())
 	}
 	return errors.Wrap(ErrBroken, err.Error())
 }
 
-func (conn *conn) progressOfWrite() Progress {
-	if conn.written == 0 {
+func (conn *conn) writeProgress() Progress {
+	if conn.writtenBytes == 0 {
 		return NotSent
 	}
 	return PartlySent
@@ -145,8 +145,8 @@
 	}
 }
 
-// unframed reports whether only the end of the connection ends the answer.
-func unframed(response *http.Response) bool {
+// isCloseDelimited reports whether only the end of the connection ends the answer.
+func isCloseDelimited(response *http.Response) bool {
 	chunked := len(response.TransferEncoding) > 0
 	return response.ContentLength < 0 && !chunked || response.StatusCode == http.StatusSwitchingProtocols
 }
@@ -155,49 +155,49 @@
 func (answer *Answer) Read(buffer []byte) (int, error) {
 	count, err := answer.response.Body.Read(buffer)
 	if err == io.EOF {
-		answer.whole = true
+		answer.complete = true
 	}
 	if err != nil && err != io.EOF {
-		err = broken(err)
+		err = brokenError(err)
 	}
 	return count, err
 }
 
 // IsComplete reports whether the body has been read to its end.
 func (answer *Answer) IsComplete() bool {
-	return answer.whole
+	return answer.complete
 }
 
 // DisableReuse keeps the connection from being used again, also after a whole answer.
 func (answer *Answer) DisableReuse() {
-	answer.whole = false
+	answer.complete = false
 }
 
 // Close ends the exchange; the connection is used again only after a whole answer with nothing behind it.
 func (answer *Answer) Close() {
-	if answer.ended {
+	if answer.closed {
 		return
 	}
-	answer.ended = true
+	answer.closed = true
 	if answer.onClose != nil {
 		defer answer.onClose()
 	}
-	untouched := answer.stop()
-	reusable := answer.whole && untouched && !answer.response.Close && answer.conn.reader.Buffered() == 0
+	untouched := answer.stopCancel()
+	reusable := answer.complete && untouched && !answer.response.Close && answer.conn.reader.Buffered() == 0
 	if !reusable {
 		answer.pool.discard(answer.conn)
 		return
 	}
-	answer.conn.keep = answer.keepFor()
-	answer.pool.giveBack(answer.conn)
+	answer.conn.idleLimit = answer.idleLimit()
+	answer.pool.release(answer.conn)
 }
 
-// keepMargin is how long before its announced end an idle connection is no longer used:
+// idleLimitMargin is how long before its announced end an idle connection is no longer used:
 // the end is told in whole seconds and counted from the upstream's side.
-const keepMargin = time.Second
+const idleLimitMargin = time.Second
 
-// keepFor returns how long the connection may be idle, by the answer's Keep-Alive or the pool's setting.
-func (answer *Answer) keepFor() time.Duration {
+// idleLimit returns how long the connection may be idle, by the answer's Keep-Alive or the pool's setting.
+func (answer *Answer) idleLimit() time.Duration {
 	for _, part := range strings.Split(answer.Header.Get("Keep-Alive"), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
@@ -205,7 +205,7 @@
 		}
 		seconds, err := strconv.Atoi(text)
 		if err == nil {
-			return min(answer.pool.idleTimeout, time.Duration(seconds)*time.Second-keepMargin)
+			return min(answer.pool.idleTimeout, time.Duration(seconds)*time.Second-idleLimitMargin)
 		}
 	}
 	return answer.pool.idleTimeout
--- a/conns/pool.go
+++ b/conns/pool.go
@@ -21,33 +21,33 @@
 	defaultDialTimeout = time.Second
 	defaultIdleTimeout = 30 * time.Second
 	defaultLimit       = 16
-	// doubtFor is how long connections are reused sooner, or not at all, after one that had rested was lost.
+	// lossWindow is how long connections are reused sooner, or not at all, after one that had rested was lost.
 	// Each host then loses one request in that time, not one at each upstream that forgets connections.
-	doubtFor = 10 * time.Second
-	// leastRest is the rest below which a connection counts as just used; upstreams keep idle ones for
+	lossWindow = 10 * time.Second
+	// justUsedWithin is the rest below which a connection counts as just used; upstreams keep idle ones for
 	// hundreds of milliseconds at the least.
-	leastRest = 50 * time.Millisecond
-	// freshWeight is how many losses after a rest one loss without a rest explains.
-	freshWeight = 2
+	justUsedWithin = 50 * time.Millisecond
+	// freshLossWeight is how many losses after a rest one loss without a rest explains.
+	freshLossWeight = 2
 )
 
 // Pool keeps connections to upstreams, up to a limit for each.
 type Pool struct {
-	dialTimeout time.Duration
-	idleTimeout time.Duration
-	userTimeout time.Duration
-	unframed    bool
-	mutex       sync.Mutex
-	addresses   map[string]*address
-	// lostRested and lostFresh count connections that were lost since the last time that none was for
+	dialTimeout         time.Duration
+	idleTimeout         time.Duration
+	userTimeout         time.Duration
+	allowCloseDelimited bool
+	mutex               sync.Mutex
+	addresses           map[string]*addressPool
+	// idleLosses and lostFresh count connections that were lost since the last time that none was for
 	// doubtFor; doubt bounds how long others may rest.
-	lostRested int
-	lostFresh  int
-	lostAt     time.Time
-	doubt      time.Duration
+	idleLosses     int
+	freshLosses    int
+	lastLoss       time.Time
+	reducedMaxIdle time.Duration
 }
 
-type address struct {
+type addressPool struct {
 	limit int
 	open  int
 	idle  []*conn
@@ -81,13 +81,13 @@
 // WithCloseDelimited takes answers that say no length and end with an orderly close of their connection.
 func WithCloseDelimited() Option {
 	return func(pool *Pool) {
-		pool.unframed = true
+		pool.allowCloseDelimited = true
 	}
 }
 
 // NewPool returns an empty pool.
 func NewPool(options ...Option) *Pool {
-	pool := &Pool{dialTimeout: defaultDialTimeout, idleTimeout: defaultIdleTimeout, addresses: map[string]*address{}}
+	pool := &Pool{dialTimeout: defaultDialTimeout, idleTimeout: defaultIdleTimeout, addresses: map[string]*addressPool{}}
 	for _, option := range options {
 		option(pool)
 	}
@@ -98,59 +98,59 @@
 func (pool *Pool) SetLimit(name string, limit int) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.address(name).limit = max(1, limit)
+	pool.addressPool(name).limit = max(1, limit)
 }
 
 // OpenConns returns how many connections there are to an address.
 func (pool *Pool) OpenConns(name string) int {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	return pool.address(name).open
+	return pool.addressPool(name).open
 }
 
-func (pool *Pool) address(name string) *address {
+func (pool *Pool) addressPool(name string) *addressPool {
 	found, exists := pool.addresses[name]
 	if !exists {
-		found = &address{limit: defaultLimit}
+		found = &addressPool{limit: defaultLimit}
 		pool.addresses[name] = found
 	}
 	return found
 }
 
-// lost notes that a connection ended with its request, after a rest or, with 0, a new or just used one. Those
+// recordLoss notes that a connection ended with its request, after a rest or, with 0, a new or just used one. Those
 // that rested for half as long are in doubt then, unless connections that have not rested are lost about as
 // often: that is the upstreams' trouble, and new connections only add to it.
-func (pool *Pool) lost(rested time.Duration) {
+func (pool *Pool) recordLoss(rested time.Duration) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	now := time.Now()
-	if now.After(pool.lostAt.Add(doubtFor)) {
-		pool.lostRested, pool.lostFresh, pool.doubt = 0, 0, 0
+	if now.After(pool.lastLoss.Add(lossWindow)) {
+		pool.idleLosses, pool.freshLosses, pool.reducedMaxIdle = 0, 0, 0
 	}
-	pool.lostAt = now
-	if rested < leastRest {
-		pool.lostFresh++
+	pool.lastLoss = now
+	if rested < justUsedWithin {
+		pool.freshLosses++
 		return
 	}
-	pool.lostRested++
-	if pool.doubt == 0 || rested/2 < pool.doubt {
-		pool.doubt = rested / 2
+	pool.idleLosses++
+	if pool.reducedMaxIdle == 0 || rested/2 < pool.reducedMaxIdle {
+		pool.reducedMaxIdle = rested / 2
 	}
 }
 
-// sound returns how long a connection may have rested.
-func (pool *Pool) sound(maxIdle time.Duration) time.Duration {
+// allowedIdle returns how long a connection may have rested.
+func (pool *Pool) allowedIdle(maxIdle time.Duration) time.Duration {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	if time.Now().After(pool.lostAt.Add(doubtFor)) || pool.lostRested <= freshWeight*pool.lostFresh {
+	if time.Now().After(pool.lastLoss.Add(lossWindow)) || pool.idleLosses <= freshLossWeight*pool.freshLosses {
 		return maxIdle
 	}
-	return min(maxIdle, pool.doubt)
+	return min(maxIdle, pool.reducedMaxIdle)
 }
 
-// take returns an idle connection that still stands and meets the care, or makes a new one.
-func (pool *Pool) take(ctx context.Context, name string, care SendOptions) (*conn, error) {
-	maxIdle := pool.sound(care.MaxIdle)
+// acquire returns an idle connection that still stands and meets the care, or makes a new one.
+func (pool *Pool) acquire(ctx context.Context, name string, care SendOptions) (*conn, error) {
+	maxIdle := pool.allowedIdle(care.MaxIdle)
 	for {
 		idle, err := pool.reserve(name)
 		if err != nil {
@@ -159,7 +159,7 @@
 		if idle == nil {
 			return pool.dial(ctx, name, care.ResetWait)
 		}
-		if time.Since(idle.since) < min(maxIdle, idle.keep) && idle.silent() {
+		if time.Since(idle.idleSince) < min(maxIdle, idle.idleLimit) && idle.isOpenAndQuiet() {
 			return idle, nil
 		}
 		pool.discard(idle)
@@ -170,7 +170,7 @@
 func (pool *Pool) reserve(name string) (*conn, error) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	address := pool.address(name)
+	address := pool.addressPool(name)
 	if last := len(address.idle) - 1; last >= 0 {
 		conn := address.idle[last]
 		address.idle = address.idle[:last]
@@ -187,34 +187,34 @@
 	dialer := NewDialer(pool.dialTimeout, pool.userTimeout)
 	socket, err := dialer.DialContext(ctx, "tcp", name)
 	if err != nil {
-		pool.closed(name)
+		pool.countClosed(name)
 		return nil, errors.Wrap(connectError(err), err.Error())
 	}
 	conn := newConn(name, socket)
-	conn.keep = pool.idleTimeout
-	if watch > 0 && !conn.stands(watch) {
+	conn.idleLimit = pool.idleTimeout
+	if watch > 0 && !conn.staysOpen(watch) {
 		pool.discard(conn)
 		return nil, errors.Wrap(ErrConnect, "the upstream ended the connection at once")
 	}
 	return conn, nil
 }
 
-func (pool *Pool) closed(name string) {
+func (pool *Pool) countClosed(name string) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.address(name).open--
+	pool.addressPool(name).open--
 }
 
 func (pool *Pool) discard(conn *conn) {
 	_ = conn.socket.Close()
-	pool.closed(conn.address)
+	pool.countClosed(conn.address)
 }
 
-func (pool *Pool) giveBack(conn *conn) {
-	conn.since = time.Now()
+func (pool *Pool) release(conn *conn) {
+	conn.idleSince = time.Now()
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	address := pool.address(conn.address)
+	address := pool.addressPool(conn.address)
 	if address.open > address.limit {
 		address.open--
 		_ = conn.socket.Close()
@@ -227,7 +227,7 @@
 // reset, and may have run for all that this host can tell.
 func (pool *Pool) CloseIdle(name string) {
 	pool.mutex.Lock()
-	address := pool.address(name)
+	address := pool.addressPool(name)
 	idle := address.idle
 	address.idle = nil
 	pool.mutex.Unlock()
@@ -238,19 +238,19 @@
 
 // CloseExpired closes connections that have been idle for too long.
 func (pool *Pool) CloseExpired() {
-	for _, conn := range pool.expired() {
+	for _, conn := range pool.removeExpired() {
 		pool.discard(conn)
 	}
 }
 
-func (pool *Pool) expired() []*conn {
+func (pool *Pool) removeExpired() []*conn {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	var old []*conn
 	for _, address := range pool.addresses {
 		var kept []*conn
 		for _, conn := range address.idle {
-			if time.Since(conn.since) < pool.idleTimeout {
+			if time.Since(conn.idleSince) < pool.idleTimeout {
 				kept = append(kept, conn)
 				continue
 			}
--- a/conns/probe.go
+++ b/conns/probe.go
@@ -18,7 +18,7 @@
 // IsRefused reports whether an address refuses connections, since no process listens there. While a connection rests
 // there none is made: an end of the process would have ended that one too.
 func (pool *Pool) IsRefused(name string) bool {
-	if pool.stands(name) {
+	if pool.hasOpenIdleConn(name) {
 		return false
 	}
 	dialer := NewDialer(pool.dialTimeout, pool.userTimeout)
@@ -30,8 +30,8 @@
 	return false
 }
 
-// stands reports whether a connection to an address rests that is still open.
-func (pool *Pool) stands(name string) bool {
+// hasOpenIdleConn reports whether a connection to an address rests that is still open.
+func (pool *Pool) hasOpenIdleConn(name string) bool {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	known, exists := pool.addresses[name]
@@ -39,7 +39,7 @@
 		return false
 	}
 	for _, conn := range known.idle {
-		if conn.silent() {
+		if conn.isOpenAndQuiet() {
 			return true
 		}
 	}
--- a/conns/probe_test.go
+++ b/conns/probe_test.go
@@ -13,8 +13,8 @@
 	"cherrykeel/conns"
 )
 
-// answering answers each request of a connection until it ends.
-func answering(conn *net.TCPConn) {
+// answerAll answers each request of a connection until it ends.
+func answerAll(conn *net.TCPConn) {
 	reader := bufio.NewReader(conn)
 	for {
 		_, err := http.ReadRequest(reader)
@@ -41,7 +41,7 @@
 		var taken atomic.Int64
 		address := serveConns(func(number int64, conn *net.TCPConn) {
 			taken.Store(number)
-			answering(conn)
+			answerAll(conn)
 		})
 		pool := conns.NewPool()
 		_, err := sendWith(pool, address, conns.SendOptions{MaxIdle: time.Minute})
--- a/conns/stands_test.go
+++ b/conns/stands_test.go
@@ -33,10 +33,10 @@
 		far, err := listener.Accept()
 		Expect(err).NotTo(HaveOccurred())
 		socket := lateConn{TCPConn: near.(*net.TCPConn)}
-		Expect(newConn("upstream", socket).stands(time.Millisecond)).To(BeTrue())
+		Expect(newConn("upstream", socket).staysOpen(time.Millisecond)).To(BeTrue())
 		Expect(far.(*net.TCPConn).SetLinger(0)).To(Succeed())
 		Expect(far.Close()).To(Succeed())
 		Eventually(func() bool { return sock.IsReadable(socket) }, "10s").Should(BeTrue())
-		Expect(newConn("upstream", socket).stands(time.Millisecond)).To(BeFalse())
+		Expect(newConn("upstream", socket).staysOpen(time.Millisecond)).To(BeFalse())
 	})
 })
