--- a/drain/export_test.go
+++ b/drain/export_test.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// UnusedPatience is how long a stop waits for the first request of a connection.
-	UnusedPatience = unusedPatience
-	// LookEvery is the most that one look counts for.
-	LookEvery = lookEvery
+	// FirstRequestTimeout is how long a stop waits for the first request of a connection.
+	FirstRequestTimeout = firstRequestTimeout
+	// CheckInterval is the most that one look counts for.
+	CheckInterval = checkInterval
 )
 
 // CloseIdle takes one look at the server's connections.
@@ -23,7 +23,7 @@
 	server.closeIdle(now)
 }
 
-// Watched is a listener as a server has it that may be stopping, and whose unused connections get a patience.
-func Watched(listener net.Listener, stopping *atomic.Bool, patience time.Duration) net.Listener {
-	return watched{Listener: listener, stopping: stopping, patience: patience}
+// TrackingListener is a listener as a server has it that may be stopping, and whose unused connections get a patience.
+func TrackingListener(listener net.Listener, stopping *atomic.Bool, patience time.Duration) net.Listener {
+	return trackingListener{Listener: listener, stopping: stopping, firstRequestTimeout: patience}
 }
--- a/drain/listener.go
+++ b/drain/listener.go
@@ -11,8 +11,8 @@
 	"cherrykeel/sock"
 )
 
-// underWay is how long a stopped listener still takes connections whose handshake had begun: longer than a round trip.
-const underWay = 200 * time.Millisecond
+// handshakeTime is how long a stopped listener still takes connections whose handshake had begun: longer than a round trip.
+const handshakeTime = 200 * time.Millisecond
 
 // Listener is a TCP listener whose stop resets no caller: first the system is made to refuse new connections, then those
 // that are complete or in their handshake are accepted, and only then is the socket closed. A close alone would reset
@@ -20,8 +20,8 @@
 type Listener struct {
 	*net.TCPListener
 	stopping atomic.Bool
-	// waited says that the stop's time for connections under way is over.
-	waited atomic.Bool
+	// handshakesDone says that the stop's time for connections under way is over.
+	handshakesDone atomic.Bool
 }
 
 // Listen opens a TCP address.
@@ -39,7 +39,7 @@
 // Accept returns the next connection, or net.ErrClosed when a stopped listener has none left.
 func (listener *Listener) Accept() (net.Conn, error) {
 	for {
-		if listener.waited.Load() && !sock.IsReadable(listener.TCPListener) {
+		if listener.handshakesDone.Load() && !sock.IsReadable(listener.TCPListener) {
 			_ = listener.Close()
 			return nil, net.ErrClosed
 		}
@@ -47,7 +47,7 @@
 		if err != nil && listener.stopping.Load() && isTimeout(err) {
 			// What is complete by now is accepted without a wait.
 			_ = listener.SetDeadline(time.Time{})
-			listener.waited.Store(true)
+			listener.handshakesDone.Store(true)
 			continue
 		}
 		return conn, err
@@ -61,7 +61,7 @@
 	err := sock.RefuseNewConnections(listener.TCPListener)
 	until := time.Now()
 	if err == nil {
-		until = until.Add(underWay)
+		until = until.Add(handshakeTime)
 	}
 	listener.stopping.Store(true)
 	_ = listener.SetDeadline(until)
--- a/drain/server.go
+++ b/drain/server.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// unusedPatience is how long a stop waits for the first request of an accepted connection. Callers send it within a
+	// firstRequestTimeout is how long a stop waits for the first request of an accepted connection. Callers send it within a
 	// way there and back; one that was opened in advance loses nothing when it ends unused.
-	unusedPatience = 5 * time.Second
-	// lookEvery is how often a stop looks at its connections, and the most that one look counts for. What passes beyond
+	firstRequestTimeout = 5 * time.Second
+	// checkInterval is how often a stop looks at its connections, and the most that one look counts for. What passes beyond
 	// that has passed without the process: a host that stood still would else end connections whose callers stood still
 	// with it and are about to send.
-	lookEvery = 10 * time.Millisecond
+	checkInterval = 10 * time.Millisecond
 )
 
 // Server is an HTTP server whose stop answers what it has accepted.
@@ -32,43 +32,43 @@
 	listener *Listener
 	accepted chan struct{}
 	stopping atomic.Bool
-	// turnedAway counts the connections that ended unused.
-	turnedAway atomic.Int64
+	// closedUnused counts the connections that ended unused.
+	closedUnused atomic.Int64
 
 	mutex sync.Mutex
-	open  map[*conn]openConn
-	// ran is how long the process ran since the stop's first look, and looked the time of the last one.
-	ran    time.Duration
-	looked time.Time
+	conns map[*conn]connState
+	// runTime is how long the process ran since the stop's first look, and looked the time of the last one.
+	runTime   time.Duration
+	lastCheck time.Time
 }
 
-type openConn struct {
+type connState struct {
 	state http.ConnState
 	// since is Server.ran when the connection came into that state.
 	since time.Duration
-	// taken counts the bytes that had been read when the connection became idle.
-	taken int64
+	// readBytes counts the bytes that had been read when the connection became idle.
+	readBytes int64
 }
 
 // New returns a server that takes over the given one's ConnState hook and handler, and the listener.
 func New(server *http.Server, listener *Listener) *Server {
-	drained := &Server{server: server, listener: listener, accepted: make(chan struct{}), open: map[*conn]openConn{}}
-	server.ConnState = drained.note
-	server.Handler = &parting{handler: server.Handler, stopping: &drained.stopping}
+	drained := &Server{server: server, listener: listener, accepted: make(chan struct{}), conns: map[*conn]connState{}}
+	server.ConnState = drained.recordState
+	server.Handler = &closingHandler{handler: server.Handler, stopping: &drained.stopping}
 	return drained
 }
 
 // Serve accepts connections until Stop, which makes it return nil, or until accepting fails.
 func (server *Server) Serve() error {
 	defer close(server.accepted)
-	err := server.server.Serve(watched{Listener: server.listener, stopping: &server.stopping, patience: unusedPatience})
+	err := server.server.Serve(trackingListener{Listener: server.listener, stopping: &server.stopping, firstRequestTimeout: firstRequestTimeout})
 	if errors.Is(err, net.ErrClosed) {
 		return nil
 	}
 	return errors.WithStack(err)
 }
 
-func (server *Server) note(accepted net.Conn, state http.ConnState) {
+func (server *Server) recordState(accepted net.Conn, state http.ConnState) {
 	conn, ok := accepted.(*conn)
 	if !ok {
 		return
@@ -77,12 +77,12 @@
 	defer server.mutex.Unlock()
 	switch state {
 	case http.StateNew, http.StateActive:
-		server.open[conn] = openConn{state: state, since: server.ran}
+		server.conns[conn] = connState{state: state, since: server.runTime}
 	case http.StateIdle:
-		conn.awaited.Store(false)
-		server.open[conn] = openConn{state: state, since: server.ran, taken: conn.intake.ReceivedBytes()}
+		conn.readSinceIdle.Store(false)
+		server.conns[conn] = connState{state: state, since: server.runTime, readBytes: conn.reader.ReceivedBytes()}
 	case http.StateHijacked, http.StateClosed:
-		delete(server.open, conn)
+		delete(server.conns, conn)
 	}
 }
 
@@ -115,7 +115,7 @@
 // Finish returns when the accepted connections have been answered, after StopAccepting; those that are left when the
 // context ends are cut, and its error is returned; callers of which nothing was read are told so.
 func (server *Server) Finish(ctx context.Context) error {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for server.closeIdle(time.Now()) > 0 && ctx.Err() == nil {
 		select {
@@ -124,7 +124,7 @@
 		}
 	}
 	if ctx.Err() != nil {
-		server.turnAwayUnread()
+		server.closeUnread()
 	}
 	err := server.server.Shutdown(ctx)
 	if err != nil {
@@ -135,50 +135,50 @@
 
 // ClosedUnused returns how many connections brought no request until the stop ended them; their callers were told so.
 func (server *Server) ClosedUnused() int64 {
-	return server.turnedAway.Load()
+	return server.closedUnused.Load()
 }
 
 // closeIdle closes the connections that are idle or have brought no request for long, and counts the others.
 func (server *Server) closeIdle(now time.Time) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.count(now)
-	for conn, open := range server.open {
-		idle := func() bool { return conn.idle(open.taken) }
+	server.addRunTime(now)
+	for conn, open := range server.conns {
+		idle := func() bool { return conn.stopIfIdle(open.readBytes) }
 		switch {
 		case open.state == http.StateIdle && idle():
 			_ = conn.Close()
-			delete(server.open, conn)
-		case open.state == http.StateNew && server.ran-open.since >= unusedPatience:
-			server.turnAway(conn, idle)
+			delete(server.conns, conn)
+		case open.state == http.StateNew && server.runTime-open.since >= firstRequestTimeout:
+			server.closeUnused(conn, idle)
 		}
 	}
-	return len(server.open)
+	return len(server.conns)
 }
 
-// count adds the time that the process ran since the last look; Server.mutex is held.
-func (server *Server) count(now time.Time) {
-	if !server.looked.IsZero() {
-		server.ran += min(now.Sub(server.looked), lookEvery)
+// addRunTime adds the time that the process ran since the last look; Server.mutex is held.
+func (server *Server) addRunTime(now time.Time) {
+	if !server.lastCheck.IsZero() {
+		server.runTime += min(now.Sub(server.lastCheck), checkInterval)
 	}
-	server.looked = now
+	server.lastCheck = now
 }
 
-// turnAwayUnread ends the connections of which nothing was read, whatever has come on them.
-func (server *Server) turnAwayUnread() {
+// closeUnread ends the connections of which nothing was read, whatever has come on them.
+func (server *Server) closeUnread() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	for conn, open := range server.open {
+	for conn, open := range server.conns {
 		if open.state == http.StateNew {
-			server.turnAway(conn, conn.intake.StopUnlessReceived)
+			server.closeUnused(conn, conn.reader.StopUnlessReceived)
 		}
 	}
 }
 
-// turnAway ends an unused connection if shut reports that nothing on it is read any more; Server.mutex is held.
-func (server *Server) turnAway(conn *conn, shut func() bool) {
-	if conn.turnAway(shut) {
-		delete(server.open, conn)
-		server.turnedAway.Add(1)
+// closeUnused ends an unused connection if shut reports that nothing on it is read any more; Server.mutex is held.
+func (server *Server) closeUnused(conn *conn, shut func() bool) {
+	if conn.closeNotRead(shut) {
+		delete(server.conns, conn)
+		server.closedUnused.Add(1)
 	}
 }
--- a/drain/server_test.go
+++ b/drain/server_test.go
@@ -187,7 +187,7 @@
 var _ = Describe("a connection of a server", func() {
 	// Guards against callers that wait half a second for the end of a connection whose request was refused unread.
 	It("can be half-closed", func() {
-		near, far := watchedPair()
+		near, far := connPair()
 		Expect(far.(interface{ CloseWrite() error }).CloseWrite()).To(Succeed())
 		_, err := io.ReadAll(near)
 		Expect(err).NotTo(HaveOccurred())
@@ -197,7 +197,7 @@
 var _ = Describe("a connection whose time to read is up", func() {
 	// Guards against a request that came in time and is reset unread, since the host stood still until its time was up.
 	It("gives what has come, once", func() {
-		near, far := watchedPair()
+		near, far := connPair()
 		_, err := near.Write([]byte("ab"))
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() bool { return sock.HasUnacknowledged(near.(*net.TCPConn)) }, "10s").Should(BeFalse())
@@ -274,7 +274,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			address := listener.Addr().String()
 			go echoAll(listener)
-			callers := fakes.StartCallers(16, func() error { return askEcho(address) })
+			callers := fakes.StartCallers(16, func() error { return requestEcho(address) })
 			Eventually(callers.Answered, "10s").Should(BeNumerically(">", 100))
 			Expect(listener.Stop()).To(Succeed())
 			Expect(callers.Failures()).To(HaveEach(MatchError(syscall.ECONNREFUSED)))
@@ -294,8 +294,8 @@
 	})
 })
 
-// askEcho connects, sends a byte and reads it back.
-func askEcho(address string) error {
+// requestEcho connects, sends a byte and reads it back.
+func requestEcho(address string) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
@@ -323,20 +323,20 @@
 	}
 }
 
-// watchedPair returns both ends of a connection, the far one as a server has it that does not stop.
-func watchedPair() (net.Conn, net.Conn) {
-	return watchedPairOf(new(atomic.Bool), time.Minute)
+// connPair returns both ends of a connection, the far one as a server has it that does not stop.
+func connPair() (net.Conn, net.Conn) {
+	return connPairWith(new(atomic.Bool), time.Minute)
 }
 
-// watchedPairOf is watchedPair with a server that may be stopping, and a patience for unused connections.
-func watchedPairOf(stopping *atomic.Bool, patience time.Duration) (net.Conn, net.Conn) {
+// connPairWith is watchedPair with a server that may be stopping, and a patience for unused connections.
+func connPairWith(stopping *atomic.Bool, patience time.Duration) (net.Conn, net.Conn) {
 	listener, err := drain.Listen("127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(listener.Close)
 	near, err := net.Dial("tcp", listener.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(near.Close)
-	far, err := drain.Watched(listener, stopping, patience).Accept()
+	far, err := drain.TrackingListener(listener, stopping, patience).Accept()
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(far.Close)
 	return near, far
--- a/drain/unused_test.go
+++ b/drain/unused_test.go
@@ -19,10 +19,10 @@
 
 const (
 	request = "GET / HTTP/1.1\r\nHost: any\r\n\r\n"
-	// generous bounds what a spec waits for; none asserts how soon it comes.
-	generous = "10s"
-	// patientLooks end the patience for an unused connection if none of them is late.
-	patientLooks = int(drain.UnusedPatience/drain.LookEvery) + 1
+	// testTimeout bounds what a spec waits for; none asserts how soon it comes.
+	testTimeout = "10s"
+	// timeoutChecks end the patience for an unused connection if none of them is late.
+	timeoutChecks = int(drain.FirstRequestTimeout/drain.CheckInterval) + 1
 )
 
 var _ = Describe("a connection that has brought no request when its server stops", func() {
@@ -73,7 +73,7 @@
 	It("keeps its patience while the host stands still", func() {
 		conn := dial()
 		Expect(server.StopAccepting(context.Background())).To(Succeed())
-		look(10, drain.UnusedPatience)
+		look(10, drain.FirstRequestTimeout)
 		_, err := io.WriteString(conn, request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer(conn).StatusCode).To(Equal(http.StatusOK))
@@ -85,10 +85,10 @@
 		conn := dial()
 		Expect(server.StopAccepting(context.Background())).To(Succeed())
 		ended := func() int64 {
-			look(patientLooks, drain.LookEvery)
+			look(timeoutChecks, drain.CheckInterval)
 			return server.ClosedUnused()
 		}
-		Eventually(ended, generous).Should(BeEquivalentTo(1))
+		Eventually(ended, testTimeout).Should(BeEquivalentTo(1))
 		expectTurnedAway(answer(conn))
 	})
 
@@ -99,7 +99,7 @@
 			early = append(early, dial())
 		}
 		Expect(server.StopAccepting(context.Background())).To(Succeed())
-		look(patientLooks-1, drain.LookEvery)
+		look(timeoutChecks-1, drain.CheckInterval)
 		var sent atomic.Int32
 		for _, conn := range early {
 			go func() {
@@ -108,7 +108,7 @@
 			}()
 		}
 		for int(sent.Load()) < len(early) {
-			look(1, drain.LookEvery)
+			look(1, drain.CheckInterval)
 		}
 		for _, conn := range early {
 			Expect(answer(conn).StatusCode).To(BeElementOf(http.StatusOK, http.StatusRequestTimeout))
@@ -129,7 +129,7 @@
 var _ = Describe("an unused connection whose time to read is up", func() {
 	// The request comes only after the deadline, which passed while the host stood still and its caller with it.
 	It("waits on, once", func() {
-		near, far := watchedPair()
+		near, far := connPair()
 		Expect(far.SetReadDeadline(time.Now().Add(-time.Second))).To(Succeed())
 		go func() { _, _ = io.WriteString(near, request) }()
 		buffer := make([]byte, len(request))
@@ -141,7 +141,7 @@
 	})
 
 	It("ends after that", func() {
-		_, far := watchedPairOf(new(atomic.Bool), time.Millisecond)
+		_, far := connPairWith(new(atomic.Bool), time.Millisecond)
 		Expect(far.SetReadDeadline(time.Now().Add(-time.Second))).To(Succeed())
 		_, err := far.Read(make([]byte, 1))
 		Expect(err).To(MatchError(os.ErrDeadlineExceeded))
@@ -151,7 +151,7 @@
 	It("is left to the stop of its server", func() {
 		stopping := new(atomic.Bool)
 		stopping.Store(true)
-		near, far := watchedPairOf(stopping, time.Millisecond)
+		near, far := connPairWith(stopping, time.Millisecond)
 		Expect(far.SetReadDeadline(time.Now().Add(-time.Second))).To(Succeed())
 		ended := make(chan error, 1)
 		go func() {
@@ -160,6 +160,6 @@
 		}()
 		Consistently(ended, "50ms").ShouldNot(Receive())
 		Expect(near.(*net.TCPConn).CloseWrite()).To(Succeed())
-		Eventually(ended, generous).Should(Receive(MatchError(io.EOF)))
+		Eventually(ended, testTimeout).Should(Receive(MatchError(io.EOF)))
 	})
 })
