--- a/caller/answer.go
+++ b/caller/answer.go
@@ -7,19 +7,20 @@
 	"sync"
 )
 
-// answer collects a handler's answer until its turn on the connection has come.
+// answer buffers a handler's answer until the answers before it are written to the connection.
 type answer struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
-	// done is closed when the handler has returned.
+	// done is closed when the answer is complete.
 	done chan struct{}
 	once sync.Once
-	// aborted answers end the connection without a byte.
-	aborted  bool
-	request  *http.Request
+	// aborted is set if the handler panicked: the connection then closes without a byte of this answer.
+	aborted bool
+	request *http.Request
+	// acquired is the number of bytes to release to bodyMemory after the request.
 	acquired int64
-	// closeAfter answers are followed by the connection's close, which the caller asked for or the host decided.
+	// closeAfter is set if the connection closes after this answer, as the caller requested or the host decided.
 	closeAfter bool
 }
 
@@ -57,7 +58,7 @@
 	return answer.status == http.StatusNoContent || answer.status == http.StatusNotModified
 }
 
-// encode returns the answer's bytes.
+// encode returns the answer as it is sent.
 func (answer *answer) encode() []byte {
 	if answer.status == 0 {
 		answer.status = http.StatusOK
--- a/caller/body.go
+++ b/caller/body.go
@@ -12,42 +12,42 @@
 	"github.com/pkg/errors"
 )
 
-// bodyMemory bounds the bodies that are held at once, so that large ones cannot get the process killed
-// with all its requests. A body may take half of what is left: the more is held, the smaller a body
-// has to be, so a few large ones leave room for the usual small ones.
+// bodyMemory bounds the request bodies in memory, so that large ones cannot get the process killed together with all its
+// requests. A body may take at most half of the memory that is left, so that a few large bodies leave room for the usual
+// small ones.
 type bodyMemory struct {
 	mutex sync.Mutex
 	limit int64
 	inUse int64
 }
 
-// alwaysGrantedBytes is always granted; a body as small as this is not worth a refusal.
+// alwaysGrantedBytes is the size up to which memory is always granted: refusing a body this small is not worthwhile.
 const alwaysGrantedBytes = 16 << 10
 
-func (memory *bodyMemory) acquire(size int64) bool {
-	memory.mutex.Lock()
-	defer memory.mutex.Unlock()
-	if size > alwaysGrantedBytes && size > (memory.limit-memory.inUse)/2 {
+func (bodyMemory *bodyMemory) acquire(size int64) bool {
+	bodyMemory.mutex.Lock()
+	defer bodyMemory.mutex.Unlock()
+	if size > alwaysGrantedBytes && size > (bodyMemory.limit-bodyMemory.inUse)/2 {
 		return false
 	}
-	memory.inUse += size
+	bodyMemory.inUse += size
 	return true
 }
 
-func (memory *bodyMemory) release(size int64) {
-	memory.mutex.Lock()
-	defer memory.mutex.Unlock()
-	memory.inUse -= size
+func (bodyMemory *bodyMemory) release(size int64) {
+	bodyMemory.mutex.Lock()
+	defer bodyMemory.mutex.Unlock()
+	bodyMemory.inUse -= size
 }
 
-// body is a request's whole body.
+// body is a request's complete body.
 type body struct {
 	data []byte
-	// acquired is what the memory counts for it.
+	// acquired is the number of bytes to release to bodyMemory after the request.
 	acquired int64
 }
 
-// BufferedBody is a request's body that has been read; handlers need not copy it.
+// BufferedBody is a request body that has been read into memory. Handlers can use Bytes instead of copying it.
 type BufferedBody struct {
 	*bytes.Reader
 	data []byte
@@ -58,9 +58,9 @@
 	return nil
 }
 
-// Bytes returns the body, which must not be changed.
-func (whole *BufferedBody) Bytes() []byte {
-	return whole.data
+// Bytes returns the body, which must not be modified.
+func (bufferedBody *BufferedBody) Bytes() []byte {
+	return bufferedBody.data
 }
 
 // bodyReader reads one body within the limits.
@@ -85,7 +85,7 @@
 	return bodyReader.body, nil
 }
 
-// readMore reads that many more bytes of the body.
+// readMore appends the next size bytes to the body.
 func (bodyReader *bodyReader) readMore(size int64) error {
 	already := int64(len(bodyReader.body.data))
 	if size > bodyReader.limit-already {
@@ -95,12 +95,14 @@
 		return errors.WithStack(ErrNoMemory)
 	}
 	bodyReader.body.acquired += size
-	// Grown by shares: a body of 64 MiB in chunks of 1 KB would else be copied 65,000 times.
+	// Grow enlarges the buffer in proportion to its size; otherwise a body of 64 MiB in chunks of 1 KB would be copied
+	// 65,000 times.
 	bodyReader.body.data = slices.Grow(bodyReader.body.data, int(size))[:already+size]
 	_, err := io.ReadFull(bodyReader.reader, bodyReader.body.data[already:])
 	return err
 }
 
+// maxChunkLine bounds a chunk's size line and a trailer line, in bytes.
 const maxChunkLine = 256
 
 func (bodyReader *bodyReader) readChunks() error {
@@ -135,7 +137,7 @@
 	digits = strings.TrimRight(digits, " \t")
 	size, err := strconv.ParseUint(digits, 16, 40)
 	if err != nil || strings.ContainsAny(digits, "+_") {
-		return 0, errors.Wrap(ErrMalformed, "a chunk's size is no number")
+		return 0, errors.Wrap(ErrMalformed, "a chunk's size is not a number")
 	}
 	return int64(size), nil
 }
@@ -153,15 +155,15 @@
 func readLine(reader *bufio.Reader) (string, error) {
 	var line []byte
 	for {
-		one, err := reader.ReadByte()
+		char, err := reader.ReadByte()
 		if err != nil {
 			return "", err
 		}
-		line = append(line, one)
+		line = append(line, char)
 		if len(line) > maxChunkLine {
 			return "", errors.Wrap(ErrMalformed, "a line between chunks is too long")
 		}
-		if one != '\n' {
+		if char != '\n' {
 			continue
 		}
 		if len(line) < 2 || line[len(line)-2] != '\r' {
--- a/caller/conn.go
+++ b/caller/conn.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// pipelineDepth bounds the requests of one connection that are worked on at once.
+	// pipelineDepth bounds the queued answers of one connection, and with them the requests in progress at once.
 	pipelineDepth = 16
-	// writeTimeout bounds the writing of one answer to a caller that does not read.
+	// writeTimeout bounds the writing of one answer, in case the caller does not read it.
 	writeTimeout = 10 * time.Second
-	// lingeringCloseTimeout is how long a closed connection still takes bytes, so that a crossing request's
-	// arrival does not reset the answer before it: the way to a caller and back takes some 6 ms. Whoever
-	// sent that request waits for no longer than this until it knows that it has to send it again.
+	// lingeringCloseTimeout is how long a connection is still read after its last answer. A request that arrives
+	// meanwhile would otherwise cause a reset, and the caller could lose that answer; a round trip to a caller takes
+	// some 6 ms. It also bounds how long the sender of such a request waits until it learns that it must send it again.
 	lingeringCloseTimeout = 150 * time.Millisecond
 )
 
@@ -26,21 +26,22 @@
 	reader *bufio.Reader
 	ctx    context.Context
 	cancel context.CancelFunc
-	// answers are written in the order in which their requests came.
+	// answers holds the answers in the order of their requests; they are written in this order.
 	answers chan *answer
 
 	mutex sync.Mutex
-	// unanswered counts requests that were read and whose answers are not written.
+	// unanswered counts the accepted requests whose answers have not been written.
 	unanswered int
 	// consumedBytes counts the bytes of the requests that were read whole.
 	consumedBytes int64
-	// idleSince is when the last answer was written.
+	// idleSince is the time of the last answer, or of the accept if there was none.
 	idleSince time.Time
-	// closing says that no further request will be taken; closedAt is when that was decided.
+	// closing is set once no further request is accepted, and closingSince is the time of that decision.
 	closing      bool
 	closingSince time.Time
+	// stateChanged is signaled when an answer was written or the connection ends.
 	stateChanged *sync.Cond
-	// openedAt is when the connection was accepted, answered how many answers were written to it.
+	// openedAt is the time of the accept, and answerCount the number of answers written since.
 	openedAt    time.Time
 	answerCount int
 }
@@ -55,7 +56,7 @@
 	return conn
 }
 
-// cancelRequests ends the requests of a caller that has left.
+// cancelRequests cancels the requests of a connection that its caller has closed or that has ended.
 func (conn *conn) cancelRequests() {
 	conn.cancel()
 	conn.mutex.Lock()
@@ -63,6 +64,7 @@
 	conn.stateChanged.Broadcast()
 }
 
+// serve serves the connection until it ends, and waits for its handlers to return.
 func (conn *conn) serve() {
 	go conn.readLoop()
 	conn.writeLoop()
@@ -76,7 +78,7 @@
 	}
 }
 
-// setClosing ends the taking of requests; conn.mutex is held.
+// setClosing makes the connection accept no further request. conn.mutex must be held.
 func (conn *conn) setClosing() {
 	if !conn.closing {
 		conn.closingSince = time.Now()
--- a/caller/doc.go
+++ b/caller/doc.go
@@ -1,8 +1,7 @@
-// Package caller serves callers' connections. It reads requests as strictly as
-// needed for no two parsers to read them differently, goes on watching a
-// connection while its requests wait or run, works on pipelined requests at
-// once, and answers them in order.
+// Package caller serves callers' HTTP/1 connections on an entry host. It rejects requests that two parsers could read
+// differently, cancels the requests of a caller that closes its connection, runs safe pipelined requests concurrently,
+// and sends the answers in the order of the requests.
 //
-// Lock order: conn.mutex before sock.Intake's; Server.mutex and memory.mutex are
-// taken alone.
+// Lock order: conn.mutex before sock.Reader.mutex; Server.mutex and bodyMemory.mutex are never held together with
+// another lock.
 package caller
--- a/caller/head.go
+++ b/caller/head.go
@@ -12,19 +12,20 @@
 )
 
 var (
-	// ErrMalformed means that two parsers could read the request differently, or that it is no HTTP/1 request.
+	// ErrMalformed means that the request is not valid HTTP/1, or that two parsers could read it differently.
 	ErrMalformed = errors.New("the request is malformed")
 	// ErrHeadTooLarge means that the head is larger than the operator allows.
 	ErrHeadTooLarge = errors.New("the head of the request is too large")
 	// ErrBodyTooLarge means that the body is larger than the operator allows.
 	ErrBodyTooLarge = errors.New("the body of the request is too large")
-	// ErrNoMemory means that the host holds as many bodies as it can.
-	ErrNoMemory = errors.New("the host has no room for the body")
+	// ErrNoMemory means that the request bodies in memory leave no room for this one.
+	ErrNoMemory = errors.New("the host has no memory for the body")
 )
 
+// lengthUnknown is the length of a body that is sent in chunks.
 const lengthUnknown = -1
 
-// readHead reads up to the empty line that ends a head, which it includes.
+// readHead reads a request's head, including the empty line that ends it.
 func readHead(reader *bufio.Reader, limit int) ([]byte, error) {
 	var head []byte
 	for {
@@ -53,7 +54,7 @@
 	}
 }
 
-// parseHead checks a head and returns the request without its body, and the body's length.
+// parseHead checks a head and returns the request without its body, and the body's length or lengthUnknown.
 func parseHead(head []byte) (*http.Request, int64, error) {
 	length, err := checkHead(head)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return request, length, nil
 }
 
-// checkHead refuses what parsers are known to read differently, and returns the body's length.
+// checkHead refuses heads that parsers are known to read differently, and returns the body's length or lengthUnknown.
 func checkHead(head []byte) (int64, error) {
 	lines := strings.Split(strings.TrimSuffix(string(head), "\r\n\r\n"), "\r\n")
 	err := checkRequestLine(lines[0])
@@ -87,16 +88,16 @@
 func checkRequestLine(line string) error {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || !isToken(parts[0]) {
-		return errors.Wrap(ErrMalformed, "the request line is not method, target and version")
+		return errors.Wrap(ErrMalformed, "the request line does not consist of a method, a target and a version")
 	}
 	if parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
 		return errors.Wrap(ErrMalformed, "the version is not HTTP/1")
 	}
 	if !strings.HasPrefix(parts[1], "/") && parts[1] != "*" {
-		return errors.Wrap(ErrMalformed, "the target is no path")
+		return errors.Wrap(ErrMalformed, "the target is not a path")
 	}
-	for _, one := range []byte(parts[1]) {
-		if one <= ' ' || one >= 0x7f {
+	for _, char := range []byte(parts[1]) {
+		if char <= ' ' || char >= 0x7f {
 			return errors.Wrap(ErrMalformed, "the target has bytes that are not printable")
 		}
 	}
@@ -104,10 +105,10 @@
 }
 
 func isToken(text string) bool {
-	return text != "" && strings.IndexFunc(text, func(one rune) bool { return !httpguts.IsTokenRune(one) }) < 0
+	return text != "" && strings.IndexFunc(text, func(char rune) bool { return !httpguts.IsTokenRune(char) }) < 0
 }
 
-// headFields collects the fields that say where a body ends and who is asked.
+// headFields collects the header fields that determine the body's length and the requested host.
 type headFields struct {
 	length      int64
 	lengthCount int
@@ -119,11 +120,11 @@
 func (fields *headFields) add(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	if !found || !isToken(name) {
-		return errors.Wrap(ErrMalformed, "a header's name is not valid")
+		return errors.Wrap(ErrMalformed, "a header's name is invalid")
 	}
 	value = strings.Trim(value, " \t")
 	if !httpguts.ValidHeaderFieldValue(value) {
-		return errors.Wrap(ErrMalformed, "a header's value is not valid")
+		return errors.Wrap(ErrMalformed, "a header's value is invalid")
 	}
 	switch strings.ToLower(name) {
 	case "host":
@@ -141,20 +142,20 @@
 	fields.lengthCount++
 	length, err := strconv.ParseUint(value, 10, 62)
 	if err != nil || strings.HasPrefix(value, "+") {
-		return errors.Wrap(ErrMalformed, "the length is no number")
+		return errors.Wrap(ErrMalformed, "the Content-Length is not a number")
 	}
 	fields.length = int64(length)
 	return nil
 }
 
-func (fields *headFields) bodyLength(hostNeeded bool) (int64, error) {
+func (fields *headFields) bodyLength(hostRequired bool) (int64, error) {
 	switch {
-	case fields.hostCount > 1 || hostNeeded && fields.hostCount == 0:
-		return 0, errors.Wrap(ErrMalformed, "the request names not exactly one host")
+	case fields.hostCount > 1 || hostRequired && fields.hostCount == 0:
+		return 0, errors.Wrap(ErrMalformed, "the request does not have exactly one Host header")
 	case fields.lengthCount > 1:
-		return 0, errors.Wrap(ErrMalformed, "the request has more than one length")
+		return 0, errors.Wrap(ErrMalformed, "the request has more than one Content-Length")
 	case fields.lengthCount > 0 && fields.codingCount > 0:
-		return 0, errors.Wrap(ErrMalformed, "the request has both a length and a transfer coding")
+		return 0, errors.Wrap(ErrMalformed, "the request has both a Content-Length and a Transfer-Encoding")
 	case fields.codingCount > 1 || fields.codingCount == 1 && !fields.chunked:
 		return 0, errors.Wrap(ErrMalformed, "the transfer coding is not chunked")
 	case fields.chunked:
--- a/caller/pump.go
+++ b/caller/pump.go
@@ -10,20 +10,21 @@
 )
 
 const (
+	// chunkBytes is the size of the buffer for one read.
 	chunkBytes = 4 << 10
-	// readAheadChunks bounds what is read before it is asked for: 64 KiB a connection. Within it the
-	// end of the connection is seen at once, also behind pipelined requests.
+	// readAheadChunks bounds what is read ahead to 64 KiB a connection. Within this bound the end of the connection is
+	// noticed at once, also behind pipelined requests.
 	readAheadChunks = 16
 )
 
-// pump reads a socket all the time, so that a caller that leaves is noticed while its request runs.
+// pump reads a socket all the time, so that a caller that closes its connection is noticed while its request runs.
 type pump struct {
 	reader *sock.Reader
 	chunks chan []byte
 	unread []byte
-	// returnedBytes counts the bytes that Read has returned; the reading goroutine alone uses it.
+	// returnedBytes counts the bytes that Read has returned; only the goroutine that calls Read uses it.
 	returnedBytes int64
-	// done lets the reading goroutine end when nobody takes its chunks any more.
+	// done is closed when chunks are no longer received, so that the goroutine that reads the socket can end.
 	done     chan struct{}
 	deadline time.Time
 }
@@ -54,7 +55,7 @@
 	}
 }
 
-// setDeadline bounds the reads that follow; the zero time takes the bound away.
+// setDeadline sets the deadline of the following reads; the zero time removes it.
 func (pump *pump) setDeadline(deadline time.Time) {
 	pump.deadline = deadline
 }
@@ -74,18 +75,18 @@
 }
 
 func (pump *pump) nextChunk() error {
-	var late <-chan time.Time
+	var timeout <-chan time.Time
 	if !pump.deadline.IsZero() {
 		timer := time.NewTimer(time.Until(pump.deadline))
 		defer timer.Stop()
-		late = timer.C
+		timeout = timer.C
 	}
 	select {
 	case chunk, open := <-pump.chunks:
 		return pump.setChunk(chunk, open)
-	case <-late:
+	case <-timeout:
 	}
-	// On a busy host the time can be up before this goroutine sees what came within it.
+	// On a busy host the deadline can pass before this goroutine sees what arrived in time.
 	if !pump.reader.HasMoreThan(pump.returnedBytes) {
 		return os.ErrDeadlineExceeded
 	}
--- a/caller/read.go
+++ b/caller/read.go
@@ -12,13 +12,15 @@
 )
 
 const (
-	// bodyTimeout bounds the reading of one body; callers wait seconds at most, so a slower body serves nobody.
+	// bodyTimeout bounds the reading of one body. Callers wait for an answer for seconds at most, so a slower body is
+	// of no use to them.
 	bodyTimeout = 20 * time.Second
-	// idleGrace is how much longer than the operator's limit a connection may be idle. Callers use one for
-	// up to four fifths of the limit; a request of the last moment may wait for the processor here.
+	// idleGrace is added to the operator's idle timeout. Callers reuse a connection that has been idle for up to four
+	// fifths of the timeout, and a request that is sent at the last moment may wait for the processor on this host.
 	idleGrace = time.Second
 )
 
+// readLoop reads requests until the connection accepts no more of them.
 func (conn *conn) readLoop() {
 	defer close(conn.answers)
 	defer func() {
@@ -31,13 +33,13 @@
 	}
 }
 
-// readRequest reads a request and hands it to the handler; it reports whether another may follow.
+// readRequest reads a request and passes it to the handler; it reports whether another one may follow.
 func (conn *conn) readRequest() bool {
 	if !conn.awaitRequest() {
 		return false
 	}
 	if !conn.isAccepting() {
-		conn.logCrossedRequest()
+		conn.logRequestAfterClose()
 		return false
 	}
 	limits := conn.server.limits()
@@ -57,8 +59,8 @@
 	return conn.dispatch(request, body)
 }
 
-// awaitRequest waits for the first byte of a request; false if there will be none, or the connection has been idle
-// for too long. It is idle from its last answer on, and by the limit that is in force when its time is up.
+// awaitRequest waits for the first byte of a request. It reports false if none can come any more or if the connection has
+// been idle for too long. Idle time counts from the last answer; the timeout in force at its end applies.
 func (conn *conn) awaitRequest() bool {
 	for {
 		left := conn.idleTimeLeft()
@@ -79,7 +81,7 @@
 	}
 }
 
-// idleTimeLeft returns for how long the connection may still wait for a request.
+// idleTimeLeft returns how long the connection may still wait for a request.
 func (conn *conn) idleTimeLeft() time.Duration {
 	allowed := conn.server.limits().IdleTimeout + idleGrace
 	conn.mutex.Lock()
@@ -103,16 +105,16 @@
 	return reader.read(length)
 }
 
-// sendContinue asks for a body that the caller holds back, once the answers before it are written. An answer counts as
-// unwritten for a moment after its bytes have gone out; a caller that sends its next request at once was never asked
-// for the body then, and got a timeout in place of its answer.
+// sendContinue requests a body that the caller holds back (Expect: 100-continue), once all earlier answers are written.
+// It waits for them since an answer counts as unwritten for a moment after its bytes were sent: a caller that sends its
+// next request at once would otherwise never receive the 100, and would get a timeout instead of its answer.
 func (conn *conn) sendContinue() {
 	if conn.awaitAnswers() {
 		_, _ = conn.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
-// awaitAnswers waits until all answers are written; it reports false if no further request is taken.
+// awaitAnswers waits until all answers are written; it reports false if no further request is accepted.
 func (conn *conn) awaitAnswers() bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -120,22 +122,23 @@
 	return !conn.closing && conn.ctx.Err() == nil
 }
 
-// awaitAnswersLocked waits until all answers are written or the connection ends; conn.mutex is held.
+// awaitAnswersLocked waits until all answers are written or the connection ends. conn.mutex must be held.
 func (conn *conn) awaitAnswersLocked() {
 	for conn.unanswered > 0 && conn.ctx.Err() == nil && !conn.closing {
 		conn.stateChanged.Wait()
 	}
 }
 
-// isAccepting reports whether the connection still takes requests.
+// isAccepting reports whether the connection still accepts requests.
 func (conn *conn) isAccepting() bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	return !conn.closing
 }
 
-// logCrossedRequest logs that a request came too late to be taken: its caller has to send it again.
-func (conn *conn) logCrossedRequest() {
+// logRequestAfterClose logs that a request arrived after the connection had begun to close. The request is not handled, and
+// its caller has to send it again.
+func (conn *conn) logRequestAfterClose() {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	now := time.Now()
--- a/caller/server.go
+++ b/caller/server.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	// defaultBodyMemory bounds held bodies when no setting does.
+	// defaultBodyMemory bounds the request bodies in memory, in bytes, if WithBodyMemoryLimit sets no other limit.
 	defaultBodyMemory = 64 << 20
-	// memoryRetryAfter, in seconds, is about how long the bodies held take to be sent on.
+	// memoryRetryAfter is the Retry-After value, in seconds, for a request refused for lack of body memory: about the
+	// time in which the bodies in memory are forwarded.
 	memoryRetryAfter = "0.3"
-	// acceptRetryDelay is waited when no connection can be taken, as when descriptors have run out.
+	// acceptRetryDelay is the delay after a failed accept, for example when the process has run out of descriptors.
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// defaultLimits hold until the operator's are known; they are the widest that operators use.
+// defaultLimits apply until the operator's limits are known; they are the widest that operators use.
 var defaultLimits = cherrykeel.CallerLimits{
 	HeaderBytes:   16 << 10,
 	BodyBytes:     64 << 20,
@@ -48,28 +49,28 @@
 // Option changes a Server under construction.
 type Option func(*Server)
 
-// WithLimits sets where the limits in force are read, before each request.
+// WithLimits sets the function that returns the limits in force; it is called for each request and idle check.
 func WithLimits(limits func() cherrykeel.CallerLimits) Option {
 	return func(server *Server) {
 		server.limits = limits
 	}
 }
 
-// WithBodyMemoryLimit bounds the bytes of bodies held at once.
+// WithBodyMemoryLimit bounds the request bodies in memory, in bytes.
 func WithBodyMemoryLimit(limit int64) Option {
 	return func(server *Server) {
 		server.memory.limit = limit
 	}
 }
 
-// WithLogger sets where refused requests are logged.
+// WithLogger sets the logger for refused requests, panics and failures to accept.
 func WithLogger(logger *zap.Logger) Option {
 	return func(server *Server) {
 		server.logger = logger
 	}
 }
 
-// New returns a server that hands whole requests to the handler.
+// New returns a server that passes each request to the handler once its whole body has been read.
 func New(handler http.Handler, options ...Option) *Server {
 	server := &Server{
 		handler: handler,
@@ -84,12 +85,13 @@
 	return server
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (server *Server) Serve(listener net.Listener) {
 	for {
 		socket, err := listener.Accept()
 		if err == nil {
-			// Counted before its goroutine runs, so that a stopping host does not end meanwhile.
+			// Counted before its goroutine starts: a stopping host waits until OpenConns returns 0, and would
+			// otherwise exit before the connection is served.
 			go server.serve(server.addConn(socket))
 			continue
 		}
@@ -116,13 +118,15 @@
 	server.mutex.Unlock()
 }
 
-// DisableKeepAlives lets each connection end with its next answer; requests go on being taken until then.
+// DisableKeepAlives makes each connection close after its next answer that no other request follows; requests are
+// accepted until then.
 func (server *Server) DisableKeepAlives() {
 	server.stopping.Store(true)
 }
 
-// CloseIdle ends the connections on which nothing is read, waits or runs. Meanwhile others can be counted and taken:
-// thousands of closes on a slow processor would else hold up the stop.
+// CloseIdle closes the connections that have no request in progress and nothing left to read. It does not hold
+// Server.mutex while it closes them: thousands of closes on a slow processor would block OpenConns and new connections,
+// and so delay the host's stop.
 func (server *Server) CloseIdle() {
 	for _, conn := range server.openConns() {
 		conn.closeIfIdle()
@@ -135,7 +139,7 @@
 	return slices.Collect(maps.Keys(server.conns))
 }
 
-// OpenConns returns how many connections there are.
+// OpenConns returns the number of open connections.
 func (server *Server) OpenConns() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -153,7 +157,7 @@
 		zap.Error(err))
 }
 
-// DefaultLimits returns the limits that hold until the operator's are known.
+// DefaultLimits returns the limits that apply until the operator's limits are known.
 func DefaultLimits() cherrykeel.CallerLimits {
 	return defaultLimits
 }
--- a/caller/take.go
+++ b/caller/take.go
@@ -12,10 +12,11 @@
 	"cherrykeel/events"
 )
 
-// maxLoggedStack bounds what is logged of a panic.
+// maxLoggedStack bounds the logged part of a panic's stack, in bytes.
 const maxLoggedStack = 4 << 10
 
-// admit counts a request that was read whole.
+// admit counts a request that was read whole. It reports false if the connection is closing, so that the request must
+// not run.
 func (conn *conn) admit(request *http.Request) bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -24,8 +25,8 @@
 		return false
 	}
 	if !isSafe(request) {
-		// What may change something waits for all answers before it: were one of them the
-		// connection's last, the caller would send this request again while it runs.
+		// A request that may change something waits for all earlier answers: if the connection closed after
+		// one of them, the caller would send this request again while it runs.
 		conn.awaitAnswersLocked()
 	}
 	if conn.closing || conn.ctx.Err() != nil {
@@ -35,11 +36,12 @@
 	return true
 }
 
-// isSafe reports whether the request may run beside others of its connection.
+// isSafe reports whether the request changes nothing, so that it may run concurrently with others of its connection.
 func isSafe(request *http.Request) bool {
 	return request.Method == http.MethodGet || request.Method == http.MethodHead
 }
 
+// dispatch starts the handler for a request; it reports whether another request may follow.
 func (conn *conn) dispatch(request *http.Request, body body) bool {
 	if !conn.admit(request) {
 		conn.server.memory.release(body.acquired)
@@ -47,17 +49,18 @@
 	}
 	answer := newAnswer(request)
 	answer.acquired = body.acquired
-	last := request.Close || request.ProtoMinor == 0
-	answer.closeAfter = last
+	closeAfter := request.Close || request.ProtoMinor == 0
+	answer.closeAfter = closeAfter
 	request = request.WithContext(conn.ctx)
 	request.RemoteAddr = conn.socket.RemoteAddr().String()
 	request.ContentLength = int64(len(body.data))
 	request.Body = &BufferedBody{Reader: bytes.NewReader(body.data), data: body.data}
 	conn.answers <- answer
 	go conn.handle(answer, request)
-	return !last
+	return !closeAfter
 }
 
+// handle runs the handler and recovers from its panics.
 func (conn *conn) handle(answer *answer, request *http.Request) {
 	defer answer.finish()
 	defer conn.server.memory.release(answer.acquired)
@@ -72,8 +75,9 @@
 	conn.server.handler.ServeHTTP(answer, request)
 }
 
-// logPanic takes a fault of ours that one request has met. Passed on, it ends the process with all requests that it
-// holds, and the same request does so at the next host; contained, it costs its caller's connection.
+// logPanic logs a recovered panic, except http.ErrAbortHandler. A panic that is not recovered ends the process with all
+// its requests, and the retried request then does the same at the next host; recovered, it costs only its caller's
+// connection.
 func (conn *conn) logPanic(failure any) {
 	if failure == http.ErrAbortHandler {
 		return
@@ -84,7 +88,8 @@
 		zap.ByteString("Stack", stack[:min(len(stack), maxLoggedStack)]))
 }
 
-// refuse answers a request that was not read whole; the connection ends with that answer.
+// refuse answers a request that could not be read whole; the connection closes after that answer. It returns false, since
+// no further request may be read.
 func (conn *conn) refuse(err error) bool {
 	answer := newAnswer(nil)
 	answer.closeAfter = true
--- a/caller/write.go
+++ b/caller/write.go
@@ -4,6 +4,7 @@
 	"time"
 )
 
+// writeLoop writes the answers in order until the connection closes.
 func (conn *conn) writeLoop() {
 	for answer := range conn.answers {
 		<-answer.done
@@ -13,7 +14,7 @@
 	}
 }
 
-// writeAnswer writes one answer and reports whether the connection goes on.
+// writeAnswer writes one answer and reports whether the connection stays open.
 func (conn *conn) writeAnswer(answer *answer) bool {
 	if answer.aborted || conn.ctx.Err() != nil && answer.request != nil {
 		return false
@@ -30,8 +31,8 @@
 	return err == nil && !answer.closeAfter
 }
 
-// decideCloseAfter lets the connection of a stopping host end with this answer, if no request follows it yet:
-// one that was read already keeps the connection, since it may be running.
+// decideCloseAfter makes the connection of a stopping host close after this answer if no request has followed yet. A
+// request that was already read keeps the connection open, since it may be running.
 func (conn *conn) decideCloseAfter(answer *answer) {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -43,7 +44,7 @@
 	}
 }
 
-// beginClosing takes no further request.
+// beginClosing makes the connection accept no further request, and wakes the read loop if it waits for answers.
 func (conn *conn) beginClosing() {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -51,17 +52,18 @@
 	conn.stateChanged.Broadcast()
 }
 
-// closeIfIdle ends the connection if it is idle.
+// closeIfIdle closes the connection if it is idle.
 func (conn *conn) closeIfIdle() {
 	if conn.stopIfIdle() {
 		_ = conn.socket.Close()
 	}
 }
 
-// stopIfIdle takes nothing more from the connection if no answer is owed or on its way, and no byte has come that belongs to
-// no request yet. What the reading goroutine has begun says too little: on a busy host a request that came long ago waits
-// for it. A request that crosses the close stays in the socket: its caller is told by the reset that nobody has read it,
-// and a host that read on, to be polite, took requests that it could not answer any more.
+// stopIfIdle stops reading the connection, and reports true, if every request is answered, the caller has acknowledged
+// every answer and no byte of a further request has arrived. The socket itself is examined for such bytes: on a busy host
+// a request may have arrived long before the reading goroutine runs. A request that arrives after the stop stays in the
+// socket, so that the reset tells its caller that it was not read; a host that read on would read requests that it can
+// no longer answer.
 func (conn *conn) stopIfIdle() bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -82,7 +84,8 @@
 	}
 }
 
-// lingeringClose lets the caller read the last answer before the socket is gone.
+// lingeringClose closes the sending side and discards what arrives until the caller closes its side or the time is up, so
+// that the caller can read the last answer before the socket is closed.
 func (conn *conn) lingeringClose() {
 	if conn.ctx.Err() != nil {
 		return
