--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -25,7 +25,7 @@
 
 const testTimeout = "20s"
 
-// serve starts a server and returns it with a way to connect.
+// serve starts a server, and returns it and a function that connects to it.
 func serve(handler http.HandlerFunc, options ...caller.Option) (*caller.Server, func() net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -52,8 +52,8 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// answer reads one answer; ReadResponse takes the Connection header away, so "close" is put back.
-func answer(reader *bufio.Reader) (int, string, http.Header) {
+// readAnswer reads one answer. It adds "Connection: close", which ReadResponse removes, to the header again.
+func readAnswer(reader *bufio.Reader) (int, string, http.Header) {
 	GinkgoHelper()
 	response, err := http.ReadResponse(reader, nil)
 	Expect(err).NotTo(HaveOccurred())
@@ -73,7 +73,7 @@
 	})
 }
 
-// heldListener gives connections whose first write returns only when it is released, after its bytes are out.
+// heldListener accepts connections whose writes send their bytes at once, but return only after release is closed.
 type heldListener struct {
 	net.Listener
 	release chan struct{}
@@ -96,11 +96,11 @@
 }
 
 var _ = Describe("callers' connections", func() {
-	DescribeTable("serves proper requests", func(text, expected string) {
+	DescribeTable("serves valid requests", func(text, expected string) {
 		_, connect := serve(echo)
 		socket := connect()
 		send(socket, text)
-		status, body, _ := answer(bufio.NewReader(socket))
+		status, body, _ := readAnswer(bufio.NewReader(socket))
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(body).To(Equal(expected))
 	},
@@ -110,16 +110,15 @@
 		Entry("after an empty line", "\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n", "GET / "),
 	)
 
-	// A request that two parsers read differently can hide a second one in its body: what follows is
-	// served as a request that no caller sent. The answer is 400 and the connection ends, so that nothing
-	// behind the doubtful bytes is read as a request.
-	DescribeTable("refuses what two parsers could read differently", func(text string) {
+	// Guards against request smuggling: if two parsers read a request differently, part of its body can be served as a
+	// request that no caller sent. The answer is 400 and the connection closes, so that no later bytes are parsed.
+	DescribeTable("refuses requests that two parsers could read differently", func(text string) {
 		var served atomic.Int32
 		_, connect := serve(func(writer http.ResponseWriter, request *http.Request) { served.Add(1) })
 		socket := connect()
 		send(socket, text+"GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n")
 		reader := bufio.NewReader(socket)
-		status, _, header := answer(reader)
+		status, _, header := readAnswer(reader)
 		Expect(status).To(Equal(http.StatusBadRequest))
 		Expect(header.Get("Connection")).To(Equal("close"))
 		_, err := reader.ReadByte()
@@ -134,7 +133,7 @@
 		Entry("a negative length", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: -5\r\n\r\nabcde"),
 		Entry("two codings", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
 		Entry("another coding", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"),
-		Entry("a coding spelt oddly", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"),
+		Entry("an unknown coding", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"),
 		Entry("a space before the colon", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length : 5\r\n\r\nabcde"),
 		Entry("a folded line", "POST / HTTP/1.1\r\nHost: h\r\nX: a\r\n b\r\n\r\n"),
 		Entry("a bare line feed", "POST / HTTP/1.1\r\nHost: h\nContent-Length: 5\r\n\r\nabcde"),
@@ -148,7 +147,7 @@
 		Entry("a chunk line without carriage return", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\n"),
 	)
 
-	DescribeTable("bounds what a caller may send", func(text string, expected int) {
+	DescribeTable("limits what a caller may send", func(text string, expected int) {
 		_, connect := serve(echo, withLimits(func(limits *cherrykeel.CallerLimits) {
 			limits.HeaderBytes = 200
 			limits.BodyBytes = 10
@@ -156,7 +155,7 @@
 		}))
 		socket := connect()
 		send(socket, text)
-		status, _, _ := answer(bufio.NewReader(socket))
+		status, _, _ := readAnswer(bufio.NewReader(socket))
 		Expect(status).To(Equal(expected))
 	},
 		Entry("a large head", "GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("x", 300)+"\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge),
@@ -165,9 +164,9 @@
 		Entry("a head that does not end", "GET / HTTP/1.1\r\nHo", http.StatusRequestTimeout),
 	)
 
-	// Callers send bodies of up to 64 MiB to a host that may use less than that. A host that took them all
-	// would be killed with every request it holds; beyond the bound a body is refused, and that is true.
-	It("refuses a body that the memory has no room for, and serves small ones", func() {
+	// Guards against a host that is killed with all its requests, since callers send bodies of up to 64 MiB each and the
+	// host may use less memory than that. A body beyond the limit is refused, and its request does not run.
+	It("refuses a body that exceeds the memory left for bodies", func() {
 		hold := make(chan struct{})
 		DeferCleanup(func() { close(hold) })
 		_, connect := serve(func(http.ResponseWriter, *http.Request) { <-hold }, caller.WithBodyMemoryLimit(100<<10))
@@ -176,15 +175,15 @@
 		Eventually(func() int {
 			socket := connect()
 			send(socket, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n")
-			status, _, header := answer(bufio.NewReader(socket))
+			status, _, header := readAnswer(bufio.NewReader(socket))
 			Expect(header.Get("Retry-After")).NotTo(BeEmpty())
 			return status
 		}, testTimeout).Should(Equal(http.StatusServiceUnavailable))
 	})
 
-	// The caller sends three safe requests at once. They run beside each other, and the answers come in the
-	// order of the requests although the first is ready last.
-	It("works on pipelined requests at once and answers in order", func() {
+	// Three safe requests arrive at once and run concurrently. The answers have the order of the requests, although the
+	// first one is ready last.
+	It("runs pipelined requests concurrently and answers them in order", func() {
 		started := make(chan string, 3)
 		release := map[string]chan struct{}{"/1": make(chan struct{}), "/2": make(chan struct{}), "/3": make(chan struct{})}
 		_, connect := serve(func(writer http.ResponseWriter, request *http.Request) {
@@ -202,14 +201,14 @@
 		close(release["/1"])
 		reader := bufio.NewReader(socket)
 		for _, path := range []string{"/1", "/2", "/3"} {
-			_, body, _ := answer(reader)
+			_, body, _ := readAnswer(reader)
 			Expect(body).To(Equal(path))
 		}
 	})
 
-	// A request that may change something stands behind a safe one. Were it run beside it and the
-	// connection ended with the first answer, the caller would send it again while it runs.
-	It("starts a request that is not safe only after the answers before it", func() {
+	// Guards against an unsafe request that runs twice: it is pipelined behind a safe one, the connection closes after the
+	// first answer, and the caller sends it again while it runs.
+	It("starts an unsafe request only after the answers before it", func() {
 		started := make(chan string, 2)
 		release := make(chan struct{})
 		_, connect := serve(func(_ http.ResponseWriter, request *http.Request) {
@@ -226,9 +225,9 @@
 		Eventually(started, testTimeout).Should(Receive(Equal("POST")))
 	})
 
-	// A caller leaves while its requests run, one of them still unread behind the others. Each has to end,
-	// or servers go on working for nobody; net/http stops watching a connection that has sent ahead.
-	It("ends the requests of a caller that leaves, also behind pipelined bytes", func() {
+	// Guards against upstreams that go on working for a caller that has closed its connection while its requests run, one
+	// of them unread behind the others. net/http no longer watches a connection on which further bytes have arrived.
+	It("cancels the requests of a caller that disconnects, also behind pipelined bytes", func() {
 		ended := make(chan struct{}, 4)
 		started := make(chan struct{}, 4)
 		_, connect := serve(func(_ http.ResponseWriter, request *http.Request) {
@@ -245,8 +244,8 @@
 		Eventually(ended, testTimeout).Should(Receive())
 	})
 
-	// The host is told to stop. Requests that run are answered whole, each connection ends with its next
-	// answer, and idle ones end when the balancer has had time to notice; nobody is cut off.
+	// Guards against a stop that cuts off a caller. Running requests are answered whole, each connection closes after its
+	// next answer, and idle connections are closed.
 	It("stops without cutting an answer", func() {
 		release := make(chan struct{})
 		started := make(chan struct{}, 1)
@@ -266,7 +265,7 @@
 		Expect(err).To(Equal(io.EOF))
 		close(release)
 		reader := bufio.NewReader(busy)
-		status, body, header := answer(reader)
+		status, body, header := readAnswer(reader)
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(body).To(Equal("whole"))
 		Expect(header.Get("Connection")).To(Equal("close"))
@@ -283,19 +282,19 @@
 			_, _ = io.WriteString(socket, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
 			_, _ = io.WriteString(socket, strings.Repeat("10\r\n0123456789abcdef\r\n", 100000)+"0\r\n\r\n")
 		}()
-		_, body, _ := answer(bufio.NewReader(socket))
+		_, body, _ := readAnswer(bufio.NewReader(socket))
 		Expect(body).To(Equal("1600000"))
 	})
 
-	It("ends a connection that was idle for too long", func() {
+	It("closes a connection that was idle for too long", func() {
 		_, connect := serve(echo, withLimits(func(limits *cherrykeel.CallerLimits) { limits.IdleTimeout = 30 * time.Millisecond }))
 		_, err := bufio.NewReader(connect()).ReadByte()
 		Expect(err).To(Equal(io.EOF))
 	})
 
-	// A search takes longer than a connection may be idle. Counted from the request on, the connection would
-	// close as soon as the answer is written, and the caller's next request would cross the close.
-	It("counts a connection as idle from its last answer on", func() {
+	// Guards against a connection that closes as soon as its answer is written, under the caller's next request: a request
+	// takes longer than the idle timeout, and the idle time counts from the request.
+	It("counts idle time from the last answer", func() {
 		running := make(chan struct{})
 		_, connect := serve(func(writer http.ResponseWriter, request *http.Request) {
 			if request.URL.Path == "/slow" {
@@ -320,8 +319,8 @@
 		}
 	})
 
-	// The operator lengthens the limit while a connection is idle. Callers go by the new one.
-	It("goes by the limit that is in force when a connection has been idle", func() {
+	// The operator increases the idle timeout while a connection is idle, and callers rely on the new one.
+	It("applies the idle timeout that is in force when the idle time ends", func() {
 		var limit atomic.Int64
 		limit.Store(int64(10 * time.Millisecond))
 		_, connect := serve(echo, caller.WithLimits(func() cherrykeel.CallerLimits {
@@ -339,7 +338,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("ends the connection without a byte when the handler gives up", func() {
+	It("closes the connection without a byte when the handler aborts", func() {
 		_, connect := serve(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		socket := connect()
 		send(socket, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -347,10 +346,9 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	// The answer's bytes are out, and the caller sends its next request at once, with a body that it holds back.
-	// The answer still counts as unwritten then. The caller is asked for its body all the same, as soon as it no
-	// longer does; it once waited for that until its time was up.
-	It("asks for a body behind an answer that has just been written", func() {
+	// Guards against a caller that never receives the 100 for a body that it holds back: it sends the request as soon as
+	// it has the previous answer, which still counts as unwritten at that moment.
+	It("requests a body behind an answer that has just been written", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -362,7 +360,7 @@
 		_ = socket.SetDeadline(time.Now().Add(time.Minute))
 		reader := bufio.NewReader(socket)
 		send(socket, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
-		_, body, _ := answer(reader)
+		_, body, _ := readAnswer(reader)
 		Expect(body).To(Equal("GET /x "))
 		send(socket, "POST /y HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
 		time.AfterFunc(300*time.Millisecond, func() { close(held.release) })
@@ -370,11 +368,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(proceed.StatusCode).To(Equal(http.StatusContinue))
 		send(socket, "ok")
-		_, body, _ = answer(reader)
+		_, body, _ = readAnswer(reader)
 		Expect(body).To(Equal("POST /y ok"))
 	})
 
-	It("sends no body to HEAD and asks for a body that is held back", func() {
+	It("sends no body for HEAD, and requests a body that is held back", func() {
 		_, connect := serve(echo)
 		socket := connect()
 		reader := bufio.NewReader(socket)
@@ -387,7 +385,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(proceed.StatusCode).To(Equal(http.StatusContinue))
 		send(socket, "ok")
-		_, body, _ := answer(reader)
+		_, body, _ := readAnswer(reader)
 		Expect(body).To(Equal("POST /y ok"))
 	})
 })
--- a/caller/close_test.go
+++ b/caller/close_test.go
@@ -11,7 +11,7 @@
 	"cherrykeel/caller"
 )
 
-// slowConn is a connection whose close takes until it is released.
+// slowConn is a connection whose Close blocks until release is closed.
 type slowConn struct {
 	net.Conn
 	once    *sync.Once
@@ -25,7 +25,7 @@
 	return conn.Conn.Close()
 }
 
-// slowListener accepts connections whose closes take long.
+// slowListener accepts connections whose Close blocks until release is closed.
 type slowListener struct {
 	net.Listener
 	closing chan struct{}
@@ -41,9 +41,9 @@
 }
 
 var _ = Describe("a stopping host that closes connections slowly", func() {
-	// Guards against a host that has thousands of connections and little of a processor: it could neither count nor
-	// take connections before all were closed, and its stop waited for that beyond its grace.
-	It("counts them meanwhile", func() {
+	// Guards against a stop that exceeds its grace period: a host with thousands of connections and little processor time
+	// could neither count nor accept connections until all idle ones were closed.
+	It("can count them meanwhile", func() {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(inner.Close)
--- a/caller/idle_test.go
+++ b/caller/idle_test.go
@@ -20,14 +20,14 @@
 	"cherrykeel/sock"
 )
 
-// useOneProcessor lets the goroutines of the process run one at a time, as on a host that is short of processor time: what
-// has come on a socket stays unread until the running goroutine gives way.
+// useOneProcessor lets only one goroutine run at a time, as on a host that is short of processor time: what arrives on a
+// socket stays unread until the running goroutine yields.
 func useOneProcessor() {
 	before := runtime.GOMAXPROCS(1)
 	DeferCleanup(func() { runtime.GOMAXPROCS(before) })
 }
 
-// yieldTimes lets other goroutines run that many times.
+// yieldTimes yields to other goroutines the given number of times.
 func yieldTimes(times int) {
 	for range times {
 		runtime.Gosched()
@@ -35,45 +35,46 @@
 }
 
 const (
-	// maxSteps is more often than a request's bytes pass from goroutine to goroutine until it is taken.
-	maxSteps      = 12
+	// maxSteps exceeds the number of goroutine switches until a request is accepted.
+	maxSteps = 12
+	// roundsPerStep is how often each number of switches is tried.
 	roundsPerStep = 5
 )
 
 var _ = Describe("connections that a stopping host closes as idle", func() {
-	ask := func(socket net.Conn) {
+	sendGet := func(socket net.Conn) {
 		send(socket, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	}
 	expectAnswer := func(socket net.Conn) {
 		GinkgoHelper()
-		status, _, _ := answer(bufio.NewReader(socket))
+		status, _, _ := readAnswer(bufio.NewReader(socket))
 		Expect(status).To(Equal(http.StatusOK))
 	}
 
-	// Guards against a request that came in time and is given up, since the host has not looked at it yet.
-	It("answers a request that has come before the close, however far it has been read", func() {
+	// Guards against a request that arrived in time and is dropped, since the host has not read it yet.
+	It("answers a request that arrived before the close, however far it has been read", func() {
 		useOneProcessor()
 		for steps := range maxSteps * roundsPerStep {
 			server, connect := serve(echo)
-			rested := connect()
-			ask(rested)
-			expectAnswer(rested)
+			idle := connect()
+			sendGet(idle)
+			expectAnswer(idle)
 			time.Sleep(time.Millisecond)
 			server.DisableKeepAlives()
-			ask(rested)
+			sendGet(idle)
 			yieldTimes(steps % maxSteps)
 			server.CloseIdle()
-			expectAnswer(rested)
+			expectAnswer(idle)
 		}
 	})
 
-	// Guards against an answer on its way to a slow caller that the reset for its next request overtakes.
-	It("does not take a connection to rest whose last answer has not arrived", func() {
+	// Guards against a slow caller that loses the rest of an answer, since its next request causes a reset.
+	It("does not treat a connection as idle whose last answer has not arrived", func() {
 		const size = 128 << 10
 		server, connect := serve(func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write(make([]byte, size)) })
 		slow := connect()
 		Expect(slow.(*net.TCPConn).SetReadBuffer(4 << 10)).To(Succeed())
-		ask(slow)
+		sendGet(slow)
 		reader := bufio.NewReader(slow)
 		first, err := http.ReadResponse(reader, nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -82,28 +83,28 @@
 			server.CloseIdle()
 			time.Sleep(time.Millisecond)
 		}
-		ask(slow)
+		sendGet(slow)
 		Expect(slow.(*net.TCPConn).SetReadBuffer(1 << 20)).To(Succeed())
 		body, err := io.ReadAll(first.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(HaveLen(size))
-		status, _, _ := answer(reader)
+		status, _, _ := readAnswer(reader)
 		Expect(status).To(Equal(http.StatusOK))
 	})
 
-	// Guards against a request that the connection's goroutine has got and not begun.
+	// Guards against dropping a request whose bytes were read from the socket, but not yet by the connection's goroutine.
 	It("answers a request that waits for the connection's goroutine", func() {
 		held := make(chan struct{})
-		var looks atomic.Int32
+		var limitReads atomic.Int32
 		server, connect := serve(echo, caller.WithLimits(func() cherrykeel.CallerLimits {
-			if looks.Add(1) == 1 {
+			if limitReads.Add(1) == 1 {
 				<-held
 			}
 			return caller.DefaultLimits()
 		}))
 		socket := connect()
-		Eventually(looks.Load, testTimeout).Should(BeNumerically(">", 0))
-		ask(socket)
+		Eventually(limitReads.Load, testTimeout).Should(BeNumerically(">", 0))
+		sendGet(socket)
 		Eventually(func() bool { return sock.HasUnacknowledged(socket.(*net.TCPConn)) }, testTimeout).Should(BeFalse())
 		time.Sleep(time.Millisecond)
 		server.DisableKeepAlives()
@@ -112,8 +113,8 @@
 		expectAnswer(socket)
 	})
 
-	// Guards against a host that reads a request after it has decided that it takes no more on that connection.
-	It("leaves in the socket what comes after the close", func() {
+	// Guards against a host that reads a request after it has decided to accept no more on that connection.
+	It("leaves in the socket what arrives after the close", func() {
 		core, logged := observer.New(zap.DebugLevel)
 		server, connect := serve(echo, caller.WithLogger(zap.New(core)))
 		socket := connect()
@@ -130,13 +131,13 @@
 		Expect(logged.FilterMessage(events.RequestAfterClose.Text).All()).To(BeEmpty())
 	})
 
-	// Guards against the first request of a connection being given up, since it was accepted just before the close.
+	// Guards against dropping the first request of a connection that was accepted just before the close.
 	It("answers the first request of a connection that it has just accepted", func() {
 		useOneProcessor()
 		for steps := range maxSteps * roundsPerStep {
 			server, connect := serve(echo)
 			socket := connect()
-			ask(socket)
+			sendGet(socket)
 			for server.OpenConns() == 0 {
 				runtime.Gosched()
 			}
--- a/caller/panic_test.go
+++ b/caller/panic_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a request under which the program panics", func() {
-	// One caller's request meets a fault of ours. The process ended with all that it held, and the request came again at
-	// the next host, as one that ends upstreams does. The handler's panic was passed on to the goroutine's end.
-	It("loses its own connection, and no other request of the host", func() {
+var _ = Describe("a request whose handler panics", func() {
+	// Guards against one request that crashes host after host: an unrecovered panic in its handler ends the process with
+	// all its requests, and the caller sends the request again to the next host.
+	It("loses only its own connection, and no other request of the host", func() {
 		working := make(chan struct{})
 		_, connect := serve(func(writer http.ResponseWriter, request *http.Request) {
 			if request.URL.Path == "/deadly" {
@@ -26,7 +26,7 @@
 		_, err := http.ReadResponse(bufio.NewReader(deadly), nil)
 		Expect(err).To(HaveOccurred())
 		close(working)
-		status, body, _ := answer(bufio.NewReader(beside))
+		status, body, _ := readAnswer(bufio.NewReader(beside))
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(body).To(HavePrefix("GET /beside"))
 	})
--- a/caller/stop_test.go
+++ b/caller/stop_test.go
@@ -12,8 +12,8 @@
 	"cherrykeel/fakes"
 )
 
-var _ = Describe("a host that stops among callers who connect all the time", func() {
-	// Guards against a caller that is reset or cut off as it connects, and cannot tell whether its request was read.
+var _ = Describe("a host that stops while callers connect all the time", func() {
+	// Guards against a caller that is reset or cut off while it connects, and cannot tell whether its request was read.
 	It("refuses each of them, or answers it", func() {
 		for range 10 {
 			listener, err := drain.Listen("127.0.0.1:0")
