--- a/conns/conn.go
+++ b/conns/conn.go
@@ -17,10 +17,10 @@
 	socket  net.Conn
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// writtenBytes counts the bytes handed to the socket for the present request.
+	// writtenBytes counts the bytes of the current request that were handed to the socket.
 	writtenBytes int
 	idleSince    time.Time
-	// idleLimit is how long the connection may be idle and still be used.
+	// idleLimit is how long the connection may be idle and still be reused.
 	idleLimit time.Duration
 }
 
@@ -31,17 +31,18 @@
 	return conn
 }
 
+// countingWriter writes to the socket and counts the bytes in conn.writtenBytes.
 type countingWriter struct {
 	conn *conn
 }
 
 func (writer countingWriter) Write(data []byte) (int, error) {
-	// Counted before the write: bytes of a write that fails may have left all the same.
+	// Counted before the write, since a write that fails may have sent some of its bytes.
 	writer.conn.writtenBytes += len(data)
 	return writer.conn.socket.Write(data)
 }
 
-// idleTime returns how long the connection was idle before its present request; 0 for a new one.
+// idleTime returns how long the connection has been idle, or 0 for a new one.
 func (conn *conn) idleTime() time.Duration {
 	if conn.idleSince.IsZero() {
 		return 0
@@ -49,19 +50,17 @@
 	return time.Since(conn.idleSince)
 }
 
-// staysOpen reports whether a new connection is still open and silent after a while. On a busy host the while can be over
-// before this goroutine sees what came within it, so the socket is asked once more.
-func (conn *conn) staysOpen(watch time.Duration) bool {
-	_ = conn.socket.SetReadDeadline(time.Now().Add(watch))
+// staysOpen waits, and reports whether a new connection is still open then and has nothing to read. On a busy host the
+// read deadline can pass before this goroutine sees a reset that arrived in time, so the socket is checked once more.
+func (conn *conn) staysOpen(wait time.Duration) bool {
+	_ = conn.socket.SetReadDeadline(time.Now().Add(wait))
 	_, err := conn.reader.Peek(1)
 	_ = conn.socket.SetReadDeadline(time.Time{})
 	return errors.Is(err, os.ErrDeadlineExceeded) && conn.isOpenAndQuiet()
 }
 
-// isOpenAndQuiet reports whether an idle connection is still open and has nothing to read.
-// An upstream that closed it, or sent an answer nobody asked for, must not get
-// or answer the next request: without the look, a request would be lost on a
-// closed connection, or paired with a late answer to the previous one.
+// isOpenAndQuiet reports whether the connection is open and has nothing to read. Without this check, the next request could
+// be lost on a connection that the upstream has closed, or receive an unrequested answer or a late one to another request.
 func (conn *conn) isOpenAndQuiet() bool {
 	if conn.reader.Buffered() > 0 {
 		return false
@@ -76,8 +75,8 @@
 	}
 	quiet := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buffer [1]byte
+		_, _, err := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = err == syscall.EAGAIN
 		return true
 	})
--- a/conns/dialer.go
+++ b/conns/dialer.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepAliveEvery is the pace of probes on idle connections. Two missed probes end a connection
-// that went silent without a reset, which nothing else would show while nothing is sent.
+// keepAliveInterval is the interval of keep-alive probes on idle connections. A connection fails after keepAliveMisses
+// unanswered probes. Without probes, nothing shows that the peer is unreachable while nothing is sent.
 const (
 	keepAliveInterval = time.Second
 	keepAliveMisses   = 2
 )
 
-// NewDialer returns a dialer whose connections fail when sent bytes stay unacknowledged for
-// userTimeout, and when the other end answers no probes; userTimeout 0 leaves both to the system.
+// NewDialer returns a dialer whose connections fail when sent bytes stay unacknowledged for userTimeout, or when the peer
+// does not answer keep-alive probes. With userTimeout 0 the defaults apply to both.
 func NewDialer(dialTimeout, userTimeout time.Duration) *net.Dialer {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	if userTimeout == 0 {
--- a/conns/doc.go
+++ b/conns/doc.go
@@ -1,4 +1,4 @@
-// Package conns carries one HTTP request at a time over connections that it
-// counts itself. It repeats nothing and reports how far a request got, which
-// net/http's transport does not tell.
+// Package conns sends HTTP requests to upstreams over pooled connections, one request at a time on each. It never repeats
+// a request and reports how far a request got, which net/http's transport does not. It also limits the connections to
+// each upstream.
 package conns
--- a/conns/exchange.go
+++ b/conns/exchange.go
@@ -13,24 +13,25 @@
 )
 
 var (
-	// ErrBroken means that the connection failed or the answer was not whole.
+	// ErrBroken means that the connection failed or the answer was incomplete.
 	ErrBroken = errors.New("the connection to the upstream broke")
-	// ErrReset is an ErrBroken that means that the connection was reset, as upstreams do that are full: a process that
-	// ends under a request closes its connection.
+	// ErrReset is an ErrBroken that means that the connection was reset, as upstreams do that have too many connections.
+	// A process that ends during a request closes its connections instead.
 	ErrReset = errors.WithMessage(ErrBroken, "reset")
-	// ErrNotReady means that the request was not to be sent any more when the connection was there.
-	ErrNotReady = errors.New("the request was not to be sent any more")
-	// ErrCloseDelimited means that the answer does not say where it ends, so it cannot be known to be whole.
-	ErrCloseDelimited = errors.New("the answer does not say where it ends")
+	// ErrNotReady means that SendOptions.Ready reported false, so the request was not sent.
+	ErrNotReady = errors.New("the request must no longer be sent")
+	// ErrCloseDelimited means that the answer ends only with its connection, so an incomplete one cannot be recognized.
+	ErrCloseDelimited = errors.New("the answer ends only with its connection")
 )
 
+// pastTime as a deadline makes reads and writes fail at once.
 var pastTime = time.Unix(1, 0)
 
-// Answer is an upstream's answer whose head has arrived.
+// Answer is an upstream's answer whose head has arrived. Read returns its body, and Close must be called.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is -1 when the answer comes in chunks.
+	// Length is the body's length in bytes, or -1 if the head does not state it.
 	Length     int64
 	response   *http.Response
 	conn       *conn
@@ -41,47 +42,48 @@
 	onClose    func()
 }
 
-// OnClose sets what Close calls once.
+// OnClose sets a function that the first Close calls.
 func (answer *Answer) OnClose(call func()) {
 	answer.onClose = call
 }
 
-// Send writes the request and reads the head of its answer; the context's end breaks the connection.
-// When it returns an error, the connection is closed and Progress says how far the request got.
+// Send writes the request and reads the head of its answer; the end of the context makes the connection fail. If Send
+// returns an error, Progress is how far the request got, and a connection on which it was sent is closed.
 func (pool *Pool) Send(ctx context.Context, address string, request *http.Request) (*Answer, Progress, error) {
 	return pool.SendWithOptions(ctx, address, request, SendOptions{MaxIdle: pool.idleTimeout})
 }
 
-// SendOptions says what a request asks of its connection.
+// SendOptions are a request's requirements for its connection.
 type SendOptions struct {
-	// MaxIdle is how long ago the connection may have been in use. An upstream may forget an idle connection
-	// without notice: what is sent there next is reset, and may have run.
+	// MaxIdle is how long the connection may have been idle. An upstream may drop an idle connection without notice;
+	// the next request on it is then reset, and may have run.
 	MaxIdle time.Duration
-	// ResetWait is how long a new connection is watched before the first byte is sent, or 0. An upstream with too
-	// many connections accepts one more and resets it; what has been sent by then may have run.
+	// ResetWait is how long a new connection must stay open before the first byte is sent; 0 sends at once. An upstream
+	// with too many connections accepts one more and resets it, and a request sent by then may have run.
 	ResetWait time.Duration
-	// Ready is asked when the connection is there, just before the first byte is sent; the request may be changed
-	// then, or with false not be sent. What was true before a slow connection, or a pause, may not be any more.
+	// Ready, if not nil, is called once the connection is established, just before the first byte is sent. It may change
+	// the request, or return false to cancel it: the conditions for sending may have changed during a slow connect or
+	// while the process was suspended.
 	Ready func() bool
 }
 
-// SendIfReady is Send for a request that depends on the moment; see Care.Ready.
+// SendIfReady is Send with a check just before the first byte is sent; see SendOptions.Ready.
 func (pool *Pool) SendIfReady(ctx context.Context, address string, request *http.Request, ready func() bool) (*Answer, Progress, error) {
 	return pool.SendWithOptions(ctx, address, request, SendOptions{MaxIdle: pool.idleTimeout, Ready: ready})
 }
 
-// SendWithOptions is Send over a connection that meets the care, or a new one.
-func (pool *Pool) SendWithOptions(ctx context.Context, address string, request *http.Request, care SendOptions) (*Answer, Progress, error) {
-	conn, err := pool.acquire(ctx, address, care)
+// SendWithOptions is Send over a connection that meets the options.
+func (pool *Pool) SendWithOptions(ctx context.Context, address string, request *http.Request, options SendOptions) (*Answer, Progress, error) {
+	conn, err := pool.acquire(ctx, address, options)
 	if err != nil {
 		return nil, NotSent, err
 	}
-	if care.Ready != nil && !care.Ready() {
+	if options.Ready != nil && !options.Ready() {
 		pool.release(conn)
 		return nil, NotSent, errors.WithStack(ErrNotReady)
 	}
 	conn.writtenBytes = 0
-	rested := conn.idleTime()
+	idle := conn.idleTime()
 	stop := context.AfterFunc(ctx, func() {
 		_ = conn.socket.SetDeadline(pastTime)
 	})
@@ -90,7 +92,7 @@
 		stop()
 		pool.discard(conn)
 		if progress == Sent && ctx.Err() == nil {
-			pool.recordLoss(rested)
+			pool.recordLoss(idle)
 		}
 		return nil, progress, err
 	}
@@ -99,7 +101,8 @@
 	return answer, AnswerBegun, nil
 }
 
-func (conn *conn) exchange(request *http.Request, takesUnframed bool) (*Answer, Progress, error) {
+// exchange writes the request and reads the head of its answer.
+func (conn *conn) exchange(request *http.Request, allowCloseDelimited bool) (*Answer, Progress, error) {
 	err := request.Write(conn.writer)
 	if err == nil {
 		err = conn.writer.Flush()
@@ -111,13 +114,14 @@
 	if err != nil {
 		return nil, Sent, brokenError(err)
 	}
-	if isCloseDelimited(response) && !(takesUnframed && response.StatusCode != http.StatusSwitchingProtocols) {
+	if isCloseDelimited(response) && !(allowCloseDelimited && response.StatusCode != http.StatusSwitchingProtocols) {
 		return nil, AnswerBegun, errors.WithStack(ErrCloseDelimited)
 	}
 	answer := &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, response: response, conn: conn}
 	return answer, AnswerBegun, nil
 }
 
+// brokenError returns ErrReset or ErrBroken with the message of the connection's error.
 func brokenError(err error) error {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return errors.Wrap(ErrReset, err.Error())
@@ -125,6 +129,7 @@
 	return errors.Wrap(ErrBroken, err.Error())
 }
 
+// writeProgress returns how far a request got whose write failed.
 func (conn *conn) writeProgress() Progress {
 	if conn.writtenBytes == 0 {
 		return NotSent
@@ -132,6 +137,7 @@
 	return PartlySent
 }
 
+// readHead reads the head of the final answer and skips informational ones.
 func (conn *conn) readHead(request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(conn.reader, request)
@@ -145,13 +151,13 @@
 	}
 }
 
-// isCloseDelimited reports whether only the end of the connection ends the answer.
+// isCloseDelimited reports whether the answer ends only with its connection.
 func isCloseDelimited(response *http.Response) bool {
 	chunked := len(response.TransferEncoding) > 0
 	return response.ContentLength < 0 && !chunked || response.StatusCode == http.StatusSwitchingProtocols
 }
 
-// Read reads the body; io.EOF comes only when the whole body has been read.
+// Read reads the body. It returns io.EOF only after the complete body, and ErrBroken or ErrReset if the connection fails.
 func (answer *Answer) Read(buffer []byte) (int, error) {
 	count, err := answer.response.Body.Read(buffer)
 	if err == io.EOF {
@@ -163,17 +169,17 @@
 	return count, err
 }
 
-// IsComplete reports whether the body has been read to its end.
+// IsComplete reports whether the complete body has been read.
 func (answer *Answer) IsComplete() bool {
 	return answer.complete
 }
 
-// DisableReuse keeps the connection from being used again, also after a whole answer.
+// DisableReuse makes Close close the connection, even after a complete answer.
 func (answer *Answer) DisableReuse() {
 	answer.complete = false
 }
 
-// Close ends the exchange; the connection is used again only after a whole answer with nothing behind it.
+// Close ends the exchange. The connection is reused only after a complete answer with no further bytes behind it.
 func (answer *Answer) Close() {
 	if answer.closed {
 		return
@@ -192,11 +198,12 @@
 	answer.pool.release(answer.conn)
 }
 
-// idleLimitMargin is how long before its announced end an idle connection is no longer used:
-// the end is told in whole seconds and counted from the upstream's side.
+// idleLimitMargin is how long before its announced timeout an idle connection is no longer used: the timeout is announced
+// in whole seconds and counted from the upstream's side.
 const idleLimitMargin = time.Second
 
-// idleLimit returns how long the connection may be idle, by the answer's Keep-Alive or the pool's setting.
+// idleLimit returns how long the connection may be idle: the pool's idle timeout, or less if the answer's Keep-Alive header
+// announces an earlier close.
 func (answer *Answer) idleLimit() time.Duration {
 	for _, part := range strings.Split(answer.Header.Get("Keep-Alive"), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/conns/pool.go
+++ b/conns/pool.go
@@ -9,25 +9,26 @@
 )
 
 var (
-	// ErrConnLimit means that the upstream's share of connections is used up.
+	// ErrConnLimit means that all connections that the limit of the address allows are in use.
 	ErrConnLimit = errors.New("no connection is free")
-	// ErrConnect means that no connection could be made.
+	// ErrConnect means that no connection could be established.
 	ErrConnect = errors.New("the upstream cannot be reached")
-	// ErrRefused is an ErrConnect that means that no process listens at the upstream's address.
-	ErrRefused = errors.WithMessage(ErrConnect, "nobody listens there")
+	// ErrRefused is an ErrConnect that means that no process listens on the upstream's address.
+	ErrRefused = errors.WithMessage(ErrConnect, "no process listens on its address")
 )
 
 const (
 	defaultDialTimeout = time.Second
 	defaultIdleTimeout = 30 * time.Second
 	defaultLimit       = 16
-	// lossWindow is how long connections are reused sooner, or not at all, after one that had rested was lost.
-	// Each host then loses one request in that time, not one at each upstream that forgets connections.
+	// lossWindow is for how long, after the loss of a connection that had been idle, others are reused only if they have
+	// been idle for less time. Each host then loses one request in that time, instead of one at each upstream that drops
+	// idle connections.
 	lossWindow = 10 * time.Second
-	// justUsedWithin is the rest below which a connection counts as just used; upstreams keep idle ones for
-	// hundreds of milliseconds at the least.
+	// justUsedWithin is the idle time below which a connection counts as just used; upstreams keep idle connections for
+	// hundreds of milliseconds at least.
 	justUsedWithin = 50 * time.Millisecond
-	// freshLossWeight is how many losses after a rest one loss without a rest explains.
+	// freshLossWeight is the number of losses after idle time that one loss without idle time offsets.
 	freshLossWeight = 2
 )
 
@@ -39,14 +40,15 @@
 	allowCloseDelimited bool
 	mutex               sync.Mutex
 	addresses           map[string]*addressPool
-	// idleLosses and lostFresh count connections that were lost since the last time that none was for
-	// doubtFor; doubt bounds how long others may rest.
+	// idleLosses and freshLosses count the connections lost under a request, after idle time and without it. Both start
+	// again after lossWindow without a loss. reducedMaxIdle is the idle time allowed after a loss.
 	idleLosses     int
 	freshLosses    int
 	lastLoss       time.Time
 	reducedMaxIdle time.Duration
 }
 
+// addressPool holds the connections to one address.
 type addressPool struct {
 	limit int
 	open  int
@@ -56,7 +58,7 @@
 // Option changes a Pool under construction.
 type Option func(*Pool)
 
-// WithDialTimeout sets the time that connecting may take.
+// WithDialTimeout bounds the time to establish a connection.
 func WithDialTimeout(timeout time.Duration) Option {
 	return func(pool *Pool) {
 		pool.dialTimeout = timeout
@@ -70,15 +72,15 @@
 	}
 }
 
-// WithUserTimeout sets how long sent bytes may stay unacknowledged before a connection is
-// given up; without it a request on a connection gone silent hangs until its deadline.
+// WithUserTimeout sets how long sent bytes may stay unacknowledged before a connection fails. Without it, a request on a
+// connection whose peer has become unreachable waits until the request's deadline.
 func WithUserTimeout(timeout time.Duration) Option {
 	return func(pool *Pool) {
 		pool.userTimeout = timeout
 	}
 }
 
-// WithCloseDelimited takes answers that say no length and end with an orderly close of their connection.
+// WithCloseDelimited accepts answers that have no length and end with an orderly close of their connection.
 func WithCloseDelimited() Option {
 	return func(pool *Pool) {
 		pool.allowCloseDelimited = true
@@ -94,14 +96,14 @@
 	return pool
 }
 
-// SetLimit sets how many connections there may be to an address.
+// SetLimit sets the maximum number of connections to an address, which is at least 1.
 func (pool *Pool) SetLimit(name string, limit int) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	pool.addressPool(name).limit = max(1, limit)
 }
 
-// OpenConns returns how many connections there are to an address.
+// OpenConns returns the number of connections to an address, idle or in use.
 func (pool *Pool) OpenConns(name string) int {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -117,10 +119,10 @@
 	return found
 }
 
-// recordLoss notes that a connection ended with its request, after a rest or, with 0, a new or just used one. Those
-// that rested for half as long are in doubt then, unless connections that have not rested are lost about as
-// often: that is the upstreams' trouble, and new connections only add to it.
-func (pool *Pool) recordLoss(rested time.Duration) {
+// recordLoss records that a connection failed under its request after it had been idle for a time, which is 0 for a new
+// connection. Other connections are then reused only within half that time, unless connections that were not idle are
+// lost about as often: the cause is then a failure of the upstreams, and new connections would only add load to them.
+func (pool *Pool) recordLoss(idle time.Duration) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	now := time.Now()
@@ -128,17 +130,17 @@
 		pool.idleLosses, pool.freshLosses, pool.reducedMaxIdle = 0, 0, 0
 	}
 	pool.lastLoss = now
-	if rested < justUsedWithin {
+	if idle < justUsedWithin {
 		pool.freshLosses++
 		return
 	}
 	pool.idleLosses++
-	if pool.reducedMaxIdle == 0 || rested/2 < pool.reducedMaxIdle {
-		pool.reducedMaxIdle = rested / 2
+	if pool.reducedMaxIdle == 0 || idle/2 < pool.reducedMaxIdle {
+		pool.reducedMaxIdle = idle / 2
 	}
 }
 
-// allowedIdle returns how long a connection may have rested.
+// allowedIdle returns how long a connection may have been idle before it is reused.
 func (pool *Pool) allowedIdle(maxIdle time.Duration) time.Duration {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -148,16 +150,16 @@
 	return min(maxIdle, pool.reducedMaxIdle)
 }
 
-// acquire returns an idle connection that still stands and meets the care, or makes a new one.
-func (pool *Pool) acquire(ctx context.Context, name string, care SendOptions) (*conn, error) {
-	maxIdle := pool.allowedIdle(care.MaxIdle)
+// acquire returns an idle connection that is still open and meets the options, or establishes a new one.
+func (pool *Pool) acquire(ctx context.Context, name string, options SendOptions) (*conn, error) {
+	maxIdle := pool.allowedIdle(options.MaxIdle)
 	for {
 		idle, err := pool.reserve(name)
 		if err != nil {
 			return nil, err
 		}
 		if idle == nil {
-			return pool.dial(ctx, name, care.ResetWait)
+			return pool.dial(ctx, name, options.ResetWait)
 		}
 		if time.Since(idle.idleSince) < min(maxIdle, idle.idleLimit) && idle.isOpenAndQuiet() {
 			return idle, nil
@@ -166,7 +168,7 @@
 	}
 }
 
-// reserve returns an idle connection, or nil with room for a new one counted.
+// reserve returns an idle connection, or nil after counting a new one that the caller must establish.
 func (pool *Pool) reserve(name string) (*conn, error) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -183,7 +185,8 @@
 	return nil, nil
 }
 
-func (pool *Pool) dial(ctx context.Context, name string, watch time.Duration) (*conn, error) {
+// dial establishes a connection that reserve has counted; with a wait above 0, it must stay open for that long.
+func (pool *Pool) dial(ctx context.Context, name string, wait time.Duration) (*conn, error) {
 	dialer := NewDialer(pool.dialTimeout, pool.userTimeout)
 	socket, err := dialer.DialContext(ctx, "tcp", name)
 	if err != nil {
@@ -192,9 +195,9 @@
 	}
 	conn := newConn(name, socket)
 	conn.idleLimit = pool.idleTimeout
-	if watch > 0 && !conn.staysOpen(watch) {
+	if wait > 0 && !conn.staysOpen(wait) {
 		pool.discard(conn)
-		return nil, errors.Wrap(ErrConnect, "the upstream ended the connection at once")
+		return nil, errors.Wrap(ErrConnect, "the upstream closed the new connection")
 	}
 	return conn, nil
 }
@@ -210,6 +213,7 @@
 	pool.countClosed(conn.address)
 }
 
+// release makes a connection available to other requests, or closes it if its address has more than its limit allows.
 func (pool *Pool) release(conn *conn) {
 	conn.idleSince = time.Now()
 	pool.mutex.Lock()
@@ -223,8 +227,8 @@
 	address.idle = append(address.idle, conn)
 }
 
-// CloseIdle closes the idle connections to an address, whose process has ended: what would be sent on them next is
-// reset, and may have run for all that this host can tell.
+// CloseIdle closes the idle connections to an address whose process has ended. A request sent on one of them would be
+// reset, and this host could not tell whether it had run.
 func (pool *Pool) CloseIdle(name string) {
 	pool.mutex.Lock()
 	address := pool.addressPool(name)
@@ -236,7 +240,7 @@
 	}
 }
 
-// CloseExpired closes connections that have been idle for too long.
+// CloseExpired closes the connections that have been idle for longer than the idle timeout.
 func (pool *Pool) CloseExpired() {
 	for _, conn := range pool.removeExpired() {
 		pool.discard(conn)
@@ -246,7 +250,7 @@
 func (pool *Pool) removeExpired() []*conn {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	var old []*conn
+	var expired []*conn
 	for _, address := range pool.addresses {
 		var kept []*conn
 		for _, conn := range address.idle {
@@ -254,9 +258,9 @@
 				kept = append(kept, conn)
 				continue
 			}
-			old = append(old, conn)
+			expired = append(expired, conn)
 		}
 		address.idle = kept
 	}
-	return old
+	return expired
 }
--- a/conns/probe.go
+++ b/conns/probe.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// connectError is the kind of error with which no connection could be made.
+// connectError returns ErrRefused or ErrConnect for the error of a dial.
 func connectError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return ErrRefused
@@ -15,8 +15,8 @@
 	return ErrConnect
 }
 
-// IsRefused reports whether an address refuses connections, since no process listens there. While a connection rests
-// there none is made: an end of the process would have ended that one too.
+// IsRefused reports whether an address refuses connections because no process listens there. It does not connect while the
+// pool has an open idle connection to the address: the end of the process would have closed that connection too.
 func (pool *Pool) IsRefused(name string) bool {
 	if pool.hasOpenIdleConn(name) {
 		return false
@@ -30,7 +30,7 @@
 	return false
 }
 
-// hasOpenIdleConn reports whether a connection to an address rests that is still open.
+// hasOpenIdleConn reports whether the pool has an idle connection to an address that is still open.
 func (pool *Pool) hasOpenIdleConn(name string) bool {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
--- a/conns/progress.go
+++ b/conns/progress.go
@@ -5,15 +5,15 @@
 
 // The steps of a request, in order.
 const (
-	// NotSent means that not one byte was handed to the connection.
+	// NotSent means that no byte was handed to the connection.
 	NotSent Progress = iota
-	// PartlySent means that some bytes may have left, so the upstream may act.
+	// PartlySent means that some bytes may have been sent, so the upstream may act on them.
 	PartlySent
-	// Sent means that all bytes were handed over.
+	// Sent means that all bytes were handed to the connection.
 	Sent
 	// AnswerBegun means that the head of an answer has arrived.
 	AnswerBegun
-	// Complete means that the whole answer has arrived.
+	// Complete means that the complete answer has arrived.
 	Complete
 )
 
@@ -24,7 +24,7 @@
 	return progressNames[progress]
 }
 
-// IsUnanswered reports whether an upstream has got some of the request, and no answer of it has come.
+// IsUnanswered reports whether an upstream may have received some of the request, and no answer has arrived.
 func (progress Progress) IsUnanswered() bool {
 	return progress == PartlySent || progress == Sent
 }
--- a/conns/reset.go
+++ b/conns/reset.go
@@ -5,10 +5,10 @@
 	"net"
 )
 
-// ResetOnClose returns a dial function whose connections are reset when they are closed, so that what was sent and
-// not delivered never arrives. A closed connection's bytes are sent again by the kernel, and an order that its sender
-// has given up would be carried out after a cut of the link has healed, if that is sooner than the user timeout. A
-// write to the store that was given up is likewise less likely to be carried out late.
+// ResetOnClose returns a dial function whose connections are reset when they are closed, so that bytes that were sent but
+// not delivered never arrive. Otherwise the kernel would go on retransmitting them, and an order that its sender has given
+// up would be executed when the network recovers within the user timeout. Likewise, a write to the store that was given
+// up is less likely to be executed late.
 func ResetOnClose(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
