--- a/conns/care_test.go
+++ b/conns/care_test.go
@@ -14,7 +14,7 @@
 	"cherrykeel/conns"
 )
 
-// serveConns hands each accepted connection to a function, with its number from 1.
+// serveConns passes each accepted connection to a function, with its number from 1, and returns the address.
 func serveConns(serve func(number int64, conn *net.TCPConn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -37,12 +37,12 @@
 	_ = conn.Close()
 }
 
-func sendWith(pool *conns.Pool, address string, care conns.SendOptions) (conns.Progress, error) {
+func sendWith(pool *conns.Pool, address string, options conns.SendOptions) (conns.Progress, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/", nil)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	answer, progress, err := pool.SendWithOptions(ctx, address, request, care)
+	answer, progress, err := pool.SendWithOptions(ctx, address, request, options)
 	if err != nil {
 		return progress, err
 	}
@@ -52,9 +52,8 @@
 }
 
 var _ = Describe("a request that must not be lost", func() {
-	// An upstream has as many connections as it takes. It accepts one more and resets it a moment later. A
-	// payment that was sent at once may have run, and its caller must not try again; sent a moment later it
-	// has not left, and another upstream takes it.
+	// Guards against a request whose outcome is unknown: an upstream with too many connections accepts one more and resets
+	// it a moment later. A request that was not sent by then can go to another upstream.
 	It("is not sent on a new connection that the upstream resets at once", func() {
 		address := serveConns(func(_ int64, conn *net.TCPConn) {
 			time.Sleep(time.Millisecond)
@@ -67,7 +66,7 @@
 		}
 	})
 
-	It("is sent on a new connection that stands", func() {
+	It("is sent on a new connection that stays open", func() {
 		address := serveConns(func(_ int64, conn *net.TCPConn) {
 			buffer := make([]byte, 4096)
 			_, _ = conn.Read(buffer)
@@ -79,29 +78,30 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// Upstreams forget connections that have rested for 70 ms, without a word: the next request on one is
-	// reset and may have run. The first one is lost; the pool then makes new connections, to other upstreams too.
-	It("is lost once when upstreams forget connections that rest", func() {
+	// Guards against one lost request at each upstream: the upstreams drop connections after 70 ms of idle time without
+	// notice, and reset the next request, which may have run. After the first loss the pool makes new connections, also to
+	// other upstreams.
+	It("is lost only once when upstreams drop idle connections", func() {
 		forgetful := func(_ int64, conn *net.TCPConn) {
 			buffer := make([]byte, 4096)
-			rested := time.Now()
+			lastUsed := time.Now()
 			for {
 				_, err := conn.Read(buffer)
-				if err != nil || time.Since(rested) > 70*time.Millisecond {
+				if err != nil || time.Since(lastUsed) > 70*time.Millisecond {
 					reset(conn)
 					return
 				}
 				_, _ = conn.Write([]byte(fullAnswer))
-				rested = time.Now()
+				lastUsed = time.Now()
 			}
 		}
-		one, two := serveConns(forgetful), serveConns(forgetful)
+		first, second := serveConns(forgetful), serveConns(forgetful)
 		pool := conns.NewPool()
-		care := conns.SendOptions{MaxIdle: time.Minute}
+		options := conns.SendOptions{MaxIdle: time.Minute}
 		lost := 0
 		for range 4 {
-			for _, address := range []string{one, two} {
-				_, err := sendWith(pool, address, care)
+			for _, address := range []string{first, second} {
+				_, err := sendWith(pool, address, options)
 				if err != nil {
 					lost++
 				}
@@ -111,9 +111,9 @@
 		Expect(lost).To(Equal(1))
 	})
 
-	// Upstreams are full and reset requests, on connections that rested as on new ones. Making new connections
-	// for all would double their number and help nobody.
-	It("keeps connections when new ones are lost as well", func() {
+	// Guards against twice as many connections without a benefit: upstreams that have too many reset requests on idle
+	// connections and on new ones alike.
+	It("keeps idle connections when new ones are lost as well", func() {
 		var made atomic.Int64
 		full := serveConns(func(number int64, conn *net.TCPConn) {
 			buffer := make([]byte, 4096)
@@ -124,7 +124,7 @@
 			}
 			reset(conn)
 		})
-		sound := serveConns(func(_ int64, conn *net.TCPConn) {
+		healthy := serveConns(func(_ int64, conn *net.TCPConn) {
 			made.Add(1)
 			buffer := make([]byte, 4096)
 			for {
@@ -136,17 +136,17 @@
 			}
 		})
 		pool := conns.NewPool()
-		care := conns.SendOptions{MaxIdle: time.Minute}
+		options := conns.SendOptions{MaxIdle: time.Minute}
 		send := func(address string) error {
-			_, err := sendWith(pool, address, care)
+			_, err := sendWith(pool, address, options)
 			return err
 		}
 		Expect(send(full)).To(Succeed())
-		Expect(send(sound)).To(Succeed())
+		Expect(send(healthy)).To(Succeed())
 		time.Sleep(100 * time.Millisecond)
-		Expect(send(full)).NotTo(Succeed(), "after a rest")
+		Expect(send(full)).NotTo(Succeed(), "on an idle connection")
 		Expect(send(full)).NotTo(Succeed(), "on a new connection")
-		Expect(send(sound)).To(Succeed())
+		Expect(send(healthy)).To(Succeed())
 		Expect(made.Load()).To(BeEquivalentTo(1))
 	})
 })
--- a/conns/conns_test.go
+++ b/conns/conns_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "conns")
 }
 
-// serveScript answers each request on a connection with the next text, and closes after "close".
+// serveScript answers each request of a connection with the next text, and closes the connection at "close".
 func serveScript(texts ...string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -67,9 +67,9 @@
 const fullAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
 
 var _ = Describe("a pool of connections", func() {
-	// An upstream sends a second answer that nobody asked for. Were the connection used again,
-	// the next caller would get the answer to somebody else's request.
-	It("does not use a connection on which an unasked answer has arrived", func() {
+	// Guards against answers to the wrong request: if the connection were reused after an upstream sent an unrequested
+	// second answer on it, the next caller would get that answer.
+	It("does not reuse a connection on which an unrequested answer has arrived", func() {
 		pool := conns.NewPool()
 		address := serveScript(fullAnswer+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", fullAnswer)
 		for range 3 {
@@ -79,7 +79,7 @@
 		}
 	})
 
-	It("uses a connection again after a whole answer", func() {
+	It("reuses a connection after a complete answer", func() {
 		pool := conns.NewPool()
 		address := serveScript(fullAnswer, strings.Replace(fullAnswer, "first", "again", 1))
 		body, _, _ := get(pool, context.Background(), address)
@@ -89,7 +89,7 @@
 		Expect(pool.OpenConns(address)).To(Equal(1))
 	})
 
-	DescribeTable("tells a broken answer from a whole one", func(text string, progress conns.Progress, failure error) {
+	DescribeTable("distinguishes a broken answer from a complete one", func(text string, progress conns.Progress, failure error) {
 		pool := conns.NewPool()
 		address := serveScript(text, "close")
 		_, got, err := get(pool, context.Background(), address)
@@ -104,7 +104,7 @@
 		Entry("a chunk that ends early", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfir", conns.AnswerBegun, conns.ErrBroken),
 	)
 
-	It("says that nothing was sent when nothing can be reached, and that it was sent when the caller gives up", func() {
+	It("reports that nothing was sent to an unreachable address, and that the request was sent when its caller cancels it", func() {
 		pool := conns.NewPool()
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -121,7 +121,7 @@
 		Expect(progress).To(Equal(conns.Sent))
 	})
 
-	It("makes no more connections than its limit", func() {
+	It("makes no more connections than the limit of the address", func() {
 		pool := conns.NewPool()
 		address := serveScript()
 		pool.SetLimit(address, 1)
--- a/conns/probe_test.go
+++ b/conns/probe_test.go
@@ -13,7 +13,7 @@
 	"cherrykeel/conns"
 )
 
-// answerAll answers each request of a connection until it ends.
+// answerAll answers each request of a connection until the connection ends.
 func answerAll(conn *net.TCPConn) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -26,7 +26,7 @@
 }
 
 var _ = Describe("an address at which a request was lost", func() {
-	It("refuses connections once nobody listens there", func() {
+	It("refuses connections once no process listens there", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		pool := conns.NewPool()
@@ -35,23 +35,24 @@
 		Expect(pool.IsRefused(listener.Addr().String())).To(BeTrue())
 	})
 
-	// An upstream ends one connection of many. A process that had ended would have ended those that rest too, so that
-	// they tell that it lives, and none more has to be made.
-	It("is not asked while a connection to it rests", func() {
-		var taken atomic.Int64
+	// An upstream closes one connection of many. The end of its process would have closed the idle ones too, so an open
+	// one shows that the process still runs, and no new connection is needed.
+	It("gets no new connection while an idle one is open", func() {
+		var accepted atomic.Int64
 		address := serveConns(func(number int64, conn *net.TCPConn) {
-			taken.Store(number)
+			accepted.Store(number)
 			answerAll(conn)
 		})
 		pool := conns.NewPool()
 		_, err := sendWith(pool, address, conns.SendOptions{MaxIdle: time.Minute})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(pool.IsRefused(address)).To(BeFalse())
-		Consistently(taken.Load, "50ms").Should(Equal(int64(1)))
+		Consistently(accepted.Load, "50ms").Should(Equal(int64(1)))
 	})
 
-	// A full upstream resets connections and goes on; one that ends closes those whose requests it has read.
-	DescribeTable("tells a reset from a close", func(end func(conn *net.TCPConn), isReset bool) {
+	// An upstream with too many connections resets some and keeps running; a process that ends closes those whose requests
+	// it has read.
+	DescribeTable("distinguishes a reset from a close", func(end func(conn *net.TCPConn), isReset bool) {
 		address := serveConns(func(_ int64, conn *net.TCPConn) {
 			_, _ = http.ReadRequest(bufio.NewReader(conn))
 			end(conn)
--- a/conns/stands_test.go
+++ b/conns/stands_test.go
@@ -11,7 +11,7 @@
 	"cherrykeel/sock"
 )
 
-// lateConn is a connection of a host whose reads end by their deadline before they see what has come.
+// lateConn is a connection whose reads reach their deadline before they see what has arrived, as on a busy host.
 type lateConn struct {
 	*net.TCPConn
 }
@@ -21,9 +21,9 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-var _ = Describe("the watch on a new connection", func() {
-	// Guards against a busy host that takes a connection to stand, since its watch ended before it saw the reset.
-	It("asks the socket at its end", func() {
+var _ = Describe("the wait on a new connection", func() {
+	// Guards against a busy host that takes a connection for open, since the wait ended before the host saw the reset.
+	It("checks the socket at its end", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
