--- a/drain/conn.go
+++ b/drain/conn.go
@@ -11,29 +11,31 @@
 	"cherrykeel/sock"
 )
 
-// notReadAnswer tells a caller that no request of its was read. It is a 408 since callers that rest on a kept connection take
-// that one as its plain end.
+// notReadAnswer tells a caller that none of its requests was read. Its status is 408, which callers with an idle
+// kept-alive connection treat as an ordinary close.
 const notReadAnswer = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n" +
 	cherrykeel.HeaderOutcome + ": " + string(cherrykeel.NotRun) + "\r\n\r\n"
 
-// conn is an accepted connection whose unread bytes are known.
+// conn is an accepted connection that can stop reading if nothing on it is unread.
 type conn struct {
 	net.Conn
 	reader              *sock.Reader
 	stopping            *atomic.Bool
 	firstRequestTimeout time.Duration
-	// readSinceIdle says that a read has begun since the connection became idle: net/http has begun all that it had read.
+	// readSinceIdle is set if a read has begun since the connection became idle: by then, net/http has begun to handle
+	// everything that it had read.
 	readSinceIdle atomic.Bool
-	// readAfterDeadline says that bytes were read after the deadline, which is done once for each deadline.
+	// readAfterDeadline is set once Read has tried to read after the deadline, which it does once for each deadline.
 	readAfterDeadline atomic.Bool
-	// extended says that the connection was unused when its deadline passed, and got its patience. Only Read uses it.
+	// extended is set once the deadline of an unused connection was extended by firstRequestTimeout. Only Read uses it.
 	extended bool
-	// closeMutex is held while the connection is closed.
+	// closeMutex is held while the connection is being closed.
 	closeMutex sync.Mutex
 }
 
-// Read implements net.Conn. What had come when the deadline passed is read all the same: a host that stood still would
-// else end connections whose requests came in time, and their callers could not tell whether these were read.
+// Read implements net.Conn. It still returns bytes that arrived before the deadline passed: otherwise a host that was
+// suspended would close connections whose requests arrived in time, and their callers could not tell whether these were
+// read.
 func (conn *conn) Read(buffer []byte) (int, error) {
 	conn.readSinceIdle.Store(true)
 	for {
@@ -51,9 +53,10 @@
 	}
 }
 
-// extendDeadline lets a connection that has never brought a byte outlast its deadline: once, since the host may have stood still
-// until then and its caller with it, and for as long as the server stops, which tells callers when it ends unused ones.
-// A plain end in place of an answer would not tell them whether their request was read.
+// extendDeadline extends the deadline of a connection on which no byte has arrived: once, since the host and its caller
+// may both have been suspended until the deadline, and repeatedly while the server stops, since the stop closes unused
+// connections itself and tells their callers. A close without an answer would not tell them whether their request was
+// read.
 func (conn *conn) extendDeadline() bool {
 	if conn.reader.ReceivedBytes() > 0 || conn.extended && !conn.stopping.Load() {
 		return false
@@ -74,7 +77,7 @@
 	return conn.Conn.SetDeadline(deadline)
 }
 
-// CloseWrite lets net/http end a connection whose request it has not read to its end.
+// CloseWrite lets net/http half-close a connection whose request it has not read completely.
 func (conn *conn) CloseWrite() error {
 	half, ok := conn.Conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -83,17 +86,18 @@
 	return half.CloseWrite()
 }
 
-// stopIfIdle reports whether the connection rests and nothing has come since; nothing is read any more then.
-func (conn *conn) stopIfIdle(taken int64) bool {
-	return conn.readSinceIdle.Load() && !conn.reader.HasUnacknowledged() && conn.reader.StopUnlessMoreThan(taken)
+// stopIfIdle stops reading the connection if it is idle and nothing has arrived since; it reports whether it did.
+func (conn *conn) stopIfIdle(readBytes int64) bool {
+	return conn.readSinceIdle.Load() && !conn.reader.HasUnacknowledged() && conn.reader.StopUnlessMoreThan(readBytes)
 }
 
-// closeNotRead ends the connection and tells its caller that nothing on it was read, if shut reports that nothing is from
-// now on. What comes meanwhile ends net/http's read, and with it the connection: not before the caller is told.
-func (conn *conn) closeNotRead(shut func() bool) bool {
+// closeNotRead closes the connection and tells its caller that nothing on it was read, if stopReading reports that nothing
+// will be read from now on. Bytes that arrive meanwhile make net/http's read fail, upon which it closes the connection;
+// closeMutex delays that close until the caller is told.
+func (conn *conn) closeNotRead(stopReading func() bool) bool {
 	conn.closeMutex.Lock()
 	defer conn.closeMutex.Unlock()
-	if !shut() {
+	if !stopReading() {
 		return false
 	}
 	_, _ = io.WriteString(conn.Conn, notReadAnswer)
@@ -108,7 +112,7 @@
 	return conn.Conn.Close()
 }
 
-// trackingListener hands out a listener's connections as ones whose unread bytes are known.
+// trackingListener wraps a listener's connections in conn.
 type trackingListener struct {
 	net.Listener
 	stopping            *atomic.Bool
@@ -116,16 +120,16 @@
 }
 
 // Accept implements net.Listener.
-func (watched trackingListener) Accept() (net.Conn, error) {
-	socket, err := watched.Listener.Accept()
+func (trackingListener trackingListener) Accept() (net.Conn, error) {
+	socket, err := trackingListener.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	accepted := &conn{
 		Conn:                socket,
 		reader:              sock.NewReader(socket),
-		stopping:            watched.stopping,
-		firstRequestTimeout: watched.firstRequestTimeout,
+		stopping:            trackingListener.stopping,
+		firstRequestTimeout: trackingListener.firstRequestTimeout,
 	}
 	return accepted, nil
 }
--- a/drain/listener.go
+++ b/drain/listener.go
@@ -11,23 +11,24 @@
 	"cherrykeel/sock"
 )
 
-// handshakeTime is how long a stopped listener still takes connections whose handshake had begun: longer than a round trip.
+// handshakeTime is how long a stopped listener still accepts connections whose handshake had begun: longer than a round
+// trip.
 const handshakeTime = 200 * time.Millisecond
 
-// Listener is a TCP listener whose stop resets no caller: first the system is made to refuse new connections, then those
-// that are complete or in their handshake are accepted, and only then is the socket closed. A close alone would reset
-// them, and their callers could not tell whether their requests ran.
+// Listener is a TCP listener whose stop resets no caller. It first makes the system refuse new connections, then accepts
+// those that are established or in their handshake, and only then closes the socket. A close alone would reset them, and
+// their callers could not tell whether their requests ran.
 type Listener struct {
 	*net.TCPListener
 	stopping atomic.Bool
-	// handshakesDone says that the stop's time for connections under way is over.
+	// handshakesDone is set when the time for connections in their handshake is over.
 	handshakesDone atomic.Bool
 }
 
-// Listen opens a TCP address.
+// Listen listens on a TCP address.
 func Listen(address string) (*Listener, error) {
-	// The system's own probes are left out: callers that are gone are noticed by the idle limit, and setting
-	// the probes costs four calls for each accepted connection.
+	// Keep-alive probes are disabled: the idle timeout detects unreachable callers, and enabling the probes costs four
+	// system calls for each accepted connection.
 	config := net.ListenConfig{KeepAlive: -1}
 	inner, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -36,7 +37,7 @@
 	return &Listener{TCPListener: inner.(*net.TCPListener)}, nil
 }
 
-// Accept returns the next connection, or net.ErrClosed when a stopped listener has none left.
+// Accept returns the next connection, or net.ErrClosed if the listener is stopped and has none left.
 func (listener *Listener) Accept() (net.Conn, error) {
 	for {
 		if listener.handshakesDone.Load() && !sock.IsReadable(listener.TCPListener) {
@@ -45,7 +46,7 @@
 		}
 		conn, err := listener.TCPListener.Accept()
 		if err != nil && listener.stopping.Load() && isTimeout(err) {
-			// What is complete by now is accepted without a wait.
+			// The connections that are established by now are accepted without waiting.
 			_ = listener.SetDeadline(time.Time{})
 			listener.handshakesDone.Store(true)
 			continue
@@ -54,9 +55,9 @@
 	}
 }
 
-// Stop makes Accept return the connections that are complete or in their handshake, then close the listener and return
-// net.ErrClosed. It does not wait for that. An error says why the system cannot refuse new connections; then only the
-// complete ones are accepted, and one that comes at the moment of the close may be reset.
+// Stop makes Accept return the connections that are established or in their handshake, then close the listener and return
+// net.ErrClosed. It does not wait for that. An error means that the system cannot refuse new connections; then only the
+// established ones are accepted, and one that is established at the moment of the close may be reset.
 func (listener *Listener) Stop() error {
 	err := sock.RefuseNewConnections(listener.TCPListener)
 	until := time.Now()
--- a/drain/parting.go
+++ b/drain/parting.go
@@ -5,21 +5,22 @@
 	"sync/atomic"
 )
 
-// closingHandler lets each answer of a stopping server end its connection, so that the caller's next request goes elsewhere.
+// closingHandler makes each answer of a stopping server close its connection, so that the caller sends its next request to
+// another host.
 type closingHandler struct {
 	handler  http.Handler
 	stopping *atomic.Bool
 }
 
 // ServeHTTP implements http.Handler.
-func (parting *closingHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	answer := &closingWriter{ResponseWriter: writer, stopping: parting.stopping}
-	parting.handler.ServeHTTP(answer, request)
+func (closingHandler *closingHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	answer := &closingWriter{ResponseWriter: writer, stopping: closingHandler.stopping}
+	closingHandler.handler.ServeHTTP(answer, request)
 	answer.finish()
 }
 
-// closingWriter looks when the answer is written: a request that was running when the stop began would else leave its
-// connection open, to be closed under the caller's next request.
+// closingWriter checks whether the server is stopping when the answer is written. A check before the handler runs would
+// miss a stop that begins meanwhile; the connection would stay open and be closed under the caller's next request.
 type closingWriter struct {
 	http.ResponseWriter
 	stopping    *atomic.Bool
@@ -43,12 +44,12 @@
 	return writer.ResponseWriter.Write(data)
 }
 
-// Unwrap lets http.ResponseController reach the writer below.
+// Unwrap gives http.ResponseController access to the wrapped writer.
 func (writer *closingWriter) Unwrap() http.ResponseWriter {
 	return writer.ResponseWriter
 }
 
-// finish writes the head of an answer of which the handler has written nothing.
+// finish writes the head of the answer if the handler has written nothing.
 func (writer *closingWriter) finish() {
 	if !writer.wroteHeader {
 		writer.WriteHeader(http.StatusOK)
--- a/drain/server.go
+++ b/drain/server.go
@@ -12,45 +12,47 @@
 )
 
 const (
-	// firstRequestTimeout is how long a stop waits for the first request of an accepted connection. Callers send it within a
-	// way there and back; one that was opened in advance loses nothing when it ends unused.
+	// firstRequestTimeout is how long a stop waits for the first request of an accepted connection. Callers send it
+	// within a round trip; a connection that was opened in advance can be closed unused without harm.
 	firstRequestTimeout = 5 * time.Second
-	// checkInterval is how often a stop looks at its connections, and the most that one look counts for. What passes beyond
-	// that has passed without the process: a host that stood still would else end connections whose callers stood still
-	// with it and are about to send.
+	// checkInterval is the interval at which a stop checks its connections, and the most time that one check counts as
+	// run time. Time beyond that counts as a suspension of the process: without this limit, a resumed host would close
+	// connections whose callers were suspended with it and are about to send.
 	checkInterval = 10 * time.Millisecond
 )
 
-// Server is an HTTP server whose stop answers what it has accepted.
+// Server is an HTTP server whose stop answers the requests of all accepted connections.
 //
-// net/http's Shutdown alone drops each request whose head it reads after the shutdown began, and each that lies unread on
-// a connection it takes for idle; the caller cannot tell whether the request ran. So the listener is closed first, a
-// connection is closed as idle only if nothing on it is unread, one that brings no request is told that none was read, and
-// Shutdown comes when none is left.
+// http.Server.Shutdown alone drops each request whose head it reads after the shutdown began, and each that is unread on a
+// connection that it considers idle; the caller cannot tell whether the request ran. So Server closes the listener first,
+// closes a connection as idle only if nothing on it is unread, answers on a connection without a request that none was
+// read, and calls Shutdown when no connection is left.
 type Server struct {
 	server   *http.Server
 	listener *Listener
 	accepted chan struct{}
 	stopping atomic.Bool
-	// closedUnused counts the connections that ended unused.
+	// closedUnused counts the connections that were closed before their first request was read.
 	closedUnused atomic.Int64
 
 	mutex sync.Mutex
 	conns map[*conn]connState
-	// runTime is how long the process ran since the stop's first look, and looked the time of the last one.
+	// runTime is how long the process has run, without suspensions, since the stop's first check, and lastCheck the
+	// time of the last check.
 	runTime   time.Duration
 	lastCheck time.Time
 }
 
+// connState is the state of a connection as net/http reports it.
 type connState struct {
 	state http.ConnState
-	// since is Server.ran when the connection came into that state.
+	// since is the value of Server.runTime at which the connection entered the state.
 	since time.Duration
-	// readBytes counts the bytes that had been read when the connection became idle.
+	// readBytes is the number of bytes that had been read when the connection became idle.
 	readBytes int64
 }
 
-// New returns a server that takes over the given one's ConnState hook and handler, and the listener.
+// New returns a server that serves the listener. It replaces the given server's ConnState hook and wraps its handler.
 func New(server *http.Server, listener *Listener) *Server {
 	drained := &Server{server: server, listener: listener, accepted: make(chan struct{}), conns: map[*conn]connState{}}
 	server.ConnState = drained.recordState
@@ -58,7 +60,7 @@
 	return drained
 }
 
-// Serve accepts connections until Stop, which makes it return nil, or until accepting fails.
+// Serve accepts connections until the server stops, and returns nil then, or until accepting fails.
 func (server *Server) Serve() error {
 	defer close(server.accepted)
 	err := server.server.Serve(trackingListener{Listener: server.listener, stopping: &server.stopping, firstRequestTimeout: firstRequestTimeout})
@@ -68,6 +70,7 @@
 	return errors.WithStack(err)
 }
 
+// recordState is the http.Server's ConnState hook.
 func (server *Server) recordState(accepted net.Conn, state http.ConnState) {
 	conn, ok := accepted.(*conn)
 	if !ok {
@@ -86,14 +89,14 @@
 	}
 }
 
-// DisableKeepAlives lets each connection end with its next answer; requests go on being taken.
+// DisableKeepAlives makes each connection close after its next answer; requests are still accepted.
 func (server *Server) DisableKeepAlives() {
 	server.stopping.Store(true)
 }
 
-// StopAccepting takes no more connections and returns when the listener is closed. Its error is that of Listener.Stop,
-// or the context's, if that has ended before all connections were taken, as when descriptors have run out: the listener
-// is closed, but may have reset a caller.
+// StopAccepting disables keep-alives, stops the listener and returns when it is closed. It returns the error of
+// Listener.Stop, or that of the context if it ends before all established connections are accepted, as when the process
+// has run out of descriptors: the listener is closed then, but may have reset a caller.
 func (server *Server) StopAccepting(ctx context.Context) error {
 	server.DisableKeepAlives()
 	err := server.listener.Stop()
@@ -106,14 +109,14 @@
 	}
 }
 
-// Stop takes no more connections and returns when the accepted ones have been answered.
+// Stop accepts no more connections and returns when the accepted ones have been answered; see Finish.
 func (server *Server) Stop(ctx context.Context) error {
 	_ = server.StopAccepting(ctx)
 	return server.Finish(ctx)
 }
 
-// Finish returns when the accepted connections have been answered, after StopAccepting; those that are left when the
-// context ends are cut, and its error is returned; callers of which nothing was read are told so.
+// Finish returns when the accepted connections have been answered, after StopAccepting. When the context ends, it closes
+// the connections that are left and returns the context's error; callers of which nothing was read are told so.
 func (server *Server) Finish(ctx context.Context) error {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -133,30 +136,32 @@
 	return errors.WithStack(err)
 }
 
-// ClosedUnused returns how many connections brought no request until the stop ended them; their callers were told so.
+// ClosedUnused returns how many connections the stop closed before their first request was read; their callers were told
+// so.
 func (server *Server) ClosedUnused() int64 {
 	return server.closedUnused.Load()
 }
 
-// closeIdle closes the connections that are idle or have brought no request for long, and counts the others.
+// closeIdle closes the connections that are idle or have had no request for firstRequestTimeout, and returns the number of
+// the others.
 func (server *Server) closeIdle(now time.Time) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.addRunTime(now)
 	for conn, open := range server.conns {
-		idle := func() bool { return conn.stopIfIdle(open.readBytes) }
+		stopIfIdle := func() bool { return conn.stopIfIdle(open.readBytes) }
 		switch {
-		case open.state == http.StateIdle && idle():
+		case open.state == http.StateIdle && stopIfIdle():
 			_ = conn.Close()
 			delete(server.conns, conn)
 		case open.state == http.StateNew && server.runTime-open.since >= firstRequestTimeout:
-			server.closeUnused(conn, idle)
+			server.closeUnused(conn, stopIfIdle)
 		}
 	}
 	return len(server.conns)
 }
 
-// addRunTime adds the time that the process ran since the last look; Server.mutex is held.
+// addRunTime adds the time that the process has run since the last check. Server.mutex must be held.
 func (server *Server) addRunTime(now time.Time) {
 	if !server.lastCheck.IsZero() {
 		server.runTime += min(now.Sub(server.lastCheck), checkInterval)
@@ -164,7 +169,7 @@
 	server.lastCheck = now
 }
 
-// closeUnread ends the connections of which nothing was read, whatever has come on them.
+// closeUnread closes the connections of which nothing was read, even if something has arrived on them.
 func (server *Server) closeUnread() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -175,9 +180,10 @@
 	}
 }
 
-// closeUnused ends an unused connection if shut reports that nothing on it is read any more; Server.mutex is held.
-func (server *Server) closeUnused(conn *conn, shut func() bool) {
-	if conn.closeNotRead(shut) {
+// closeUnused closes an unused connection if stopReading reports that nothing on it will be read. Server.mutex must be
+// held.
+func (server *Server) closeUnused(conn *conn, stopReading func() bool) {
+	if conn.closeNotRead(stopReading) {
 		delete(server.conns, conn)
 		server.closedUnused.Add(1)
 	}
