--- a/drain/export_test.go
+++ b/drain/export_test.go
@@ -9,21 +9,22 @@
 const (
 	// FirstRequestTimeout is how long a stop waits for the first request of a connection.
 	FirstRequestTimeout = firstRequestTimeout
-	// CheckInterval is the most that one look counts for.
+	// CheckInterval is the most time that one check counts as run time.
 	CheckInterval = checkInterval
 )
 
-// CloseIdle takes one look at the server's connections.
+// CloseIdle checks the server's connections once.
 func CloseIdle(server *Server) {
 	CloseIdleAt(server, time.Now())
 }
 
-// CloseIdleAt is CloseIdle at a time of the spec's own.
+// CloseIdleAt is CloseIdle at a given time.
 func CloseIdleAt(server *Server, now time.Time) {
 	server.closeIdle(now)
 }
 
-// TrackingListener is a listener as a server has it that may be stopping, and whose unused connections get a patience.
-func TrackingListener(listener net.Listener, stopping *atomic.Bool, patience time.Duration) net.Listener {
-	return trackingListener{Listener: listener, stopping: stopping, firstRequestTimeout: patience}
+// TrackingListener returns a listener as a Server uses it, which extends the deadline of unused connections by the given
+// time.
+func TrackingListener(listener net.Listener, stopping *atomic.Bool, firstRequestTimeout time.Duration) net.Listener {
+	return trackingListener{Listener: listener, stopping: stopping, firstRequestTimeout: firstRequestTimeout}
 }
--- a/drain/server_test.go
+++ b/drain/server_test.go
@@ -75,14 +75,14 @@
 		Expect(string(body)).To(Equal("whole"))
 		Expect(response.Close).To(BeTrue())
 	}
-	// stop returns when the listener is closed, so that what follows comes after the stop began.
+	// stop returns when the listener is closed, so that the following steps come after the stop began.
 	stop := func() {
 		go func() { stopped <- server.Stop(context.Background()) }()
 		Eventually(failed, "10s").Should(Receive(BeNil()))
 	}
 
-	// A caller connects; the host is told to stop before the caller's request has arrived. net/http's own
-	// shutdown reads that request and closes without a byte, so the caller does not know whether it ran.
+	// Guards against a caller that cannot tell whether its request ran: it connects, and the host stops before the request
+	// arrives. http.Server.Shutdown alone reads that request and closes the connection without an answer.
 	It("answers the first request of a connection that it had accepted", func() {
 		conn := dial()
 		stop()
@@ -91,7 +91,7 @@
 		Eventually(stopped, "10s").Should(Receive(BeNil()))
 	})
 
-	It("answers a request that was running, and the first one of another connection meanwhile", func() {
+	It("answers a running request, and meanwhile the first one of another connection", func() {
 		slow := dial()
 		send(slow, "/slow")
 		Eventually(entered, "10s").Should(Receive())
@@ -105,8 +105,8 @@
 		Eventually(stopped, "10s").Should(Receive(BeNil()))
 	})
 
-	// Guards against a request that has come on a kept connection and is given up, since the server has not looked at it.
-	It("answers a request that has come on a kept connection before the stop", func() {
+	// Guards against dropping a request that has arrived on a kept-alive connection, since the server has not read it yet.
+	It("answers a request that arrived on a kept-alive connection before the stop", func() {
 		before := runtime.GOMAXPROCS(1)
 		DeferCleanup(func() { runtime.GOMAXPROCS(before) })
 		kept := dial()
@@ -127,12 +127,13 @@
 		Expect(second.Close).To(BeTrue())
 	})
 
-	// Guards against a request that is read behind another one and run, and whose answer is cut by the stop.
-	It("answers a request behind an answer that did not end the connection", func() {
+	// Guards against a stop that closes a connection as idle although a second request on it has been read, and so cuts the
+	// answer to that request.
+	It("answers a request behind an answer that did not close the connection", func() {
 		ended := make(chan struct{})
-		looking := make(chan struct{})
+		checking := make(chan struct{})
 		go func(server *drain.Server) {
-			defer close(looking)
+			defer close(checking)
 			for {
 				select {
 				case <-ended:
@@ -155,10 +156,10 @@
 			}
 		}
 		close(ended)
-		<-looking
+		<-checking
 	})
 
-	It("closes a kept connection on which nothing comes", func() {
+	It("closes a kept-alive connection on which nothing arrives", func() {
 		kept := dial()
 		send(kept, "/")
 		reader := bufio.NewReader(kept)
@@ -171,7 +172,7 @@
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	It("cuts what is left when its time ends", func() {
+	It("closes the remaining connections when its context ends", func() {
 		conn := dial()
 		send(conn, "/slow")
 		Eventually(entered, "10s").Should(Receive())
@@ -185,7 +186,7 @@
 })
 
 var _ = Describe("a connection of a server", func() {
-	// Guards against callers that wait half a second for the end of a connection whose request was refused unread.
+	// Guards against callers that wait half a second for the close of a connection whose request was refused unread.
 	It("can be half-closed", func() {
 		near, far := connPair()
 		Expect(far.(interface{ CloseWrite() error }).CloseWrite()).To(Succeed())
@@ -194,9 +195,9 @@
 	})
 })
 
-var _ = Describe("a connection whose time to read is up", func() {
-	// Guards against a request that came in time and is reset unread, since the host stood still until its time was up.
-	It("gives what has come, once", func() {
+var _ = Describe("a connection whose read deadline has passed", func() {
+	// Guards against a request that arrived in time and is reset unread, since the host was suspended until the deadline.
+	It("returns once what has arrived", func() {
 		near, far := connPair()
 		_, err := near.Write([]byte("ab"))
 		Expect(err).NotTo(HaveOccurred())
@@ -210,10 +211,10 @@
 	})
 })
 
-var _ = Describe("a server that lets its connections part", func() {
-	// Guards against a connection that stays open behind the answer to a request that ran when the stop began, and is
-	// closed under its caller's next request.
-	DescribeTable("tells callers to leave with each answer it writes", func(write func(http.ResponseWriter)) {
+var _ = Describe("a server with keep-alives disabled", func() {
+	// Guards against a connection that stays open after the answer to a request that was running when the stop began, and
+	// is then closed under its caller's next request.
+	DescribeTable("closes the connection with each answer", func(write func(http.ResponseWriter)) {
 		listener, err := drain.Listen("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -235,9 +236,9 @@
 })
 
 var _ = Describe("a listener that stops", func() {
-	// Callers connect faster than the host accepts. It is told to stop while some connections are complete
-	// but not accepted; their callers have sent already. A plain close resets them, and they learn nothing.
-	It("hands out the connections that are complete before it closes", func() {
+	// Guards against resetting callers that cannot tell whether their requests ran: callers connect faster than the host
+	// accepts, and the host stops while some connections are established but not accepted.
+	It("accepts the established connections before it closes", func() {
 		listener, err := drain.Listen("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
@@ -267,7 +268,7 @@
 		}
 	})
 
-	// Guards against a caller that is reset as it connects, and cannot tell whether its request was read.
+	// Guards against a caller that is reset while it connects, and cannot tell whether its request was read.
 	It("refuses or answers each caller that connects while it closes", func() {
 		for range 30 {
 			listener, err := drain.Listen("127.0.0.1:0")
@@ -281,7 +282,7 @@
 		}
 	})
 
-	It("ends a wait for connections", func() {
+	It("ends a waiting Accept", func() {
 		listener, err := drain.Listen("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		ended := make(chan error, 1)
@@ -309,7 +310,7 @@
 	return err
 }
 
-// echoAll gives each connection one byte back until the listener is closed.
+// echoAll sends the first byte of each connection back until the listener is closed.
 func echoAll(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -323,20 +324,20 @@
 	}
 }
 
-// connPair returns both ends of a connection, the far one as a server has it that does not stop.
+// connPair returns both ends of a connection, the far one as wrapped by a Server that is not stopping.
 func connPair() (net.Conn, net.Conn) {
 	return connPairWith(new(atomic.Bool), time.Minute)
 }
 
-// connPairWith is watchedPair with a server that may be stopping, and a patience for unused connections.
-func connPairWith(stopping *atomic.Bool, patience time.Duration) (net.Conn, net.Conn) {
+// connPairWith is connPair with a Server that may be stopping, and a timeout for unused connections.
+func connPairWith(stopping *atomic.Bool, firstRequestTimeout time.Duration) (net.Conn, net.Conn) {
 	listener, err := drain.Listen("127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(listener.Close)
 	near, err := net.Dial("tcp", listener.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(near.Close)
-	far, err := drain.TrackingListener(listener, stopping, patience).Accept()
+	far, err := drain.TrackingListener(listener, stopping, firstRequestTimeout).Accept()
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(far.Close)
 	return near, far
--- a/drain/stop_test.go
+++ b/drain/stop_test.go
@@ -12,9 +12,9 @@
 )
 
 var _ = Describe("a server whose accepting does not end", func() {
-	// Guards against a host that has run out of descriptors and does not end: accepting fails again and again, since the
-	// connection that waits is not taken. Nobody accepts here at all.
-	It("stops when its time is up", func() {
+	// Guards against a host that has run out of descriptors and never stops: accepting fails again and again, so that the
+	// waiting connection is never accepted. In this test nothing accepts at all.
+	It("stops when its context ends", func() {
 		listener, err := drain.Listen("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server := drain.New(&http.Server{Handler: http.NotFoundHandler()}, listener)
--- a/drain/unused_test.go
+++ b/drain/unused_test.go
@@ -19,13 +19,13 @@
 
 const (
 	request = "GET / HTTP/1.1\r\nHost: any\r\n\r\n"
-	// testTimeout bounds what a spec waits for; none asserts how soon it comes.
+	// testTimeout bounds the waits of the specs; none asserts how long something takes.
 	testTimeout = "10s"
-	// timeoutChecks end the patience for an unused connection if none of them is late.
+	// timeoutChecks is the number of checks in time after which an unused connection is closed.
 	timeoutChecks = int(drain.FirstRequestTimeout/drain.CheckInterval) + 1
 )
 
-var _ = Describe("a connection that has brought no request when its server stops", func() {
+var _ = Describe("a connection without a request when its server stops", func() {
 	var (
 		listener *drain.Listener
 		server   *drain.Server
@@ -60,46 +60,46 @@
 		Expect(response.StatusCode).To(Equal(http.StatusRequestTimeout))
 		Expect(response.Header.Get(cherrykeel.HeaderOutcome)).To(Equal(string(cherrykeel.NotRun)))
 	}
-	// look takes looks at the server's connections, so far apart by the spec's own clock.
-	look := func(times int, apart time.Duration) {
+	// check checks the server's connections several times, at the given interval by the spec's own clock.
+	check := func(times int, apart time.Duration) {
 		for range times {
 			now = now.Add(apart)
 			drain.CloseIdleAt(server, now)
 		}
 	}
 
-	// Guards against a caller that is cut off unheard, since the host stood still for longer than it has patience: the
-	// connection is old by then, and the caller, which stood still with it, is just about to send.
-	It("keeps its patience while the host stands still", func() {
+	// Guards against a caller that is cut off without an answer, since the host was suspended for longer than the timeout:
+	// the caller was suspended with it, and is about to send.
+	It("is not closed for time in which the host was suspended", func() {
 		conn := dial()
 		Expect(server.StopAccepting(context.Background())).To(Succeed())
-		look(10, drain.FirstRequestTimeout)
+		check(10, drain.FirstRequestTimeout)
 		_, err := io.WriteString(conn, request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer(conn).StatusCode).To(Equal(http.StatusOK))
 		Expect(server.ClosedUnused()).To(BeZero())
 	})
 
-	// Guards against a caller that cannot tell whether its request was read when the host's patience ends.
-	It("is told that nothing was read when the patience ends", func() {
+	// Guards against a caller that cannot tell whether its request was read when the timeout ends.
+	It("is answered that nothing was read when the timeout ends", func() {
 		conn := dial()
 		Expect(server.StopAccepting(context.Background())).To(Succeed())
 		ended := func() int64 {
-			look(timeoutChecks, drain.CheckInterval)
+			check(timeoutChecks, drain.CheckInterval)
 			return server.ClosedUnused()
 		}
 		Eventually(ended, testTimeout).Should(BeEquivalentTo(1))
 		expectTurnedAway(answer(conn))
 	})
 
-	// Guards against a request that crosses the end of the patience and gets a reset in place of an answer.
-	It("is answered, or told so, if its request comes in that moment", func() {
+	// Guards against a request that arrives as the timeout ends, and gets a reset instead of an answer.
+	It("gets an answer, or the one that nothing was read, if its request arrives at that moment", func() {
 		var early []net.Conn
 		for range 300 {
 			early = append(early, dial())
 		}
 		Expect(server.StopAccepting(context.Background())).To(Succeed())
-		look(timeoutChecks-1, drain.CheckInterval)
+		check(timeoutChecks-1, drain.CheckInterval)
 		var sent atomic.Int32
 		for _, conn := range early {
 			go func() {
@@ -108,15 +108,15 @@
 			}()
 		}
 		for int(sent.Load()) < len(early) {
-			look(1, drain.CheckInterval)
+			check(1, drain.CheckInterval)
 		}
 		for _, conn := range early {
 			Expect(answer(conn).StatusCode).To(BeElementOf(http.StatusOK, http.StatusRequestTimeout))
 		}
 	})
 
-	// Guards against a caller that cannot tell whether its request was read when the stop's time ends.
-	It("is told that nothing was read when the stop's time ends", func() {
+	// Guards against a caller that cannot tell whether its request was read when the stop's context ends.
+	It("is answered that nothing was read when the stop's context ends", func() {
 		conn := dial()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -126,9 +126,9 @@
 	})
 })
 
-var _ = Describe("an unused connection whose time to read is up", func() {
-	// The request comes only after the deadline, which passed while the host stood still and its caller with it.
-	It("waits on, once", func() {
+var _ = Describe("an unused connection whose read deadline has passed", func() {
+	// The request arrives after the deadline, which passed while the host and its caller were suspended.
+	It("waits once more", func() {
 		near, far := connPair()
 		Expect(far.SetReadDeadline(time.Now().Add(-time.Second))).To(Succeed())
 		go func() { _, _ = io.WriteString(near, request) }()
@@ -140,15 +140,15 @@
 		Expect(err).To(MatchError(os.ErrDeadlineExceeded))
 	})
 
-	It("ends after that", func() {
+	It("times out after that", func() {
 		_, far := connPairWith(new(atomic.Bool), time.Millisecond)
 		Expect(far.SetReadDeadline(time.Now().Add(-time.Second))).To(Succeed())
 		_, err := far.Read(make([]byte, 1))
 		Expect(err).To(MatchError(os.ErrDeadlineExceeded))
 	})
 
-	// Guards against a read that ends a connection on which the stop still waits for a request.
-	It("is left to the stop of its server", func() {
+	// Guards against a read that closes a connection on which the stop still waits for a request.
+	It("waits until the stop of its server closes it", func() {
 		stopping := new(atomic.Bool)
 		stopping.Store(true)
 		near, far := connPairWith(stopping, time.Millisecond)
