--- a/conns/care_test.go
+++ b/conns/care_test.go
@@ -111,8 +111,8 @@
 		Expect(lost).To(Equal(1))
 	})
 
-	// Guards against twice as many connections without a benefit: upstreams that have too many reset requests on idle
-	// connections and on new ones alike.
+	// Guards against doubling the connections to no benefit: full upstreams reset requests on idle and new connections
+	// alike, so replacing the idle ones prevents no loss.
 	It("keeps idle connections when new ones are lost as well", func() {
 		var made atomic.Int64
 		full := serveConns(func(number int64, conn *net.TCPConn) {
--- a/conns/conn.go
+++ b/conns/conn.go
@@ -12,6 +12,7 @@
 
 const bufferSize = 4096
 
+// conn is a connection to an upstream, used by one request at a time.
 type conn struct {
 	address string
 	socket  net.Conn
@@ -19,7 +20,8 @@
 	writer  *bufio.Writer
 	// writtenBytes counts the bytes of the current request that were handed to the socket.
 	writtenBytes int
-	idleSince    time.Time
+	// idleSince is when the last request ended; zero for a new connection.
+	idleSince time.Time
 	// idleLimit is how long the connection may be idle and still be reused.
 	idleLimit time.Duration
 }
--- a/conns/exchange.go
+++ b/conns/exchange.go
@@ -29,7 +29,9 @@
 
 // Answer is an upstream's answer whose head has arrived. Read returns its body, and Close must be called.
 type Answer struct {
+	// Status is the HTTP status code.
 	Status int
+	// Header holds the answer's header fields.
 	Header http.Header
 	// Length is the body's length in bytes, or -1 if the head does not state it.
 	Length     int64
--- a/conns/pool.go
+++ b/conns/pool.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// WithIdleTimeout sets the time after which an unused connection is closed.
+// WithIdleTimeout sets the time after which an idle connection is closed.
 func WithIdleTimeout(timeout time.Duration) Option {
 	return func(pool *Pool) {
 		pool.idleTimeout = timeout
