--- a/caller/body.go
+++ b/caller/body.go
@@ -63,7 +63,7 @@
 	return bufferedBody.data
 }
 
-// bodyReader reads one body within the limits.
+// bodyReader reads one body, up to limit bytes and as far as bodyMemory has room.
 type bodyReader struct {
 	reader *bufio.Reader
 	memory *bodyMemory
--- a/caller/conn.go
+++ b/caller/conn.go
@@ -19,6 +19,7 @@
 	lingeringCloseTimeout = 150 * time.Millisecond
 )
 
+// conn is a caller's connection. One goroutine reads its requests, another one writes the answers.
 type conn struct {
 	server *Server
 	socket net.Conn
