--- a/caller/answer.go
+++ b/caller/answer.go
@@ -7,20 +7,21 @@
 	"sync"
 )
 
-// answer collects a handler's answer until its turn on the connection has come.
+// answer buffers a handler's answer until the answers before it are written to the connection.
 type answer struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
-	// done is closed when the handler has returned.
+	// done is closed when the answer is complete.
 	done chan struct{}
 	once sync.Once
-	// aborted answers end the connection without a byte.
+	// aborted is set if the handler panicked: the connection then closes without a byte of this answer.
 	aborted bool
 	request *http.Request
-	held    int64
-	// last answers are followed by the connection's close, which the caller asked for or the host decided.
-	last bool
+	// acquired is the number of bytes to release to bodyMemory after the request.
+	acquired int64
+	// closeAfter is set if the connection closes after this answer, as the caller requested or the host decided.
+	closeAfter bool
 }
 
 func newAnswer(request *http.Request) *answer {
@@ -49,34 +50,34 @@
 	answer.once.Do(func() { close(answer.done) })
 }
 
-// bodiless reports whether the answer must not have a body, whatever its headers say.
-func (answer *answer) bodiless() bool {
+// isBodiless reports whether the answer must not have a body, whatever its headers say.
+func (answer *answer) isBodiless() bool {
 	if answer.request != nil && answer.request.Method == http.MethodHead {
 		return true
 	}
 	return answer.status == http.StatusNoContent || answer.status == http.StatusNotModified
 }
 
-// encode returns the answer's bytes.
+// encode returns the answer as it is sent.
 func (answer *answer) encode() []byte {
 	if answer.status == 0 {
 		answer.status = http.StatusOK
 	}
 	header := answer.header
 	header.Del("Transfer-Encoding")
-	if answer.last {
+	if answer.closeAfter {
 		header.Set("Connection", "close")
 	} else {
 		header.Del("Connection")
 	}
-	if !answer.bodiless() {
+	if !answer.isBodiless() {
 		header.Set("Content-Length", strconv.Itoa(answer.body.Len()))
 	}
 	var buffer bytes.Buffer
 	buffer.WriteString("HTTP/1.1 " + strconv.Itoa(answer.status) + " " + http.StatusText(answer.status) + "\r\n")
 	_ = header.Write(&buffer)
 	buffer.WriteString("\r\n")
-	if !answer.bodiless() {
+	if !answer.isBodiless() {
 		buffer.Write(answer.body.Bytes())
 	}
 	return buffer.Bytes()
--- a/caller/conn.go
+++ b/caller/conn.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// pipelineDepth bounds the requests of one connection that are worked on at once.
+	// pipelineDepth bounds the queued answers of one connection, and with them the requests in progress at once.
 	pipelineDepth = 16
-	// writeTimeout bounds the writing of one answer to a caller that does not read.
+	// writeTimeout bounds the writing of one answer, in case the caller does not read it.
 	writeTimeout = 10 * time.Second
-	// lingerTimeout is how long a closed connection still takes bytes, so that a crossing request's
-	// arrival does not reset the answer before it: the way to a caller and back takes some 6 ms. Whoever
-	// sent that request waits for no longer than this until it knows that it has to send it again.
-	lingerTimeout = 150 * time.Millisecond
+	// lingeringCloseTimeout is how long a connection is still read after its last answer. A request that arrives
+	// meanwhile would otherwise cause a reset, and the caller could lose that answer; a round trip to a caller takes
+	// some 6 ms. It also bounds how long the sender of such a request waits until it learns that it must send it again.
+	lingeringCloseTimeout = 150 * time.Millisecond
 )
 
+// conn is a caller's connection. One goroutine reads its requests, another one writes the answers.
 type conn struct {
 	server *Server
 	socket net.Conn
@@ -26,60 +27,62 @@
 	reader *bufio.Reader
 	ctx    context.Context
 	cancel context.CancelFunc
-	// answers are written in the order in which their requests came.
+	// answers holds the answers in the order of their requests; they are written in this order.
 	answers chan *answer
 
 	mutex sync.Mutex
-	// open counts requests that were read and whose answers are not written.
-	open int
-	// taken counts the bytes of the requests that were read whole.
-	taken int64
-	// idleSince is when the last answer was written.
+	// unanswered counts the accepted requests whose answers have not been written.
+	unanswered int
+	// consumedBytes counts the bytes of the requests that were read whole.
+	consumedBytes int64
+	// idleSince is the time of the last answer, or of the accept if there was none.
 	idleSince time.Time
-	// closing says that no further request will be taken; closedAt is when that was decided.
-	closing  bool
-	closedAt time.Time
-	written  *sync.Cond
-	// openedAt is when the connection was accepted, answered how many answers were written to it.
-	openedAt time.Time
-	answered int
+	// closing is set once no further request is accepted, and closingSince is the time of that decision.
+	closing      bool
+	closingSince time.Time
+	// stateChanged is signaled when an answer was written or the connection ends.
+	stateChanged *sync.Cond
+	// openedAt is the time of the accept, and answerCount the number of answers written since.
+	openedAt    time.Time
+	answerCount int
 }
 
 func newConn(server *Server, socket net.Conn) *conn {
 	now := time.Now()
 	conn := &conn{server: server, socket: socket, answers: make(chan *answer, pipelineDepth), idleSince: now, openedAt: now}
-	conn.written = sync.NewCond(&conn.mutex)
+	conn.stateChanged = sync.NewCond(&conn.mutex)
 	conn.ctx, conn.cancel = context.WithCancel(context.Background())
-	conn.pump = newPump(socket, conn.gone)
+	conn.pump = newPump(socket, conn.cancelRequests)
 	conn.reader = bufio.NewReaderSize(conn.pump, chunkBytes)
 	return conn
 }
 
-// gone ends the requests of a caller that has left.
-func (conn *conn) gone() {
+// cancelRequests cancels the requests of a connection that its caller has closed or that has ended.
+func (conn *conn) cancelRequests() {
 	conn.cancel()
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	conn.written.Broadcast()
+	conn.stateChanged.Broadcast()
 }
 
+// serve serves the connection until it ends, and waits for its handlers to return.
 func (conn *conn) serve() {
-	go conn.readAll()
-	conn.writeAll()
-	conn.stop()
-	conn.linger()
-	close(conn.pump.stopped)
+	go conn.readLoop()
+	conn.writeLoop()
+	conn.beginClosing()
+	conn.lingeringClose()
+	close(conn.pump.done)
 	_ = conn.socket.Close()
-	conn.gone()
+	conn.cancelRequests()
 	for answer := range conn.answers {
 		<-answer.done
 	}
 }
 
-// takeNoMore ends the taking of requests; conn.mutex is held.
-func (conn *conn) takeNoMore() {
+// setClosing makes the connection accept no further request. conn.mutex must be held.
+func (conn *conn) setClosing() {
 	if !conn.closing {
-		conn.closedAt = time.Now()
+		conn.closingSince = time.Now()
 	}
 	conn.closing = true
 }
--- a/caller/pump.go
+++ b/caller/pump.go
@@ -10,26 +10,27 @@
 )
 
 const (
+	// chunkBytes is the size of the buffer for one read.
 	chunkBytes = 4 << 10
-	// aheadChunks bounds what is read before it is asked for: 64 KiB a connection. Within it the
-	// end of the connection is seen at once, also behind pipelined requests.
-	aheadChunks = 16
+	// readAheadChunks bounds what is read ahead to 64 KiB a connection. Within this bound the end of the connection is
+	// noticed at once, also behind pipelined requests.
+	readAheadChunks = 16
 )
 
-// pump reads a socket all the time, so that a caller that leaves is noticed while its request runs.
+// pump reads a socket all the time, so that a caller that closes its connection is noticed while its request runs.
 type pump struct {
-	intake *sock.Reader
+	reader *sock.Reader
 	chunks chan []byte
-	rest   []byte
-	// handed counts the bytes that Read has returned; the reading goroutine alone uses it.
-	handed int64
-	// stopped lets the reading goroutine end when nobody takes its chunks any more.
-	stopped  chan struct{}
+	unread []byte
+	// returnedBytes counts the bytes that Read has returned; only the goroutine that calls Read uses it.
+	returnedBytes int64
+	// done is closed when chunks are no longer received, so that the goroutine that reads the socket can end.
+	done     chan struct{}
 	deadline time.Time
 }
 
 func newPump(socket net.Conn, onEnd func()) *pump {
-	pump := &pump{intake: sock.NewReader(socket), chunks: make(chan []byte, aheadChunks), stopped: make(chan struct{})}
+	pump := &pump{reader: sock.NewReader(socket), chunks: make(chan []byte, readAheadChunks), done: make(chan struct{})}
 	go pump.run(onEnd)
 	return pump
 }
@@ -39,12 +40,12 @@
 	defer onEnd()
 	buffer := make([]byte, chunkBytes)
 	for {
-		count, err := pump.intake.Read(buffer)
+		count, err := pump.reader.Read(buffer)
 		if count > 0 {
 			chunk := append([]byte(nil), buffer[:count]...)
 			select {
 			case pump.chunks <- chunk:
-			case <-pump.stopped:
+			case <-pump.done:
 				return
 			}
 		}
@@ -54,49 +55,49 @@
 	}
 }
 
-// setDeadline bounds the reads that follow; the zero time takes the bound away.
+// setDeadline sets the deadline of the following reads; the zero time removes it.
 func (pump *pump) setDeadline(deadline time.Time) {
 	pump.deadline = deadline
 }
 
 // Read implements io.Reader.
 func (pump *pump) Read(buffer []byte) (int, error) {
-	if len(pump.rest) == 0 {
-		err := pump.fill()
+	if len(pump.unread) == 0 {
+		err := pump.nextChunk()
 		if err != nil {
 			return 0, err
 		}
 	}
-	count := copy(buffer, pump.rest)
-	pump.rest = pump.rest[count:]
-	pump.handed += int64(count)
+	count := copy(buffer, pump.unread)
+	pump.unread = pump.unread[count:]
+	pump.returnedBytes += int64(count)
 	return count, nil
 }
 
-func (pump *pump) fill() error {
-	var late <-chan time.Time
+func (pump *pump) nextChunk() error {
+	var timeout <-chan time.Time
 	if !pump.deadline.IsZero() {
 		timer := time.NewTimer(time.Until(pump.deadline))
 		defer timer.Stop()
-		late = timer.C
+		timeout = timer.C
 	}
 	select {
 	case chunk, open := <-pump.chunks:
-		return pump.take(chunk, open)
-	case <-late:
+		return pump.setChunk(chunk, open)
+	case <-timeout:
 	}
-	// On a busy host the time can be up before this goroutine sees what came within it.
-	if !pump.intake.HasMoreThan(pump.handed) {
+	// On a busy host the deadline can pass before this goroutine sees what arrived in time.
+	if !pump.reader.HasMoreThan(pump.returnedBytes) {
 		return os.ErrDeadlineExceeded
 	}
 	chunk, open := <-pump.chunks
-	return pump.take(chunk, open)
+	return pump.setChunk(chunk, open)
 }
 
-func (pump *pump) take(chunk []byte, open bool) error {
+func (pump *pump) setChunk(chunk []byte, open bool) error {
 	if !open {
 		return io.EOF
 	}
-	pump.rest = chunk
+	pump.unread = chunk
 	return nil
 }
--- a/caller/take.go
+++ b/caller/take.go
@@ -12,82 +12,87 @@
 	"cherrykeel/events"
 )
 
-// maxStack bounds what is logged of a panic.
-const maxStack = 4 << 10
+// maxLoggedStack bounds the logged part of a panic's stack, in bytes.
+const maxLoggedStack = 4 << 10
 
-// admit counts a request that was read whole.
+// admit counts a request that was read whole. It reports false if the connection is closing, so that the request must
+// not run.
 func (conn *conn) admit(request *http.Request) bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	conn.taken = conn.pump.handed - int64(conn.reader.Buffered())
+	conn.consumedBytes = conn.pump.returnedBytes - int64(conn.reader.Buffered())
 	if conn.closing {
 		return false
 	}
-	if !alongside(request) {
-		// What may change something waits for all answers before it: were one of them the
-		// connection's last, the caller would send this request again while it runs.
-		conn.awaitWritten()
+	if !isSafe(request) {
+		// A request that may change something waits for all earlier answers: if the connection closed after
+		// one of them, the caller would send this request again while it runs.
+		conn.awaitAnswersLocked()
 	}
 	if conn.closing || conn.ctx.Err() != nil {
 		return false
 	}
-	conn.open++
+	conn.unanswered++
 	return true
 }
 
-// alongside reports whether the request may run beside others of its connection.
-func alongside(request *http.Request) bool {
+// isSafe reports whether the request changes nothing, so that it may run concurrently with others of its connection.
+func isSafe(request *http.Request) bool {
 	return request.Method == http.MethodGet || request.Method == http.MethodHead
 }
 
+// dispatch starts the handler for a request; it reports whether another request may follow.
 func (conn *conn) dispatch(request *http.Request, body body) bool {
 	if !conn.admit(request) {
-		conn.server.memory.giveBack(body.held)
+		conn.server.memory.release(body.acquired)
 		return false
 	}
 	answer := newAnswer(request)
-	answer.held = body.held
-	last := request.Close || request.ProtoMinor == 0
-	answer.last = last
+	answer.acquired = body.acquired
+	closeAfter := request.Close || request.ProtoMinor == 0
+	answer.closeAfter = closeAfter
 	request = request.WithContext(conn.ctx)
 	request.RemoteAddr = conn.socket.RemoteAddr().String()
 	request.ContentLength = int64(len(body.data))
 	request.Body = &BufferedBody{Reader: bytes.NewReader(body.data), data: body.data}
 	conn.answers <- answer
 	go conn.handle(answer, request)
-	return !last
+	return !closeAfter
 }
 
+// handle runs the handler and recovers from its panics.
 func (conn *conn) handle(answer *answer, request *http.Request) {
 	defer answer.finish()
-	defer conn.server.memory.giveBack(answer.held)
+	defer conn.server.memory.release(answer.acquired)
 	defer func() {
 		failure := recover()
 		if failure == nil {
 			return
 		}
 		answer.aborted = true
-		conn.panicked(failure)
+		conn.logPanic(failure)
 	}()
 	conn.server.handler.ServeHTTP(answer, request)
 }
 
-// panicked takes a fault of ours that one request has met. Passed on, it ends the process with all requests that it
-// holds, and the same request does so at the next host; contained, it costs its caller's connection.
-func (conn *conn) panicked(failure any) {
+// logPanic logs a recovered panic, except http.ErrAbortHandler. A panic that is not recovered ends the process with all
+// its requests, and the retried request then does the same at the next host; recovered, it costs only its caller's
+// connection.
+func (conn *conn) logPanic(failure any) {
 	if failure == http.ErrAbortHandler {
 		return
 	}
 	stack := debug.Stack()
 	events.Log(conn.server.logger, events.RequestPanicked,
 		zap.String("Caller", conn.socket.RemoteAddr().String()), zap.Any("Failure", failure),
-		zap.ByteString("Stack", stack[:min(len(stack), maxStack)]))
+		zap.ByteString("Stack", stack[:min(len(stack), maxLoggedStack)]))
 }
 
-// refuse answers a request that was not read whole; the connection ends with that answer.
+// refuse answers a request that could not be read whole; the connection closes after that answer. It returns false, since
+// no further request may be read.
 func (conn *conn) refuse(err error) bool {
 	answer := newAnswer(nil)
-	answer.last = true
+	answer.closeAfter = true
 	switch {
 	case errors.Is(err, ErrMalformed):
 		answer.status = http.StatusBadRequest
@@ -103,9 +108,9 @@
 	default:
 		return false
 	}
-	conn.server.refused(conn, err, answer.status)
+	conn.server.logRefused(conn, err, answer.status)
 	conn.mutex.Lock()
-	conn.open++
+	conn.unanswered++
 	conn.mutex.Unlock()
 	answer.finish()
 	conn.answers <- answer
--- a/conns/conn.go
+++ b/conns/conn.go
@@ -12,16 +12,18 @@
 
 const bufferSize = 4096
 
+// conn is a connection to an upstream, used by one request at a time.
 type conn struct {
 	address string
 	socket  net.Conn
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// written counts the bytes handed to the socket for the present request.
-	written int
-	since   time.Time
-	// keep is how long the connection may be idle and still be used.
-	keep time.Duration
+	// writtenBytes counts the bytes of the current request that were handed to the socket.
+	writtenBytes int
+	// idleSince is when the last request ended; zero for a new connection.
+	idleSince time.Time
+	// idleLimit is how long the connection may be idle and still be reused.
+	idleLimit time.Duration
 }
 
 func newConn(address string, socket net.Conn) *conn {
@@ -31,38 +33,37 @@
 	return conn
 }
 
+// countingWriter writes to the socket and counts the bytes in conn.writtenBytes.
 type countingWriter struct {
 	conn *conn
 }
 
 func (writer countingWriter) Write(data []byte) (int, error) {
-	// Counted before the write: bytes of a write that fails may have left all the same.
-	writer.conn.written += len(data)
+	// Counted before the write, since a write that fails may have sent some of its bytes.
+	writer.conn.writtenBytes += len(data)
 	return writer.conn.socket.Write(data)
 }
 
-// rested returns how long the connection was idle before its present request; 0 for a new one.
-func (conn *conn) rested() time.Duration {
-	if conn.since.IsZero() {
+// idleTime returns how long the connection has been idle, or 0 for a new one.
+func (conn *conn) idleTime() time.Duration {
+	if conn.idleSince.IsZero() {
 		return 0
 	}
-	return time.Since(conn.since)
+	return time.Since(conn.idleSince)
 }
 
-// stands reports whether a new connection is still open and silent after a while. On a busy host the while can be over
-// before this goroutine sees what came within it, so the socket is asked once more.
-func (conn *conn) stands(watch time.Duration) bool {
-	_ = conn.socket.SetReadDeadline(time.Now().Add(watch))
+// staysOpen waits, and reports whether a new connection is still open then and has nothing to read. On a busy host the
+// read deadline can pass before this goroutine sees a reset that arrived in time, so the socket is checked once more.
+func (conn *conn) staysOpen(wait time.Duration) bool {
+	_ = conn.socket.SetReadDeadline(time.Now().Add(wait))
 	_, err := conn.reader.Peek(1)
 	_ = conn.socket.SetReadDeadline(time.Time{})
-	return errors.Is(err, os.ErrDeadlineExceeded) && conn.silent()
+	return errors.Is(err, os.ErrDeadlineExceeded) && conn.isOpenAndQuiet()
 }
 
-// silent reports whether an idle connection is still open and has nothing to read.
-// An upstream that closed it, or sent an answer nobody asked for, must not get
-// or answer the next request: without the look, a request would be lost on a
-// closed connection, or paired with a late answer to the previous one.
-func (conn *conn) silent() bool {
+// isOpenAndQuiet reports whether the connection is open and has nothing to read. Without this check, the next request could
+// be lost on a connection that the upstream has closed, or receive an unrequested answer or a late one to another request.
+func (conn *conn) isOpenAndQuiet() bool {
 	if conn.reader.Buffered() > 0 {
 		return false
 	}
@@ -76,8 +77,8 @@
 	}
 	quiet := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buffer [1]byte
+		_, _, err := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = err == syscall.EAGAIN
 		return true
 	})
--- a/conns/pool.go
+++ b/conns/pool.go
@@ -9,45 +9,47 @@
 )
 
 var (
-	// ErrConnLimit means that the upstream's share of connections is used up.
+	// ErrConnLimit means that all connections that the limit of the address allows are in use.
 	ErrConnLimit = errors.New("no connection is free")
-	// ErrConnect means that no connection could be made.
+	// ErrConnect means that no connection could be established.
 	ErrConnect = errors.New("the upstream cannot be reached")
-	// ErrRefused is an ErrConnect that means that no process listens at the upstream's address.
-	ErrRefused = errors.WithMessage(ErrConnect, "nobody listens there")
+	// ErrRefused is an ErrConnect that means that no process listens on the upstream's address.
+	ErrRefused = errors.WithMessage(ErrConnect, "no process listens on its address")
 )
 
 const (
 	defaultDialTimeout = time.Second
 	defaultIdleTimeout = 30 * time.Second
 	defaultLimit       = 16
-	// doubtFor is how long connections are reused sooner, or not at all, after one that had rested was lost.
-	// Each host then loses one request in that time, not one at each upstream that forgets connections.
-	doubtFor = 10 * time.Second
-	// leastRest is the rest below which a connection counts as just used; upstreams keep idle ones for
-	// hundreds of milliseconds at the least.
-	leastRest = 50 * time.Millisecond
-	// freshWeight is how many losses after a rest one loss without a rest explains.
-	freshWeight = 2
+	// lossWindow is for how long, after the loss of a connection that had been idle, others are reused only if they have
+	// been idle for less time. Each host then loses one request in that time, instead of one at each upstream that drops
+	// idle connections.
+	lossWindow = 10 * time.Second
+	// justUsedWithin is the idle time below which a connection counts as just used; upstreams keep idle connections for
+	// hundreds of milliseconds at least.
+	justUsedWithin = 50 * time.Millisecond
+	// freshLossWeight is the number of losses after idle time that one loss without idle time offsets.
+	freshLossWeight = 2
 )
 
 // Pool keeps connections to upstreams, up to a limit for each.
 type Pool struct {
-	dialTimeout time.Duration
-	idleTimeout time.Duration
-	userTimeout time.Duration
-	unframed    bool
-	mutex       sync.Mutex
-	addresses   map[string]*address
-	// lostRested and lostFresh count connections that were lost since the last time that none was for
-	// doubtFor; doubt bounds how long others may rest.
-	lostRested int
-	lostFresh  int
-	lostAt     time.Time
-	doubt      time.Duration
+	dialTimeout         time.Duration
+	idleTimeout         time.Duration
+	userTimeout         time.Duration
+	allowCloseDelimited bool
+	mutex               sync.Mutex
+	addresses           map[string]*addressPool
+	// idleLosses and freshLosses count the connections lost under a request, after idle time and without it. Both start
+	// again after lossWindow without a loss. reducedMaxIdle is the idle time allowed after a loss.
+	idleLosses     int
+	freshLosses    int
+	lastLoss       time.Time
+	reducedMaxIdle time.Duration
 }
 
-type address struct {
+// addressPool holds the connections to one address.
+type addressPool struct {
 	limit int
 	open  int
 	idle  []*conn
@@ -56,121 +58,121 @@
 // Option changes a Pool under construction.
 type Option func(*Pool)
 
-// WithDialTimeout sets the time that connecting may take.
+// WithDialTimeout bounds the time to establish a connection.
 func WithDialTimeout(timeout time.Duration) Option {
 	return func(pool *Pool) {
 		pool.dialTimeout = timeout
 	}
 }
 
-// WithIdleTimeout sets the time after which an unused connection is closed.
+// WithIdleTimeout sets the time after which an idle connection is closed.
 func WithIdleTimeout(timeout time.Duration) Option {
 	return func(pool *Pool) {
 		pool.idleTimeout = timeout
 	}
 }
 
-// WithUserTimeout sets how long sent bytes may stay unacknowledged before a connection is
-// given up; without it a request on a connection gone silent hangs until its deadline.
+// WithUserTimeout sets how long sent bytes may stay unacknowledged before a connection fails. Without it, a request on a
+// connection whose peer has become unreachable waits until the request's deadline.
 func WithUserTimeout(timeout time.Duration) Option {
 	return func(pool *Pool) {
 		pool.userTimeout = timeout
 	}
 }
 
-// WithCloseDelimited takes answers that say no length and end with an orderly close of their connection.
+// WithCloseDelimited accepts answers that have no length and end with an orderly close of their connection.
 func WithCloseDelimited() Option {
 	return func(pool *Pool) {
-		pool.unframed = true
+		pool.allowCloseDelimited = true
 	}
 }
 
 // NewPool returns an empty pool.
 func NewPool(options ...Option) *Pool {
-	pool := &Pool{dialTimeout: defaultDialTimeout, idleTimeout: defaultIdleTimeout, addresses: map[string]*address{}}
+	pool := &Pool{dialTimeout: defaultDialTimeout, idleTimeout: defaultIdleTimeout, addresses: map[string]*addressPool{}}
 	for _, option := range options {
 		option(pool)
 	}
 	return pool
 }
 
-// SetLimit sets how many connections there may be to an address.
+// SetLimit sets the maximum number of connections to an address, which is at least 1.
 func (pool *Pool) SetLimit(name string, limit int) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.address(name).limit = max(1, limit)
+	pool.addressPool(name).limit = max(1, limit)
 }
 
-// OpenConns returns how many connections there are to an address.
+// OpenConns returns the number of connections to an address, idle or in use.
 func (pool *Pool) OpenConns(name string) int {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	return pool.address(name).open
+	return pool.addressPool(name).open
 }
 
-func (pool *Pool) address(name string) *address {
+func (pool *Pool) addressPool(name string) *addressPool {
 	found, exists := pool.addresses[name]
 	if !exists {
-		found = &address{limit: defaultLimit}
+		found = &addressPool{limit: defaultLimit}
 		pool.addresses[name] = found
 	}
 	return found
 }
 
-// lost notes that a connection ended with its request, after a rest or, with 0, a new or just used one. Those
-// that rested for half as long are in doubt then, unless connections that have not rested are lost about as
-// often: that is the upstreams' trouble, and new connections only add to it.
-func (pool *Pool) lost(rested time.Duration) {
+// recordLoss records that a connection failed under its request after it had been idle for a time, which is 0 for a new
+// connection. Other connections are then reused only within half that time, unless connections that were not idle are
+// lost about as often: the cause is then a failure of the upstreams, and new connections would only add load to them.
+func (pool *Pool) recordLoss(idle time.Duration) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	now := time.Now()
-	if now.After(pool.lostAt.Add(doubtFor)) {
-		pool.lostRested, pool.lostFresh, pool.doubt = 0, 0, 0
+	if now.After(pool.lastLoss.Add(lossWindow)) {
+		pool.idleLosses, pool.freshLosses, pool.reducedMaxIdle = 0, 0, 0
 	}
-	pool.lostAt = now
-	if rested < leastRest {
-		pool.lostFresh++
+	pool.lastLoss = now
+	if idle < justUsedWithin {
+		pool.freshLosses++
 		return
 	}
-	pool.lostRested++
-	if pool.doubt == 0 || rested/2 < pool.doubt {
-		pool.doubt = rested / 2
+	pool.idleLosses++
+	if pool.reducedMaxIdle == 0 || idle/2 < pool.reducedMaxIdle {
+		pool.reducedMaxIdle = idle / 2
 	}
 }
 
-// sound returns how long a connection may have rested.
-func (pool *Pool) sound(maxIdle time.Duration) time.Duration {
+// allowedIdle returns how long a connection may have been idle before it is reused.
+func (pool *Pool) allowedIdle(maxIdle time.Duration) time.Duration {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	if time.Now().After(pool.lostAt.Add(doubtFor)) || pool.lostRested <= freshWeight*pool.lostFresh {
+	if time.Now().After(pool.lastLoss.Add(lossWindow)) || pool.idleLosses <= freshLossWeight*pool.freshLosses {
 		return maxIdle
 	}
-	return min(maxIdle, pool.doubt)
+	return min(maxIdle, pool.reducedMaxIdle)
 }
 
-// take returns an idle connection that still stands and meets the care, or makes a new one.
-func (pool *Pool) take(ctx context.Context, name string, care SendOptions) (*conn, error) {
-	maxIdle := pool.sound(care.MaxIdle)
+// acquire returns an idle connection that is still open and meets the options, or establishes a new one.
+func (pool *Pool) acquire(ctx context.Context, name string, options SendOptions) (*conn, error) {
+	maxIdle := pool.allowedIdle(options.MaxIdle)
 	for {
 		idle, err := pool.reserve(name)
 		if err != nil {
 			return nil, err
 		}
 		if idle == nil {
-			return pool.dial(ctx, name, care.ResetWait)
+			return pool.dial(ctx, name, options.ResetWait)
 		}
-		if time.Since(idle.since) < min(maxIdle, idle.keep) && idle.silent() {
+		if time.Since(idle.idleSince) < min(maxIdle, idle.idleLimit) && idle.isOpenAndQuiet() {
 			return idle, nil
 		}
 		pool.discard(idle)
 	}
 }
 
-// reserve returns an idle connection, or nil with room for a new one counted.
+// reserve returns an idle connection, or nil after counting a new one that the caller must establish.
 func (pool *Pool) reserve(name string) (*conn, error) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	address := pool.address(name)
+	address := pool.addressPool(name)
 	if last := len(address.idle) - 1; last >= 0 {
 		conn := address.idle[last]
 		address.idle = address.idle[:last]
@@ -183,38 +185,40 @@
 	return nil, nil
 }
 
-func (pool *Pool) dial(ctx context.Context, name string, watch time.Duration) (*conn, error) {
+// dial establishes a connection that reserve has counted; with a wait above 0, it must stay open for that long.
+func (pool *Pool) dial(ctx context.Context, name string, wait time.Duration) (*conn, error) {
 	dialer := NewDialer(pool.dialTimeout, pool.userTimeout)
 	socket, err := dialer.DialContext(ctx, "tcp", name)
 	if err != nil {
-		pool.closed(name)
+		pool.countClosed(name)
 		return nil, errors.Wrap(connectError(err), err.Error())
 	}
 	conn := newConn(name, socket)
-	conn.keep = pool.idleTimeout
-	if watch > 0 && !conn.stands(watch) {
+	conn.idleLimit = pool.idleTimeout
+	if wait > 0 && !conn.staysOpen(wait) {
 		pool.discard(conn)
-		return nil, errors.Wrap(ErrConnect, "the upstream ended the connection at once")
+		return nil, errors.Wrap(ErrConnect, "the upstream closed the new connection")
 	}
 	return conn, nil
 }
 
-func (pool *Pool) closed(name string) {
+func (pool *Pool) countClosed(name string) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.address(name).open--
+	pool.addressPool(name).open--
 }
 
 func (pool *Pool) discard(conn *conn) {
 	_ = conn.socket.Close()
-	pool.closed(conn.address)
+	pool.countClosed(conn.address)
 }
 
-func (pool *Pool) giveBack(conn *conn) {
-	conn.since = time.Now()
+// release makes a connection available to other requests, or closes it if its address has more than its limit allows.
+func (pool *Pool) release(conn *conn) {
+	conn.idleSince = time.Now()
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	address := pool.address(conn.address)
+	address := pool.addressPool(conn.address)
 	if address.open > address.limit {
 		address.open--
 		_ = conn.socket.Close()
@@ -223,11 +227,11 @@
 	address.idle = append(address.idle, conn)
 }
 
-// CloseIdle closes the idle connections to an address, whose process has ended: what would be sent on them next is
-// reset, and may have run for all that this host can tell.
+// CloseIdle closes the idle connections to an address whose process has ended. A request sent on one of them would be
+// reset, and this host could not tell whether it had run.
 func (pool *Pool) CloseIdle(name string) {
 	pool.mutex.Lock()
-	address := pool.address(name)
+	address := pool.addressPool(name)
 	idle := address.idle
 	address.idle = nil
 	pool.mutex.Unlock()
@@ -236,27 +240,27 @@
 	}
 }
 
-// CloseExpired closes connections that have been idle for too long.
+// CloseExpired closes the connections that have been idle for longer than the idle timeout.
 func (pool *Pool) CloseExpired() {
-	for _, conn := range pool.expired() {
+	for _, conn := range pool.removeExpired() {
 		pool.discard(conn)
 	}
 }
 
-func (pool *Pool) expired() []*conn {
+func (pool *Pool) removeExpired() []*conn {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	var old []*conn
+	var expired []*conn
 	for _, address := range pool.addresses {
 		var kept []*conn
 		for _, conn := range address.idle {
-			if time.Since(conn.since) < pool.idleTimeout {
+			if time.Since(conn.idleSince) < pool.idleTimeout {
 				kept = append(kept, conn)
 				continue
 			}
-			old = append(old, conn)
+			expired = append(expired, conn)
 		}
 		address.idle = kept
 	}
-	return old
+	return expired
 }
--- a/drain/parting.go
+++ b/drain/parting.go
@@ -5,52 +5,53 @@
 	"sync/atomic"
 )
 
-// parting lets each answer of a stopping server end its connection, so that the caller's next request goes elsewhere.
-type parting struct {
+// closingHandler makes each answer of a stopping server close its connection, so that the caller sends its next request to
+// another host.
+type closingHandler struct {
 	handler  http.Handler
 	stopping *atomic.Bool
 }
 
 // ServeHTTP implements http.Handler.
-func (parting *parting) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	answer := &partingWriter{ResponseWriter: writer, stopping: parting.stopping}
-	parting.handler.ServeHTTP(answer, request)
+func (closingHandler *closingHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	answer := &closingWriter{ResponseWriter: writer, stopping: closingHandler.stopping}
+	closingHandler.handler.ServeHTTP(answer, request)
 	answer.finish()
 }
 
-// partingWriter looks when the answer is written: a request that was running when the stop began would else leave its
-// connection open, to be closed under the caller's next request.
-type partingWriter struct {
+// closingWriter checks whether the server is stopping when the answer is written. A check before the handler runs would
+// miss a stop that begins meanwhile; the connection would stay open and be closed under the caller's next request.
+type closingWriter struct {
 	http.ResponseWriter
-	stopping *atomic.Bool
-	begun    bool
+	stopping    *atomic.Bool
+	wroteHeader bool
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (writer *partingWriter) WriteHeader(status int) {
-	if !writer.begun && writer.stopping.Load() {
+func (writer *closingWriter) WriteHeader(status int) {
+	if !writer.wroteHeader && writer.stopping.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	writer.begun = true
+	writer.wroteHeader = true
 	writer.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (writer *partingWriter) Write(data []byte) (int, error) {
-	if !writer.begun {
+func (writer *closingWriter) Write(data []byte) (int, error) {
+	if !writer.wroteHeader {
 		writer.WriteHeader(http.StatusOK)
 	}
 	return writer.ResponseWriter.Write(data)
 }
 
-// Unwrap lets http.ResponseController reach the writer below.
-func (writer *partingWriter) Unwrap() http.ResponseWriter {
+// Unwrap gives http.ResponseController access to the wrapped writer.
+func (writer *closingWriter) Unwrap() http.ResponseWriter {
 	return writer.ResponseWriter
 }
 
-// finish writes the head of an answer of which the handler has written nothing.
-func (writer *partingWriter) finish() {
-	if !writer.begun {
+// finish writes the head of the answer if the handler has written nothing.
+func (writer *closingWriter) finish() {
+	if !writer.wroteHeader {
 		writer.WriteHeader(http.StatusOK)
 	}
 }
