--- a/cmd/cherrykeel/entry.go
+++ b/cmd/cherrykeel/entry.go
@@ -73,7 +73,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	go command.watch(ctx, hangup.Signals(), logger, func(settings cherrykeel.EntrySettings) {
-		store.Move(settings.StoreURL)
+		store.SetURL(settings.StoreURL)
 		host.Reload(settings)
 	})
 	return orOver(host.MustExit(), func() error {
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -53,9 +53,9 @@
 func (commands *commands) runKept() error {
 	commands.Kept = false
 	commands.Seeds = 1
-	for _, kept := range soak.Kept {
+	for _, kept := range soak.RegressionSeeds {
 		fmt.Println("kept:", kept.Cause)
-		commands.Seed, commands.Hosts, commands.For = kept.Seed, kept.Hosts, kept.For
+		commands.Seed, commands.Hosts, commands.For = kept.Seed, kept.Hosts, kept.Duration
 		err := commands.Run()
 		if err != nil {
 			return err
@@ -76,8 +76,8 @@
 		return 0, err
 	}
 	outcome, err := soak.Soak(ctx, soak.Options{
-		Seed: seed, For: commands.For, Hosts: commands.Hosts, Upstreams: commands.Upstreams, Callers: commands.Callers,
-		Pause: commands.Pause, Grace: commands.Grace, Bounds: commands.Bounds, Patience: commands.Patience, Program: program, Dir: dir,
+		Seed: seed, Duration: commands.For, Hosts: commands.Hosts, Upstreams: commands.Upstreams, Callers: commands.Callers,
+		Pause: commands.Pause, Grace: commands.Grace, CheckTimeBounds: commands.Bounds, ServiceTimeout: commands.Patience, Program: program, Dir: dir,
 	})
 	if err != nil {
 		return 0, errors.Wrapf(err, "seed %d, logs in %s", seed, dir)
