--- a/poison/callers.go
+++ b/poison/callers.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// stands reports whether the end counts for a caller.
-func (end *Crash) stands(mark CallerFingerprint) bool {
+// countsAgainst reports whether the end counts for a caller.
+func (end *Crash) countsAgainst(mark CallerFingerprint) bool {
 	answered, known := end.Callers[mark]
 	return known && !answered
 }
@@ -20,19 +20,19 @@
 	end.SeenAt = min(end.SeenAt, told.SeenAt)
 	end.SentAt = max(end.SentAt, told.SentAt)
 	for mark, answered := range told.Callers {
-		news = end.note(mark, answered) || news
+		news = end.recordCaller(mark, answered) || news
 	}
 	return news
 }
 
-// note takes a caller's mark, and reports whether that is news. Of too many the smallest digests are kept, so that all
+// recordCaller takes a caller's mark, and reports whether that is news. Of too many the smallest digests are kept, so that all
 // hosts keep the same ones in whatever order they hear of them.
-func (end *Crash) note(mark CallerFingerprint, answered bool) bool {
+func (end *Crash) recordCaller(mark CallerFingerprint, answered bool) bool {
 	before, known := end.Callers[mark]
 	if known && (before || !answered) {
 		return false
 	}
-	if !known && len(end.Callers) >= maxMarks {
+	if !known && len(end.Callers) >= maxCallers {
 		last := slices.Max(slices.Collect(maps.Keys(end.Callers)))
 		if mark > last {
 			return false
@@ -46,12 +46,12 @@
 	return true
 }
 
-// standingOf returns the ends that count for each caller that is known.
-func (record *Record) standingOf() map[CallerFingerprint][]Crash {
+// unansweredByCaller returns the ends that count for each caller that is known.
+func (record *Record) unansweredByCaller() map[CallerFingerprint][]Crash {
 	standing := map[CallerFingerprint][]Crash{}
 	for _, end := range record.Crashes {
 		for mark := range end.Callers {
-			if end.stands(mark) {
+			if end.countsAgainst(mark) {
 				standing[mark] = append(standing[mark], end)
 			}
 		}
@@ -59,19 +59,19 @@
 	return standing
 }
 
-// strength is at how many ends the request stands, for all callers or for the one that stands at the most.
-func (record *Record) strength() int {
+// maxUnanswered is at how many ends the request stands, for all callers or for the one that stands at the most.
+func (record *Record) maxUnanswered() int {
 	most := len(record.UnansweredCrashes())
-	for _, ends := range record.standingOf() {
+	for _, ends := range record.unansweredByCaller() {
 		most = max(most, len(ends))
 	}
 	return most
 }
 
-// trials counts the ends that came of one send after another. Copies that were at work together may have ended together
+// countIndependent counts the ends that came of one send after another. Copies that were at work together may have ended together
 // by something else: when all upstreams lose power, each page that many ask for stands at three ends, and nobody has had
 // an answer since. An end whose host has not said when the request was sent counts.
-func trials(ends []Crash) int {
+func countIndependent(ends []Crash) int {
 	inOrder := slices.SortedFunc(slices.Values(ends), func(one, other Crash) int { return cmp.Compare(one.SeenAt, other.SeenAt) })
 	count := 0
 	last := int64(0)
@@ -84,10 +84,10 @@
 	return count
 }
 
-// ofOne reports whether one caller's request was at work at each of some ends.
-func ofOne(ends []Crash) bool {
+// haveCommonCaller reports whether one caller's request was at work at each of some ends.
+func haveCommonCaller(ends []Crash) bool {
 	for mark := range ends[0].Callers {
-		if !slices.ContainsFunc(ends, func(end Crash) bool { return !end.stands(mark) }) {
+		if !slices.ContainsFunc(ends, func(end Crash) bool { return !end.countsAgainst(mark) }) {
 			return true
 		}
 	}
--- a/poison/identity.go
+++ b/poison/identity.go
@@ -15,11 +15,11 @@
 const (
 	// targetBytes name what is asked for, in a digest that is cheap enough to be made for each request, and
 	// digestBytes the whole request, in one that nobody can make to collide with another's.
-	targetBytes   = 8
-	digestBytes   = 16
-	identityBytes = targetBytes + digestBytes
-	// markBytes tell the callers of one request apart.
-	markBytes = 8
+	targetBytes      = 8
+	digestBytes      = 16
+	fingerprintBytes = targetBytes + digestBytes
+	// callerFingerprintBytes tell the callers of one request apart.
+	callerFingerprintBytes = 8
 )
 
 // ErrMalformedFingerprint means that a text is no identity.
@@ -27,7 +27,7 @@
 
 // Fingerprint tells requests apart that are sent again with another request ID, by the same caller or by others. It is a
 // digest, so that neither memory nor logs hold what was sent.
-type Fingerprint [identityBytes]byte
+type Fingerprint [fingerprintBytes]byte
 
 // Target is the part of an identity that says what is asked for, whoever asks and whatever the body is.
 type Target [targetBytes]byte
@@ -64,7 +64,7 @@
 func FingerprintOf(parts RequestParts) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{parts.Method, parts.Domain, parts.Path, parts.Key} {
-		add(digest, part)
+		writeField(digest, part)
 	}
 	_, _ = digest.Write(parts.Body)
 	target := parts.Target()
@@ -78,39 +78,39 @@
 type CallerFingerprint string
 
 const (
-	addressMark     = "a"
-	credentialsMark = "c"
+	addressSuffix     = "a"
+	credentialsSuffix = "c"
 )
 
-// shown reports whether the mark is of what a caller shows of itself, which its neighbours do not share.
-func (mark CallerFingerprint) shown() bool {
-	return strings.HasSuffix(string(mark), credentialsMark)
+// isFromCredentials reports whether the mark is of what a caller shows of itself, which its neighbours do not share.
+func (mark CallerFingerprint) isFromCredentials() bool {
+	return strings.HasSuffix(string(mark), credentialsSuffix)
 }
 
 // CallerFingerprints returns what tells the request's caller from others that send the same.
 func (parts *RequestParts) CallerFingerprints() []CallerFingerprint {
-	marks := []CallerFingerprint{markOf(callerOf(parts.CallerAddress), addressMark)}
+	marks := []CallerFingerprint{newCallerFingerprint(withoutPort(parts.CallerAddress), addressSuffix)}
 	if parts.Credentials != "" {
-		marks = append(marks, markOf(parts.Credentials, credentialsMark))
+		marks = append(marks, newCallerFingerprint(parts.Credentials, credentialsSuffix))
 	}
 	return marks
 }
 
-func markOf(text, kind string) CallerFingerprint {
+func newCallerFingerprint(text, kind string) CallerFingerprint {
 	sum := sha256.Sum256([]byte(text))
-	return CallerFingerprint(hex.EncodeToString(sum[:markBytes]) + kind)
+	return CallerFingerprint(hex.EncodeToString(sum[:callerFingerprintBytes]) + kind)
 }
 
-// add adds a part with its length before it, so that none can pass for the end of another.
-func add(digest hash.Hash, part string) {
+// writeField adds a part with its length before it, so that none can pass for the end of another.
+func writeField(digest hash.Hash, part string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 	_, _ = digest.Write(length[:])
 	_, _ = digest.Write([]byte(part))
 }
 
-// callerOf drops the port, which is another one for each connection of a caller.
-func callerOf(address string) string {
+// withoutPort drops the port, which is another one for each connection of a caller.
+func withoutPort(address string) string {
 	whole, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return address
@@ -132,7 +132,7 @@
 func ParseFingerprint(text string) (Fingerprint, error) {
 	var identity Fingerprint
 	data, err := hex.DecodeString(text)
-	if err != nil || len(data) != identityBytes {
+	if err != nil || len(data) != fingerprintBytes {
 		return identity, errors.Wrap(ErrMalformedFingerprint, text)
 	}
 	copy(identity[:], data)
--- a/poison/record.go
+++ b/poison/record.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// sameEnd is within what two hosts see one end of an upstream, each by its own time of day. Upstreams take some
+	// sameCrashWithin is within what two hosts see one end of an upstream, each by its own time of day. Upstreams take some
 	// seconds to come back, and one that does not say when it was born may end again under its name.
-	sameEnd = 2 * time.Second
-	// maxEnds bounds the ends that are kept of one request; hosts refuse it long before.
-	maxEnds = 16
-	// maxMarks bounds the callers' marks that are kept of one end; an upstream has few copies of one request at once.
-	maxMarks = 16
+	sameCrashWithin = 2 * time.Second
+	// maxCrashes bounds the ends that are kept of one request; hosts refuse it long before.
+	maxCrashes = 16
+	// maxCallers bounds the callers' marks that are kept of one end; an upstream has few copies of one request at once.
+	maxCallers = 16
 )
 
 // ErrMalformedRecord means that a record cannot be read.
@@ -36,11 +36,11 @@
 	Callers map[CallerFingerprint]bool `json:",omitempty"`
 }
 
-// same reports whether two hosts mean the same end. A life that is told apart by its birth has one; of an upstream that
+// isSame reports whether two hosts mean the same end. A life that is told apart by its birth has one; of an upstream that
 // does not say when it was born, ends that lie near each other are taken for one.
-func (end Crash) same(other Crash) bool {
+func (end Crash) isSame(other Crash) bool {
 	apart := time.Duration(max(end.SeenAt-other.SeenAt, other.SeenAt-end.SeenAt)) * time.Millisecond
-	return end.Incarnation == other.Incarnation && (end.StartedAt != 0 || apart < sameEnd)
+	return end.Incarnation == other.Incarnation && (end.StartedAt != 0 || apart < sameCrashWithin)
 }
 
 // Record is what is known of one request. Records are merged end by end, so that it does not matter in what order,
@@ -62,11 +62,11 @@
 	if err != nil {
 		return Record{}, errors.Wrap(ErrMalformedRecord, err.Error())
 	}
-	if len(record.Crashes) == 0 || len(record.Crashes) > maxEnds {
+	if len(record.Crashes) == 0 || len(record.Crashes) > maxCrashes {
 		return Record{}, errors.Wrapf(ErrMalformedRecord, "%d ends", len(record.Crashes))
 	}
 	for _, end := range record.Crashes {
-		if len(end.Callers) > maxMarks {
+		if len(end.Callers) > maxCallers {
 			return Record{}, errors.Wrapf(ErrMalformedRecord, "%d callers at an end", len(end.Callers))
 		}
 	}
@@ -90,8 +90,8 @@
 	return standing
 }
 
-// newest is when the record's last end was seen.
-func (record *Record) newest() int64 {
+// lastSeenAt is when the record's last end was seen.
+func (record *Record) lastSeenAt() int64 {
 	newest := int64(0)
 	for _, end := range record.Crashes {
 		newest = max(newest, end.SeenAt)
@@ -99,21 +99,21 @@
 	return newest
 }
 
-// add takes an end and reports whether it says anything new. What is withdrawn stays so, whatever comes late.
-func (record *Record) add(end Crash) bool {
-	known := slices.IndexFunc(record.Crashes, end.same)
+// addCrash takes an end and reports whether it says anything new. What is withdrawn stays so, whatever comes late.
+func (record *Record) addCrash(end Crash) bool {
+	known := slices.IndexFunc(record.Crashes, end.isSame)
 	if known >= 0 {
 		return record.Crashes[known].merge(end)
 	}
 	end.Callers = maps.Clone(end.Callers)
 	record.Crashes = append(record.Crashes, end)
-	if len(record.Crashes) > maxEnds {
-		record.dropOldest()
+	if len(record.Crashes) > maxCrashes {
+		record.dropOldestCrash()
 	}
 	return true
 }
 
-func (record *Record) dropOldest() {
+func (record *Record) dropOldestCrash() {
 	oldest := 0
 	for i, end := range record.Crashes {
 		if end.SeenAt < record.Crashes[oldest].SeenAt {
@@ -127,22 +127,22 @@
 func (record *Record) NeedsMerge(other Record) bool {
 	copied := record.clone()
 	for _, end := range other.Crashes {
-		if copied.add(end) {
+		if copied.addCrash(end) {
 			return true
 		}
 	}
 	return false
 }
 
-// withdraw takes it that a caller has had a good answer, and reports whether that is news of any end.
-func (record *Record) withdraw(marks []CallerFingerprint) bool {
+// markAnswered takes it that a caller has had a good answer, and reports whether that is news of any end.
+func (record *Record) markAnswered(marks []CallerFingerprint) bool {
 	news := false
 	for i := range record.Crashes {
 		end := &record.Crashes[i]
 		news = news || !end.Answered
 		end.Answered = true
 		for _, mark := range marks {
-			if end.stands(mark) {
+			if end.countsAgainst(mark) {
 				end.Callers[mark] = true
 				news = true
 			}
--- a/poison/table.go
+++ b/poison/table.go
@@ -11,50 +11,50 @@
 	// CrashesToDeny is how many ends of upstreams a request stands at before it is refused. Fewer would refuse what merely
 	// was at work beside others; each one more costs an upstream with all that runs there.
 	CrashesToDeny = 3
-	// deadlyTrials is how many of these have to come of one send after another before a request is refused to all, or to all behind an address.
-	deadlyTrials = 2
-	// remembered is for how long after its last end a request is known. Refused for that long, it may end three more
+	// independentCrashesToDeny is how many of these have to come of one send after another before a request is refused to all, or to all behind an address.
+	independentCrashesToDeny = 2
+	// retention is for how long after its last end a request is known. Refused for that long, it may end three more
 	// upstreams an hour; a caller that is refused wrongly is denied no longer.
-	remembered = time.Hour
-	// maxSuspects and maxRefused bound what is kept, apart from each other: however many requests stand at one end or
+	retention = time.Hour
+	// maxSuspected and maxRefused bound what is kept, apart from each other: however many requests stand at one end or
 	// two, they push out none that is refused. A record takes some 600 bytes
 	// at one end, and 24 KB with all the ends and marks there is room for.
-	maxSuspects = 512
-	maxRefused  = 1024
+	maxSuspected = 512
+	maxDenied    = 1024
 )
 
 // Table keeps which requests were at work when upstreams ended, as all hosts together have seen it.
 type Table struct {
 	records map[Fingerprint]*Record
-	refused map[Fingerprint]denial
-	// targets counts the records by what their requests ask for.
-	targets map[Target]int
-	// own are the requests of which this host has seen something itself.
-	own map[Fingerprint]bool
+	denials map[Fingerprint]denial
+	// targetCounts counts the records by what their requests ask for.
+	targetCounts map[Target]int
+	// observedLocally are the requests of which this host has seen something itself.
+	observedLocally map[Fingerprint]bool
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{records: map[Fingerprint]*Record{}, refused: map[Fingerprint]denial{}, targets: map[Target]int{}, own: map[Fingerprint]bool{}}
+	return &Table{records: map[Fingerprint]*Record{}, denials: map[Fingerprint]denial{}, targetCounts: map[Target]int{}, observedLocally: map[Fingerprint]bool{}}
 }
 
 // RecordCrash takes an end that this host has seen, and returns the request's record if it is news.
 func (table *Table) RecordCrash(found UnansweredAttempt, at int64) (Record, bool) {
 	end := Crash{Incarnation: found.Incarnation, SeenAt: at, SentAt: at - found.EndedAt.Sub(found.SentAt).Milliseconds()}
 	for _, mark := range found.CallerFingerprints {
-		end.note(mark, false)
+		end.recordCaller(mark, false)
 	}
 	record, news := table.Merge(Record{Fingerprint: found.Fingerprint, Service: found.Service, Crashes: []Crash{end}}, at)
 	_, kept := table.records[found.Fingerprint]
 	if news && kept {
-		table.own[found.Fingerprint] = true
+		table.observedLocally[found.Fingerprint] = true
 	}
 	return record, news
 }
 
 // IsObservedLocally reports whether this host has seen something of a request itself, and has not only been told.
 func (table *Table) IsObservedLocally(identity Fingerprint) bool {
-	return table.own[identity]
+	return table.observedLocally[identity]
 }
 
 // Merge takes what another host has seen, and returns all that is known of the request if it is news.
@@ -65,8 +65,8 @@
 	}
 	news := false
 	for _, end := range told.Crashes {
-		if !forgotten(end.SeenAt, now) {
-			news = record.add(end) || news
+		if !isExpired(end.SeenAt, now) {
+			news = record.addCrash(end) || news
 		}
 	}
 	if !news {
@@ -74,11 +74,11 @@
 	}
 	if !known {
 		table.records[told.Fingerprint] = record
-		table.targets[told.Fingerprint.Target()]++
+		table.targetCounts[told.Fingerprint.Target()]++
 	}
-	table.forget(now)
-	table.judge()
-	table.bound()
+	table.removeExpired(now)
+	table.updateDenials()
+	table.enforceLimits()
 	return record.clone(), true
 }
 
@@ -86,28 +86,28 @@
 // what all callers send alike, nor by this one's. It returns the request's record if it is news.
 func (table *Table) RecordAnswer(identity Fingerprint, marks ...CallerFingerprint) (Record, bool) {
 	record, known := table.records[identity]
-	if !known || !record.withdraw(marks) {
+	if !known || !record.markAnswered(marks) {
 		return Record{}, false
 	}
-	table.own[identity] = true
-	table.judge()
+	table.observedLocally[identity] = true
+	table.updateDenials()
 	return record.clone(), true
 }
 
 // IsDenied reports whether a caller's request is not to be sent to any upstream.
 func (table *Table) IsDenied(identity Fingerprint, marks ...CallerFingerprint) bool {
-	return table.refused[identity].holds(marks)
+	return table.denials[identity].appliesTo(marks)
 }
 
 // DenialScope returns for whom a request is refused.
 func (table *Table) DenialScope(identity Fingerprint) DenialScope {
-	return table.refused[identity].extent()
+	return table.denials[identity].scope()
 }
 
 // HasTarget reports whether anything is known of a request that asks for a target: if not, its whole identity need not
 // be worked out.
 func (table *Table) HasTarget(target Target) bool {
-	return table.targets[target] > 0
+	return table.targetCounts[target] > 0
 }
 
 // IsSuspected reports whether a caller's request stands at any end.
@@ -117,7 +117,7 @@
 		return false
 	}
 	return slices.ContainsFunc(record.Crashes, func(end Crash) bool {
-		return !end.Answered || slices.ContainsFunc(marks, end.stands)
+		return !end.Answered || slices.ContainsFunc(marks, end.countsAgainst)
 	})
 }
 
@@ -141,7 +141,7 @@
 
 // Counts returns how many requests are refused, and how many are known in all.
 func (table *Table) Counts() (refused, known int) {
-	return len(table.refused), len(table.records)
+	return len(table.denials), len(table.records)
 }
 
 // ExpiresAt returns when a request is forgotten, in Unix milliseconds.
@@ -150,22 +150,22 @@
 	if !known {
 		return 0
 	}
-	return record.newest() + remembered.Milliseconds()
+	return record.lastSeenAt() + retention.Milliseconds()
 }
 
 // RemoveExpired drops what is too old, and returns what it dropped.
 func (table *Table) RemoveExpired(now int64) []Fingerprint {
-	dropped := table.forget(now)
+	dropped := table.removeExpired(now)
 	if len(dropped) > 0 {
-		table.judge()
+		table.updateDenials()
 	}
 	return dropped
 }
 
-func (table *Table) forget(now int64) []Fingerprint {
+func (table *Table) removeExpired(now int64) []Fingerprint {
 	var dropped []Fingerprint
 	for identity, record := range table.records {
-		if forgotten(record.newest(), now) {
+		if isExpired(record.lastSeenAt(), now) {
 			table.remove(identity)
 			dropped = append(dropped, identity)
 		}
@@ -173,26 +173,26 @@
 	return dropped
 }
 
-func forgotten(at, now int64) bool {
-	return time.Duration(now-at)*time.Millisecond > remembered
+func isExpired(at, now int64) bool {
+	return time.Duration(now-at)*time.Millisecond > retention
 }
 
-// bound drops the requests that say least while there are too many.
-func (table *Table) bound() {
-	for len(table.records)-len(table.refused) > maxSuspects {
-		table.drop(false)
+// enforceLimits drops the requests that say least while there are too many.
+func (table *Table) enforceLimits() {
+	for len(table.records)-len(table.denials) > maxSuspected {
+		table.dropWeakest(false)
 	}
-	for len(table.refused) > maxRefused {
-		table.drop(true)
+	for len(table.denials) > maxDenied {
+		table.dropWeakest(true)
 	}
 }
 
-// drop drops one request, refused or not: that with the fewest ends, and the oldest of these.
-func (table *Table) drop(refused bool) {
+// dropWeakest drops one request, refused or not: that with the fewest ends, and the oldest of these.
+func (table *Table) dropWeakest(refused bool) {
 	var least *Record
 	for identity, record := range table.records {
-		_, found := table.refused[identity]
-		if found == refused && (least == nil || record.less(least)) {
+		_, found := table.denials[identity]
+		if found == refused && (least == nil || record.isWeakerThan(least)) {
 			least = record
 		}
 	}
@@ -201,20 +201,20 @@
 
 func (table *Table) remove(identity Fingerprint) {
 	delete(table.records, identity)
-	delete(table.refused, identity)
-	delete(table.own, identity)
+	delete(table.denials, identity)
+	delete(table.observedLocally, identity)
 	target := identity.Target()
-	table.targets[target]--
-	if table.targets[target] == 0 {
-		delete(table.targets, target)
+	table.targetCounts[target]--
+	if table.targetCounts[target] == 0 {
+		delete(table.targetCounts, target)
 	}
 }
 
-// less reports whether a record says less than another; equal ones have an order too, the same at each host.
-func (record *Record) less(other *Record) bool {
+// isWeakerThan reports whether a record says less than another; equal ones have an order too, the same at each host.
+func (record *Record) isWeakerThan(other *Record) bool {
 	return cmp.Or(
-		cmp.Compare(record.strength(), other.strength()),
-		cmp.Compare(record.newest(), other.newest()),
+		cmp.Compare(record.maxUnanswered(), other.maxUnanswered()),
+		cmp.Compare(record.lastSeenAt(), other.lastSeenAt()),
 		bytes.Compare(record.Fingerprint[:], other.Fingerprint[:]),
 	) < 0
 }
--- a/poison/witness.go
+++ b/poison/witness.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// pendingFor is how long after a break the end of its upstream is still taken for the reason: an entry in the
+	// pendingTimeout is how long after a break the end of its upstream is still taken for the reason: an entry in the
 	// store lapses some 3 s after the last heartbeat, and is believed to be missing after 2 s more at the worst.
-	pendingFor = 6 * time.Second
-	// abandonedFor is how long an upstream may still begin to run a request that its caller or this host has given up:
+	pendingTimeout = 6 * time.Second
+	// abandonedTimeout is how long an upstream may still begin to run a request that its caller or this host has given up:
 	// some do not look whether anybody waits, and their own queues hold a second's work or two.
-	abandonedFor = 2 * time.Second
-	// maxBreaks bounds what is kept; an upstream has a few dozen requests at once, and few upstreams end together.
-	maxBreaks = 1024
+	abandonedTimeout = 2 * time.Second
+	// maxPending bounds what is kept; an upstream has a few dozen requests at once, and few upstreams end together.
+	maxPending = 1024
 	// maxAbandoned does so apart: overloaded hosts give up many, and these must not push out what was lost.
 	maxAbandoned = 512
 )
@@ -53,22 +53,22 @@
 // CrashDetector keeps one host's breaks until it is known whether their upstreams have ended. What a host sees first is a
 // connection that ends, and so it does for many reasons: the upstream was full, the network cut, an answer lost.
 type CrashDetector struct {
-	breaks    []UnansweredAttempt
+	pending   []UnansweredAttempt
 	abandoned []UnansweredAttempt
 }
 
 // RecordUnanswered notes a break.
 func (witness *CrashDetector) RecordUnanswered(found UnansweredAttempt) {
-	witness.forget(found.EndedAt)
+	witness.removeExpired(found.EndedAt)
 	if found.Abandoned {
-		witness.abandoned = push(witness.abandoned, found, maxAbandoned)
+		witness.abandoned = appendBounded(witness.abandoned, found, maxAbandoned)
 		return
 	}
-	witness.breaks = push(witness.breaks, found, maxBreaks)
+	witness.pending = appendBounded(witness.pending, found, maxPending)
 }
 
-// push adds a break, in place of the oldest one if there are as many as may be.
-func push(list []UnansweredAttempt, found UnansweredAttempt, most int) []UnansweredAttempt {
+// appendBounded adds a break, in place of the oldest one if there are as many as may be.
+func appendBounded(list []UnansweredAttempt, found UnansweredAttempt, most int) []UnansweredAttempt {
 	if len(list) >= most {
 		list = list[1:]
 	}
@@ -78,47 +78,47 @@
 // RecordAnswer takes it that an upstream's life has answered a request that was sent at the given time: breaks before
 // that were no end of it. What was abandoned may still wait there.
 func (witness *CrashDetector) RecordAnswer(life Incarnation, sent cherrykeel.Instant) {
-	_, witness.breaks = divide(witness.breaks, func(found UnansweredAttempt) bool { return found.Incarnation == life && found.EndedAt <= sent })
+	_, witness.pending = splitInPlace(witness.pending, func(found UnansweredAttempt) bool { return found.Incarnation == life && found.EndedAt <= sent })
 }
 
 // RemoveByAddress returns the breaks at an address where a connection is refused now, since no process listens there.
 func (witness *CrashDetector) RemoveByAddress(address string, now cherrykeel.Instant) []UnansweredAttempt {
-	witness.forget(now)
-	return witness.take(func(found UnansweredAttempt) bool { return found.Address == address })
+	witness.removeExpired(now)
+	return witness.removeMatching(func(found UnansweredAttempt) bool { return found.Address == address })
 }
 
 // RemoveByIncarnation returns the breaks of a life that is known to have ended.
 func (witness *CrashDetector) RemoveByIncarnation(life Incarnation, now cherrykeel.Instant) []UnansweredAttempt {
-	witness.forget(now)
-	return witness.take(func(found UnansweredAttempt) bool { return found.Incarnation == life })
+	witness.removeExpired(now)
+	return witness.removeMatching(func(found UnansweredAttempt) bool { return found.Incarnation == life })
 }
 
 // HasPending reports whether any break at the address still waits for its reason.
 func (witness *CrashDetector) HasPending(address string) bool {
-	return slices.ContainsFunc(witness.breaks, func(found UnansweredAttempt) bool { return found.Address == address })
+	return slices.ContainsFunc(witness.pending, func(found UnansweredAttempt) bool { return found.Address == address })
 }
 
 // IsEmpty reports whether no break waits for its reason any more.
 func (witness *CrashDetector) IsEmpty(now cherrykeel.Instant) bool {
-	witness.forget(now)
-	return len(witness.breaks)+len(witness.abandoned) == 0
+	witness.removeExpired(now)
+	return len(witness.pending)+len(witness.abandoned) == 0
 }
 
-func (witness *CrashDetector) forget(now cherrykeel.Instant) {
-	_, witness.breaks = divide(witness.breaks, func(found UnansweredAttempt) bool { return now.Sub(found.EndedAt) > pendingFor })
-	_, witness.abandoned = divide(witness.abandoned, func(found UnansweredAttempt) bool { return now.Sub(found.EndedAt) > abandonedFor })
+func (witness *CrashDetector) removeExpired(now cherrykeel.Instant) {
+	_, witness.pending = splitInPlace(witness.pending, func(found UnansweredAttempt) bool { return now.Sub(found.EndedAt) > pendingTimeout })
+	_, witness.abandoned = splitInPlace(witness.abandoned, func(found UnansweredAttempt) bool { return now.Sub(found.EndedAt) > abandonedTimeout })
 }
 
-// take removes the breaks that match and returns them.
-func (witness *CrashDetector) take(matches func(found UnansweredAttempt) bool) []UnansweredAttempt {
+// removeMatching removes the breaks that match and returns them.
+func (witness *CrashDetector) removeMatching(matches func(found UnansweredAttempt) bool) []UnansweredAttempt {
 	var lost, left []UnansweredAttempt
-	lost, witness.breaks = divide(witness.breaks, matches)
-	left, witness.abandoned = divide(witness.abandoned, matches)
+	lost, witness.pending = splitInPlace(witness.pending, matches)
+	left, witness.abandoned = splitInPlace(witness.abandoned, matches)
 	return append(lost, left...)
 }
 
-// divide returns the breaks that match, and the others in the list's own place.
-func divide(list []UnansweredAttempt, matches func(found UnansweredAttempt) bool) (matching, others []UnansweredAttempt) {
+// splitInPlace returns the breaks that match, and the others in the list's own place.
+func splitInPlace(list []UnansweredAttempt, matches func(found UnansweredAttempt) bool) (matching, others []UnansweredAttempt) {
 	others = list[:0]
 	for _, found := range list {
 		if matches(found) {
