--- a/deny/list.go
+++ b/deny/list.go
@@ -42,19 +42,19 @@
 // List is one host's list.
 type List struct {
 	Settings
-	probes *prober
+	prober *prober
 
-	mutex   sync.Mutex
-	witness poison.CrashDetector
-	table   *poison.Table
-	// broken says that the witness keeps breaks and known that the table has records, so that requests need not take
+	mutex    sync.Mutex
+	detector poison.CrashDetector
+	table    *poison.Table
+	// hasPending says that the witness keeps breaks and known that the table has records, so that requests need not take
 	// the lock on usual days.
-	broken atomic.Bool
-	known  atomic.Bool
-	// changed is closed when one more request is refused.
-	changed chan struct{}
-	// refusals counts what was not sent.
-	refusals atomic.Int64
+	hasPending atomic.Bool
+	hasRecords atomic.Bool
+	// denialAdded is closed when one more request is refused.
+	denialAdded chan struct{}
+	// refusalCount counts what was not sent.
+	refusalCount atomic.Int64
 }
 
 // New returns an empty list.
@@ -71,35 +71,35 @@
 	if settings.Store == nil {
 		settings.Store = func(poison.Record) {}
 	}
-	list := &List{Settings: settings, table: poison.NewTable(), changed: make(chan struct{})}
-	list.probes = newProber(list.ask)
+	list := &List{Settings: settings, table: poison.NewTable(), denialAdded: make(chan struct{})}
+	list.prober = newProber(list.probe)
 	return list
 }
 
 // IsEmpty reports whether nothing is known of any request.
 func (list *List) IsEmpty() bool {
-	return !list.known.Load()
+	return !list.hasRecords.Load()
 }
 
-// concerns reports whether anything is known of requests for a target.
-func (list *List) concerns(target poison.Target) bool {
+// hasTarget reports whether anything is known of requests for a target.
+func (list *List) hasTarget(target poison.Target) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.table.HasTarget(target)
 }
 
-func (list *List) refused(identity poison.Fingerprint, marks []poison.CallerFingerprint) (time.Duration, bool) {
+func (list *List) denied(identity poison.Fingerprint, marks []poison.CallerFingerprint) (time.Duration, bool) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	if !list.table.IsDenied(identity, marks...) {
 		return 0, false
 	}
-	list.refusals.Add(1)
-	left := time.Duration(list.table.ExpiresAt(identity)-list.now()) * time.Millisecond
+	list.refusalCount.Add(1)
+	left := time.Duration(list.table.ExpiresAt(identity)-list.unixMillis()) * time.Millisecond
 	return max(0, left), true
 }
 
-func (list *List) suspected(identity poison.Fingerprint, marks []poison.CallerFingerprint) bool {
+func (list *List) isSuspected(identity poison.Fingerprint, marks []poison.CallerFingerprint) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.table.IsSuspected(identity, marks...)
@@ -109,7 +109,7 @@
 func (list *List) DenialAdded() <-chan struct{} {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	return list.changed
+	return list.denialAdded
 }
 
 // Records returns all that is known, for a host that knows nothing yet.
@@ -133,7 +133,7 @@
 	list.mutex.Unlock()
 	scope.Gauge("denied_requests").Update(float64(refused))
 	scope.Gauge("suspected_requests").Update(float64(known - refused))
-	scope.Gauge("denied_refusals").Update(float64(list.refusals.Load()))
+	scope.Gauge("denied_refusals").Update(float64(list.refusalCount.Load()))
 }
 
 // RemoveExpired drops what is too old, and returns what it dropped.
@@ -143,19 +143,19 @@
 	}
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	dropped := list.table.RemoveExpired(list.now())
-	list.noteCounts()
+	dropped := list.table.RemoveExpired(list.unixMillis())
+	list.updateHasRecords()
 	return dropped
 }
 
-// noteCounts keeps known right; List.mutex is held.
-func (list *List) noteCounts() {
+// updateHasRecords keeps known right; List.mutex is held.
+func (list *List) updateHasRecords() {
 	_, known := list.table.Counts()
-	list.known.Store(known > 0)
+	list.hasRecords.Store(known > 0)
 }
 
-// now is the time of day by which ends are told, in Unix milliseconds.
-func (list *List) now() int64 {
+// unixMillis is the time of day by which ends are told, in Unix milliseconds.
+func (list *List) unixMillis() int64 {
 	return list.Clock.Wall().UnixMilli()
 }
 
@@ -163,13 +163,13 @@
 func (list *List) Merge(record poison.Record) {
 	list.mutex.Lock()
 	before := list.table.DenialScope(record.Fingerprint)
-	merged, news := list.table.Merge(record, list.now())
+	merged, news := list.table.Merge(record, list.unixMillis())
 	if news {
-		list.changedOne(record.Fingerprint, before)
+		list.signalIfWider(record.Fingerprint, before)
 	}
 	list.mutex.Unlock()
 	if news {
-		list.logChange(merged, before)
+		list.logScopeChange(merged, before)
 	}
 }
 
@@ -187,16 +187,16 @@
 	}
 }
 
-// changedOne wakes those that wait if a request is refused that was not; List.mutex is held.
-func (list *List) changedOne(identity poison.Fingerprint, before poison.DenialScope) {
-	list.noteCounts()
+// signalIfWider wakes those that wait if a request is refused that was not; List.mutex is held.
+func (list *List) signalIfWider(identity poison.Fingerprint, before poison.DenialScope) {
+	list.updateHasRecords()
 	if list.table.DenialScope(identity).IsWiderThan(before) {
-		close(list.changed)
-		list.changed = make(chan struct{})
+		close(list.denialAdded)
+		list.denialAdded = make(chan struct{})
 	}
 }
 
-func (list *List) logChange(record poison.Record, before poison.DenialScope) {
+func (list *List) logScopeChange(record poison.Record, before poison.DenialScope) {
 	list.mutex.Lock()
 	extent := list.table.DenialScope(record.Fingerprint)
 	list.mutex.Unlock()
--- a/deny/pending.go
+++ b/deny/pending.go
@@ -9,23 +9,23 @@
 
 // PendingRecords are requests whose records are still to be written where hosts find them that start later.
 type PendingRecords struct {
-	mutex sync.Mutex
-	all   map[poison.Fingerprint]bool
-	woken chan struct{}
+	mutex        sync.Mutex
+	fingerprints map[poison.Fingerprint]bool
+	added        chan struct{}
 }
 
 // NewPendingRecords returns an empty set.
 func NewPendingRecords() *PendingRecords {
-	return &PendingRecords{all: map[poison.Fingerprint]bool{}, woken: make(chan struct{}, 1)}
+	return &PendingRecords{fingerprints: map[poison.Fingerprint]bool{}, added: make(chan struct{}, 1)}
 }
 
 // Add adds a request; what is written of it is the newest record when its turn comes.
 func (pending *PendingRecords) Add(record poison.Record) {
 	pending.mutex.Lock()
-	pending.all[record.Fingerprint] = true
+	pending.fingerprints[record.Fingerprint] = true
 	pending.mutex.Unlock()
 	select {
-	case pending.woken <- struct{}{}:
+	case pending.added <- struct{}{}:
 	default:
 	}
 }
@@ -33,25 +33,25 @@
 // DequeueAll waits until there are requests and takes them all; nil says that the context has ended.
 func (pending *PendingRecords) DequeueAll(ctx context.Context) []poison.Fingerprint {
 	for ctx.Err() == nil {
-		taken := pending.take()
+		taken := pending.removeAll()
 		if len(taken) > 0 {
 			return taken
 		}
 		select {
-		case <-pending.woken:
+		case <-pending.added:
 		case <-ctx.Done():
 		}
 	}
 	return nil
 }
 
-func (pending *PendingRecords) take() []poison.Fingerprint {
+func (pending *PendingRecords) removeAll() []poison.Fingerprint {
 	pending.mutex.Lock()
 	defer pending.mutex.Unlock()
-	taken := make([]poison.Fingerprint, 0, len(pending.all))
-	for identity := range pending.all {
+	taken := make([]poison.Fingerprint, 0, len(pending.fingerprints))
+	for identity := range pending.fingerprints {
 		taken = append(taken, identity)
 	}
-	clear(pending.all)
+	clear(pending.fingerprints)
 	return taken
 }
--- a/deny/prober.go
+++ b/deny/prober.go
@@ -7,35 +7,35 @@
 
 // prober asks addresses at a bounded pace, each by one goroutine at a time.
 type prober struct {
-	ask   func(address string)
+	probe func(address string)
 	mutex sync.Mutex
-	// next is when an address may be asked again; those whose time has passed are dropped.
-	next map[string]time.Time
+	// nextProbe is when an address may be asked again; those whose time has passed are dropped.
+	nextProbe map[string]time.Time
 }
 
 func newProber(ask func(address string)) *prober {
-	return &prober{ask: ask, next: map[string]time.Time{}}
+	return &prober{probe: ask, nextProbe: map[string]time.Time{}}
 }
 
-// soon has an address asked after a moment, unless that is about to happen.
-func (prober *prober) soon(address string) {
+// schedule has an address asked after a moment, unless that is about to happen.
+func (prober *prober) schedule(address string) {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
 	now := time.Now()
-	for other, next := range prober.next {
+	for other, next := range prober.nextProbe {
 		if now.After(next) {
-			delete(prober.next, other)
+			delete(prober.nextProbe, other)
 		}
 	}
-	at := now.Add(probeAfter)
-	next, asked := prober.next[address]
-	if asked && next.Sub(now) > probeEvery {
+	at := now.Add(probeDelay)
+	next, asked := prober.nextProbe[address]
+	if asked && next.Sub(now) > probeInterval {
 		// The last probe that was asked for has not begun yet.
 		return
 	}
 	if asked && next.After(at) {
 		at = next
 	}
-	prober.next[address] = at.Add(probeEvery)
-	time.AfterFunc(at.Sub(now), func() { prober.ask(address) })
+	prober.nextProbe[address] = at.Add(probeInterval)
+	time.AfterFunc(at.Sub(now), func() { prober.probe(address) })
 }
