--- a/trial/adversary.go
+++ b/trial/adversary.go
@@ -21,7 +21,7 @@
 	// MeanFaultInterval is the mean time between two faults, MaxFault the longest that one lasts.
 	MeanFaultInterval time.Duration
 	MaxFaultDuration  time.Duration
-	hosts             int
+	addedHosts        int
 	faults            []func()
 	stopped           bool
 }
@@ -38,12 +38,12 @@
 		MaxFaultDuration:  6 * time.Second,
 	}
 	adversary.faults = []func(){
-		adversary.pauseHost, adversary.pauseKeeper, adversary.pauseUpstream,
-		adversary.cut, adversary.cutKeeper, adversary.strand, adversary.stopLog, adversary.cutFromLog,
-		adversary.replaceHost, adversary.restartUpstream, adversary.leave,
-		adversary.drain, adversary.heat,
+		adversary.suspendHost, adversary.suspendKeeper, adversary.suspendUpstream,
+		adversary.cutLinks, adversary.cutKeeperFromHosts, adversary.isolateKeeper, adversary.stopLog, adversary.cutHostFromLog,
+		adversary.replaceHost, adversary.restartUpstream, adversary.shutDownHost,
+		adversary.drainUpstream, adversary.changeDemand,
 	}
-	world.Network = adversary.network
+	world.Network = adversary.transmit
 	return adversary
 }
 
@@ -55,13 +55,13 @@
 	adversary.MaxDelay = adversary.world.Options.LeaseLength
 	adversary.MeanFaultInterval = 100 * time.Millisecond
 	adversary.MaxFaultDuration = 600 * time.Millisecond
-	adversary.faults = []func(){adversary.drain}
+	adversary.faults = []func(){adversary.drainUpstream}
 }
 
 // OnlyIsolateKeepers makes the adversary do nothing but leave keepers alone with one upstream.
 func (adversary *Adversary) OnlyIsolateKeepers() {
 	adversary.MeanFaultInterval = 3 * time.Second
-	adversary.faults = []func(){adversary.strand}
+	adversary.faults = []func(){adversary.isolateKeeper}
 }
 
 // AddTraffic makes hosts send requests, over a network that loses some of their messages besides, and where upstreams
@@ -76,19 +76,19 @@
 }
 
 func (adversary *Adversary) changeTimeouts(traffic *Traffic) {
-	adversary.world.Schedule(adversary.world.Now()+traffic.within(2*adversary.MaxFaultDuration), func() {
-		timeout := minTimeout + traffic.within(maxTimeout-minTimeout)
-		adversary.world.SetTimeout(timeout, func(*Host) time.Duration { return traffic.within(time.Second) })
+	adversary.world.Schedule(adversary.world.Now()+traffic.randomDuration(2*adversary.MaxFaultDuration), func() {
+		timeout := minTimeout + traffic.randomDuration(maxTimeout-minTimeout)
+		adversary.world.SetTimeout(timeout, func(*Host) time.Duration { return traffic.randomDuration(time.Second) })
 		adversary.changeTimeouts(traffic)
 	})
 }
 
 // Start begins to cause faults after a calm time.
 func (adversary *Adversary) Start(calm time.Duration) {
-	adversary.world.Schedule(calm, adversary.strike)
+	adversary.world.Schedule(calm, adversary.causeFault)
 }
 
-func (adversary *Adversary) network(from, to string) (time.Duration, bool) {
+func (adversary *Adversary) transmit(from, to string) (time.Duration, bool) {
 	random := adversary.world.Random
 	if adversary.world.Now() < adversary.blocked[[2]string{from, to}] || random.Float64() < adversary.LossRate {
 		return 0, true
@@ -111,84 +111,84 @@
 	adversary.DelayRate = 0
 }
 
-func (adversary *Adversary) strike() {
+func (adversary *Adversary) causeFault() {
 	if adversary.stopped {
 		return
 	}
 	adversary.faults[adversary.world.Random.Intn(len(adversary.faults))]()
-	pause := adversary.duration(2 * adversary.MeanFaultInterval)
-	adversary.world.Schedule(adversary.world.Now()+pause, adversary.strike)
+	pause := adversary.randomDuration(2 * adversary.MeanFaultInterval)
+	adversary.world.Schedule(adversary.world.Now()+pause, adversary.causeFault)
 }
 
-func (adversary *Adversary) duration(most time.Duration) time.Duration {
+func (adversary *Adversary) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(adversary.world.Random.Int63n(int64(most)))
 }
 
-func (adversary *Adversary) later(call func()) {
-	adversary.world.Schedule(adversary.world.Now()+adversary.duration(adversary.MaxFaultDuration), call)
+func (adversary *Adversary) scheduleRecovery(call func()) {
+	adversary.world.Schedule(adversary.world.Now()+adversary.randomDuration(adversary.MaxFaultDuration), call)
 }
 
-func (adversary *Adversary) anyHost() *Host {
+func (adversary *Adversary) randomHost() *Host {
 	hosts := adversary.world.Hosts
 	return hosts[adversary.world.Random.Intn(len(hosts))]
 }
 
-func (adversary *Adversary) anyUpstream() *Upstream {
+func (adversary *Adversary) randomUpstream() *Upstream {
 	upstreams := adversary.world.Upstreams
 	return upstreams[adversary.world.Random.Intn(len(upstreams))]
 }
 
-func (adversary *Adversary) pause(process *Process) {
-	process.SuspendedUntil = adversary.world.Now() + adversary.duration(adversary.MaxFaultDuration)
+func (adversary *Adversary) suspend(process *Process) {
+	process.SuspendedUntil = adversary.world.Now() + adversary.randomDuration(adversary.MaxFaultDuration)
 }
 
-func (adversary *Adversary) pauseHost() { adversary.pause(&adversary.anyHost().Process) }
+func (adversary *Adversary) suspendHost() { adversary.suspend(&adversary.randomHost().Process) }
 
-func (adversary *Adversary) pauseKeeper() {
+func (adversary *Adversary) suspendKeeper() {
 	if keeper := adversary.world.KeeperHost(); keeper != nil {
-		adversary.pause(&keeper.Process)
+		adversary.suspend(&keeper.Process)
 	}
 }
 
-func (adversary *Adversary) pauseUpstream() { adversary.pause(&adversary.anyUpstream().Process) }
+func (adversary *Adversary) suspendUpstream() { adversary.suspend(&adversary.randomUpstream().Process) }
 
-// cut blocks messages between two processes, one way or both.
-func (adversary *Adversary) cut() {
-	adversary.block(adversary.anyHost().Name, adversary.anyUpstream().Name)
-	adversary.block(adversary.anyHost().Name, adversary.anyHost().Name)
+// cutLinks blocks messages between two processes, one way or both.
+func (adversary *Adversary) cutLinks() {
+	adversary.blockLink(adversary.randomHost().Name, adversary.randomUpstream().Name)
+	adversary.blockLink(adversary.randomHost().Name, adversary.randomHost().Name)
 }
 
-func (adversary *Adversary) block(one, other string) {
-	until := adversary.world.Now() + adversary.duration(adversary.MaxFaultDuration)
+func (adversary *Adversary) blockLink(one, other string) {
+	until := adversary.world.Now() + adversary.randomDuration(adversary.MaxFaultDuration)
 	adversary.blocked[[2]string{one, other}] = until
 	if adversary.world.Random.Intn(2) == 0 {
 		adversary.blocked[[2]string{other, one}] = until
 	}
 }
 
-// cutKeeper leaves the keeper with the upstreams and takes the other hosts away from it.
-func (adversary *Adversary) cutKeeper() {
+// cutKeeperFromHosts leaves the keeper with the upstreams and takes the other hosts away from it.
+func (adversary *Adversary) cutKeeperFromHosts() {
 	keeper := adversary.world.KeeperHost()
 	if keeper == nil {
 		return
 	}
 	for _, host := range adversary.world.Hosts {
-		adversary.block(host.Name, keeper.Name)
+		adversary.blockLink(host.Name, keeper.Name)
 	}
 }
 
-// strand leaves the keeper alone with one upstream for a long time, without the log,
+// isolateKeeper leaves the keeper alone with one upstream for a long time, without the log,
 // and lets the other hosts reach the keeper, but not the upstream, again after a while.
-func (adversary *Adversary) strand() {
+func (adversary *Adversary) isolateKeeper() {
 	keeper := adversary.world.KeeperHost()
 	if keeper == nil {
 		return
 	}
 	now := adversary.world.Now()
-	upstream := adversary.anyUpstream()
+	upstream := adversary.randomUpstream()
 	keeper.LogUnreachable = true
 	adversary.world.Schedule(now+adversary.MaxFaultDuration, func() { keeper.LogUnreachable = false })
-	apart := now + adversary.duration(3*time.Second)
+	apart := now + adversary.randomDuration(3*time.Second)
 	for _, host := range adversary.world.Hosts {
 		if host == keeper {
 			continue
@@ -201,40 +201,40 @@
 
 func (adversary *Adversary) stopLog() {
 	adversary.world.LogUnavailable = true
-	adversary.later(func() { adversary.world.LogUnavailable = false })
+	adversary.scheduleRecovery(func() { adversary.world.LogUnavailable = false })
 }
 
-func (adversary *Adversary) cutFromLog() {
-	host := adversary.anyHost()
+func (adversary *Adversary) cutHostFromLog() {
+	host := adversary.randomHost()
 	host.LogUnreachable = true
-	adversary.later(func() { host.LogUnreachable = false })
+	adversary.scheduleRecovery(func() { host.LogUnreachable = false })
 }
 
 func (adversary *Adversary) replaceHost() {
-	host := adversary.anyHost()
+	host := adversary.randomHost()
 	if host.Dead {
 		return
 	}
 	adversary.world.Kill(&host.Process)
-	adversary.later(adversary.addHost)
+	adversary.scheduleRecovery(adversary.addHost)
 }
 
 func (adversary *Adversary) addHost() {
-	adversary.hosts++
-	adversary.world.AddHost("new-"+strconv.Itoa(adversary.hosts), adversary.hosts%adversary.world.Options.Zones)
+	adversary.addedHosts++
+	adversary.world.AddHost("new-"+strconv.Itoa(adversary.addedHosts), adversary.addedHosts%adversary.world.Options.Zones)
 }
 
 func (adversary *Adversary) restartUpstream() {
-	upstream := adversary.anyUpstream()
+	upstream := adversary.randomUpstream()
 	if upstream.Dead {
 		return
 	}
 	adversary.world.Kill(&upstream.Process)
-	adversary.later(func() { adversary.world.RestartUpstream(upstream) })
+	adversary.scheduleRecovery(func() { adversary.world.RestartUpstream(upstream) })
 }
 
-func (adversary *Adversary) leave() {
-	host := adversary.anyHost()
+func (adversary *Adversary) shutDownHost() {
+	host := adversary.randomHost()
 	if host.Dead || host.Leaving {
 		return
 	}
@@ -242,14 +242,14 @@
 	adversary.addHost()
 }
 
-func (adversary *Adversary) drain() {
-	upstream := adversary.anyUpstream()
+func (adversary *Adversary) drainUpstream() {
+	upstream := adversary.randomUpstream()
 	upstream.Draining = true
-	adversary.later(func() { upstream.Draining = false })
+	adversary.scheduleRecovery(func() { upstream.Draining = false })
 }
 
-// heat makes some keys hot and lets others cool.
-func (adversary *Adversary) heat() {
+// changeDemand makes some keys hot and lets others cool.
+func (adversary *Adversary) changeDemand() {
 	demand := &adversary.world.Demand
 	demand.Partitions = make([]float64, adversary.world.Options.Partitions)
 	demand.HotKeys = map[string]float64{}
--- a/trial/host.go
+++ b/trial/host.go
@@ -14,8 +14,8 @@
 // orderTimeout is after how long an order without an answer counts as failed.
 const orderTimeout = 270 * time.Millisecond
 
-// noticed is how long hosts take to agree, by their own traffic, that an upstream is down.
-const noticed = 1500 * time.Millisecond
+// detectionTime is how long hosts take to agree, by their own traffic, that an upstream is down.
+const detectionTime = 1500 * time.Millisecond
 
 // Kill ends a process for good.
 func (world *World) Kill(process *Process) {
@@ -27,7 +27,7 @@
 	}
 	for _, upstream := range world.Upstreams {
 		if &upstream.Process == process {
-			upstream.failedAt = world.now
+			upstream.diedAt = world.now
 		}
 	}
 }
@@ -36,65 +36,65 @@
 func (world *World) RestartUpstream(upstream *Upstream) {
 	upstream.Dead = false
 	// The new process's clock starts over.
-	upstream.offset = time.Second - time.Duration(float64(world.now)*upstream.rate)
+	upstream.clockOffset = time.Second - time.Duration(float64(world.now)*upstream.clockRate)
 	upstream.Ownership = fakes.NewOwnership(upstream.Name+" "+strconv.Itoa(world.Steps), Service)
 }
 
 // StartShutdown begins a host's planned stop; it dies once it keeps nothing.
 func (world *World) StartShutdown(host *Host) {
 	host.Leaving = true
-	host.leftAt = world.now
-	world.awaitHandover(host)
+	host.shutdownAt = world.now
+	world.killAfterHandover(host)
 }
 
-func (world *World) awaitHandover(host *Host) {
-	world.at(&host.Process, tickPause, func() {
+func (world *World) killAfterHandover(host *Host) {
+	world.scheduleOn(&host.Process, tickInterval, func() {
 		if host.Keeper.HoldsRole() {
-			world.awaitHandover(host)
+			world.killAfterHandover(host)
 			return
 		}
 		world.Kill(&host.Process)
 	})
 }
 
-func (world *World) tick(host *Host) {
-	world.at(&host.Process, tickPause, func() {
-		world.decide(host)
-		world.tick(host)
+func (world *World) scheduleTick(host *Host) {
+	world.scheduleOn(&host.Process, tickInterval, func() {
+		world.runKeeper(host)
+		world.scheduleTick(host)
 	})
 }
 
-func (world *World) decide(host *Host) {
-	input := world.input(host)
+func (world *World) runKeeper(host *Host) {
+	input := world.keeperInput(host)
 	host.Witness.RecordRunning(input.Now)
 	actions := host.Keeper.Tick(input)
 	for _, order := range actions.Orders {
-		world.order(host, order)
+		world.sendOrder(host, order)
 	}
 	for _, name := range actions.RequestConfirmation {
-		world.confirm(host, name, input.Block.Term)
+		world.requestConfirmation(host, name, input.Block.Term)
 	}
 	for _, teaching := range actions.TermNotices {
-		world.teach(host, teaching)
+		world.sendTermNotice(host, teaching)
 	}
 	for _, name := range actions.RequestSilence {
-		world.askSilence(host, name, input.Block.LeaseLength)
+		world.requestSilence(host, name, input.Block.LeaseLength)
 	}
 	if actions.Claim != nil {
-		record := world.record(host)
+		record := world.newRecord(host)
 		record.Claim = actions.Claim
-		host.claims[record.ID] = true
-		world.append(host, record)
+		host.claimIDs[record.ID] = true
+		world.appendToLog(host, record)
 	}
 	if actions.Assign != nil {
-		record := world.record(host)
+		record := world.newRecord(host)
 		record.Assign = actions.Assign
-		world.append(host, record)
+		world.appendToLog(host, record)
 	}
 }
 
-// settings returns the service's settings as a host has read them.
-func (world *World) settings(host *Host) *cherrykeel.Service {
+// settingsOf returns the service's settings as a host has read them.
+func (world *World) settingsOf(host *Host) *cherrykeel.Service {
 	if host.timeout == world.Settings.Timeout {
 		return world.Settings
 	}
@@ -107,51 +107,51 @@
 func (world *World) SetTimeout(timeout time.Duration, within func(host *Host) time.Duration) {
 	world.Settings.Timeout = timeout
 	for _, host := range world.Hosts {
-		world.readTimeout(host, timeout, within(host))
+		world.scheduleTimeoutRead(host, timeout, within(host))
 	}
 }
 
-func (world *World) readTimeout(host *Host, timeout, after time.Duration) {
-	world.at(&host.Process, after, func() {
+func (world *World) scheduleTimeoutRead(host *Host, timeout, after time.Duration) {
+	world.scheduleOn(&host.Process, after, func() {
 		if host.LogUnreachable || world.LogUnavailable {
-			world.readTimeout(host, timeout, listLag)
+			world.scheduleTimeoutRead(host, timeout, listDelay)
 			return
 		}
 		host.timeout = timeout
 	})
 }
 
-func (world *World) input(host *Host) keeper.Input {
+func (world *World) keeperInput(host *Host) keeper.Input {
 	input := keeper.Input{
 		Now:          world.local(&host.Process),
 		Block:        host.State.Ownership[Service],
-		Service:      world.settings(host),
+		Service:      world.settingsOf(host),
 		RemovedHosts: map[string]bool{},
 		Leaving:      host.Leaving,
 		Draining:     map[string]bool{},
 		Unreachable:  map[string]bool{},
 		Demand:       world.Demand,
 	}
-	if host.claims[input.Block.ClaimID] {
+	if host.claimIDs[input.Block.ClaimID] {
 		input.ClaimedTerm = input.Block.Term
 	}
 	for _, other := range world.Hosts {
 		switch {
-		case other.Dead && world.now-other.diedAt > listLag:
-			input.RemovedHosts[other.Name] = world.now-other.diedAt > 10*time.Second+listLag
+		case other.Dead && world.now-other.diedAt > listDelay:
+			input.RemovedHosts[other.Name] = world.now-other.diedAt > 10*time.Second+listDelay
 		default:
-			leaving := other.Leaving && (other == host || world.now-other.leftAt > listLag)
+			leaving := other.Leaving && (other == host || world.now-other.shutdownAt > listDelay)
 			input.Hosts = append(input.Hosts, keeper.Host{Name: other.Name, Zone: other.Zone, Leaving: leaving})
 		}
 	}
 	for _, upstream := range world.Upstreams {
 		input.Draining[upstream.Name] = upstream.Draining
-		input.Unreachable[upstream.Name] = upstream.Dead && world.now-upstream.failedAt > noticed
+		input.Unreachable[upstream.Name] = upstream.Dead && world.now-upstream.diedAt > detectionTime
 	}
 	return input
 }
 
-func (world *World) host(name string) *Host {
+func (world *World) hostByName(name string) *Host {
 	for _, host := range world.Hosts {
 		if host.Name == name {
 			return host
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func (world *World) upstream(name string) *Upstream {
+func (world *World) upstreamByName(name string) *Upstream {
 	for _, upstream := range world.Upstreams {
 		if upstream.Name == name {
 			return upstream
@@ -169,8 +169,8 @@
 	return nil
 }
 
-func (world *World) order(host *Host, order lease.Order) {
-	world.at(&host.Process, orderTimeout, func() { host.Keeper.RecordFailure(order) })
+func (world *World) sendOrder(host *Host, order lease.Order) {
+	world.scheduleOn(&host.Process, orderTimeout, func() { host.Keeper.RecordFailure(order) })
 	lessee, take := world.lessee(order)
 	if lessee == nil {
 		return
@@ -185,10 +185,10 @@
 
 // lessee returns the process that an order is for, and how that takes it.
 func (world *World) lessee(order lease.Order) (*Process, func() cherrykeel.Holding) {
-	if upstream := world.upstream(order.Lessee); upstream != nil {
-		return &upstream.Process, func() cherrykeel.Holding { return world.take(upstream, order) }
+	if upstream := world.upstreamByName(order.Lessee); upstream != nil {
+		return &upstream.Process, func() cherrykeel.Holding { return world.applyOrder(upstream, order) }
 	}
-	host := world.host(order.Lessee)
+	host := world.hostByName(order.Lessee)
 	if host == nil {
 		return nil, nil
 	}
@@ -200,8 +200,8 @@
 	}
 }
 
-// take gives an order to an upstream, with the safeguard in place that the options leave.
-func (world *World) take(upstream *Upstream, order lease.Order) cherrykeel.Holding {
+// applyOrder gives an order to an upstream, with the safeguard in place that the options leave.
+func (world *World) applyOrder(upstream *Upstream, order lease.Order) cherrykeel.Holding {
 	now := world.LocalTime(upstream)
 	if order.Query {
 		return upstream.Ownership.Holding(now)
@@ -219,9 +219,9 @@
 	return upstream.Ownership.Grant(grant, now)
 }
 
-func (world *World) confirm(host *Host, name string, term int64) {
+func (world *World) requestConfirmation(host *Host, name string, term int64) {
 	sent := world.local(&host.Process)
-	witness := world.host(name)
+	witness := world.hostByName(name)
 	if witness == nil {
 		return
 	}
@@ -242,8 +242,8 @@
 	})
 }
 
-func (world *World) teach(host *Host, teaching keeper.TermNotice) {
-	witness := world.host(teaching.Host)
+func (world *World) sendTermNotice(host *Host, teaching keeper.TermNotice) {
+	witness := world.hostByName(teaching.Host)
 	if witness == nil {
 		return
 	}
@@ -259,8 +259,8 @@
 	})
 }
 
-func (world *World) askSilence(host *Host, name string, leaseLength time.Duration) {
-	witness := world.host(name)
+func (world *World) requestSilence(host *Host, name string, leaseLength time.Duration) {
+	witness := world.hostByName(name)
 	if witness == nil {
 		return
 	}
@@ -272,13 +272,13 @@
 	})
 }
 
-func (world *World) record(host *Host) fold.Record {
-	world.serial++
-	return fold.Record{Format: fold.Format, ID: strconv.Itoa(world.serial), Author: host.Name}
+func (world *World) newRecord(host *Host) fold.Record {
+	world.lastSerial++
+	return fold.Record{Format: fold.Format, ID: strconv.Itoa(world.lastSerial), Author: host.Name}
 }
 
-// append reaches the log after a while, unless the log is out by then.
-func (world *World) append(host *Host, record fold.Record) {
+// appendToLog reaches the log after a while, unless the log is out by then.
+func (world *World) appendToLog(host *Host, record fold.Record) {
 	delay, lost := world.Network(host.Name, "log")
 	if lost || host.LogUnreachable {
 		return
@@ -291,27 +291,27 @@
 		if err != nil {
 			panic(err)
 		}
-		world.records = append(world.records, data)
+		world.logRecords = append(world.logRecords, data)
 	})
 }
 
-// readLog keeps a host's fold in step with the log, as far as the log answers.
-func (world *World) readLog(host *Host) {
+// scheduleLogRead keeps a host's fold in step with the log, as far as the log answers.
+func (world *World) scheduleLogRead(host *Host) {
 	delay, lost := world.Network("log", host.Name)
 	begun := world.local(&host.Process)
-	known := len(world.records)
-	world.at(&host.Process, world.Options.Latency+delay, func() {
+	known := len(world.logRecords)
+	world.scheduleOn(&host.Process, world.Options.Latency+delay, func() {
 		if !lost && !world.LogUnavailable && !host.LogUnreachable {
 			world.foldUpTo(host, known)
 			host.Witness.RecordCaughtUp(begun)
 		}
-		world.readLog(host)
+		world.scheduleLogRead(host)
 	})
 }
 
 func (world *World) foldUpTo(host *Host, known int) {
 	for offset := int(host.State.Next); offset < known; offset++ {
-		_, err := host.State.Apply(int64(offset), world.records[offset])
+		_, err := host.State.Apply(int64(offset), world.logRecords[offset])
 		if err != nil {
 			panic(err)
 		}
--- a/trial/work.go
+++ b/trial/work.go
@@ -23,26 +23,26 @@
 }
 
 const (
-	// workPause is the mean time between two requests of a busy world.
-	workPause = 60 * time.Millisecond
+	// requestInterval is the mean time between two requests of a busy world.
+	requestInterval = 60 * time.Millisecond
 	// MaxTransitTime is the longest that a request of a busy world is on its way.
 	MaxTransitTime = 200 * time.Millisecond
-	// leaveShare is the share of callers that go away before they are answered.
-	leaveShare = 0.3
-	// lostShare is the share of requests, answers and ends of connections that are lost.
-	lostShare = 0.1
+	// abandonRate is the share of callers that go away before they are answered.
+	abandonRate = 0.3
+	// defaultLossRate is the share of requests, answers and ends of connections that are lost.
+	defaultLossRate = 0.1
 )
 
-// work is a request that an upstream has begun. Where fences are checked it counts while its lease runs, else
+// execution is a request that an upstream has begun. Where fences are checked it counts while its lease runs, else
 // until the deadline that the upstream was told: one that was frozen drops it when it wakes.
-type work struct {
+type execution struct {
 	upstream  *Upstream
 	ownership *fakes.Ownership
-	begun     fakes.Work
+	work      fakes.Work
 	deadline  time.Duration
 	partition int
 	key       string
-	ended     bool
+	finished  bool
 }
 
 // Traffic sends requests through a world's hosts. It has randomness of its own, so that it changes nothing
@@ -63,24 +63,24 @@
 		random:      rand.New(rand.NewSource(world.Options.Seed)),
 		partitionOf: partitionOf,
 		blocked:     blocked,
-		LossRate:    lostShare,
+		LossRate:    defaultLossRate,
 	}
 }
 
 // Start begins to send, and goes on for as long as the world runs.
 func (traffic *Traffic) Start() {
-	traffic.world.Schedule(traffic.world.Now()+traffic.within(2*workPause), func() {
-		traffic.request()
+	traffic.world.Schedule(traffic.world.Now()+traffic.randomDuration(2*requestInterval), func() {
+		traffic.sendRandom()
 		traffic.Start()
 	})
 }
 
-func (traffic *Traffic) within(most time.Duration) time.Duration {
+func (traffic *Traffic) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(traffic.random.Int63n(int64(most)))
 }
 
-// request is one caller's, for a key that may be hot or for another one.
-func (traffic *Traffic) request() {
+// sendRandom is one caller's, for a key that may be hot or for another one.
+func (traffic *Traffic) sendRandom() {
 	key := OtherKey
 	partition := traffic.random.Intn(traffic.world.Options.Partitions)
 	if traffic.random.Intn(2) == 0 {
@@ -92,30 +92,30 @@
 		return
 	}
 	waits := host.timeout
-	if traffic.random.Float64() < leaveShare {
-		waits = traffic.within(host.timeout)
+	if traffic.random.Float64() < abandonRate {
+		waits = traffic.randomDuration(host.timeout)
 	}
-	traffic.Send(host, partition, key, traffic.within(2*host.timeout), waits)
+	traffic.Send(host, partition, key, traffic.randomDuration(2*host.timeout), waits)
 }
 
 // Send has a host pass on a request that takes an upstream a time, if its deadline leaves it that, and whose
 // caller waits for a time. It returns the upstream, or nil if the host may not send it now.
 func (traffic *Traffic) Send(host *Host, partition int, key string, takes, waits time.Duration) *Upstream {
 	request := &request{
-		traffic: traffic,
-		host:    host,
-		begun:   traffic.world.local(&host.Process),
-		sentAt:  traffic.world.Now(),
-		timeout: traffic.timeout(host),
-		takes:   takes,
-		work:    &work{partition: partition, key: key},
+		traffic:        traffic,
+		host:           host,
+		startedAt:      traffic.world.local(&host.Process),
+		sentAt:         traffic.world.Now(),
+		timeout:        traffic.upstreamTimeout(host),
+		processingTime: takes,
+		execution:      &execution{partition: partition, key: key},
 	}
 	request.send(waits)
-	return request.work.upstream
+	return request.execution.upstream
 }
 
-// timeout is what a host may tell an upstream.
-func (traffic *Traffic) timeout(host *Host) time.Duration {
+// upstreamTimeout is what a host may tell an upstream.
+func (traffic *Traffic) upstreamTimeout(host *Host) time.Duration {
 	if !traffic.world.Options.NoFences {
 		return host.timeout
 	}
@@ -125,27 +125,27 @@
 
 // request is one that a host passes on to an upstream.
 type request struct {
-	traffic *Traffic
-	host    *Host
-	begun   cherrykeel.Instant
-	sentAt  time.Duration
-	timeout time.Duration
-	takes   time.Duration
-	work    *work
-	// left says that the host waits no more.
-	left bool
+	traffic        *Traffic
+	host           *Host
+	startedAt      cherrykeel.Instant
+	sentAt         time.Duration
+	timeout        time.Duration
+	processingTime time.Duration
+	execution      *execution
+	// closed says that the host waits no more.
+	closed bool
 }
 
 func (request *request) send(waits time.Duration) {
 	world := request.traffic.world
-	request.work.upstream = request.target()
-	if request.work.upstream == nil {
+	request.execution.upstream = request.target()
+	if request.execution.upstream == nil {
 		return
 	}
 	if world.Options.NoFences {
-		world.at(&request.host.Process, min(waits, request.timeout), request.abandon)
+		world.scheduleOn(&request.host.Process, min(waits, request.timeout), request.abandon)
 	}
-	request.carry(request.host.Name, request.work.upstream.Name, &request.work.upstream.Process, request.arrive)
+	request.transmit(request.host.Name, request.execution.upstream.Name, &request.execution.upstream.Process, request.onArrival)
 }
 
 // target returns the upstream that the host sends to; the host's view counts the request.
@@ -154,104 +154,104 @@
 	if !world.Options.NoFences {
 		return world.Upstreams[request.traffic.random.Intn(len(world.Upstreams))]
 	}
-	name, allowed := request.host.View.StartRequest(request.work.partition, request.work.key, request.begun)
+	name, allowed := request.host.View.StartRequest(request.execution.partition, request.execution.key, request.startedAt)
 	if !allowed {
 		return nil
 	}
-	return world.upstream(name)
+	return world.upstreamByName(name)
 }
 
-// carry takes a message to a process, unless it is lost.
-func (request *request) carry(from, to string, process *Process, arrive func()) {
+// transmit takes a message to a process, unless it is lost.
+func (request *request) transmit(from, to string, process *Process, arrive func()) {
 	traffic := request.traffic
-	transit := traffic.within(MaxTransitTime)
+	transit := traffic.randomDuration(MaxTransitTime)
 	if traffic.random.Float64() >= traffic.LossRate && !traffic.blocked(from, to) {
-		traffic.world.at(process, transit, arrive)
+		traffic.world.scheduleOn(process, transit, arrive)
 	}
 }
 
-// arrive begins the work, if the host still waits: else the end of its connection arrives with the request.
+// onArrival begins the work, if the host still waits: else the end of its connection arrives with the request.
 // An upstream that was frozen reads late what waited in its sockets; if it checks no fences, the design asks
 // it to drop that, since it alone can tell.
-func (request *request) arrive() {
-	world, work := request.traffic.world, request.work
+func (request *request) onArrival() {
+	world, work := request.traffic.world, request.execution
 	late := world.now > request.sentAt+MaxTransitTime
-	if request.left || late && world.Options.NoFences {
+	if request.closed || late && world.Options.NoFences {
 		return
 	}
 	work.ownership = work.upstream.Ownership
 	if !world.Options.NoFences && !work.ownership.Owns(world.LocalTime(work.upstream), work.partition, work.key) {
 		return
 	}
-	work.begun = work.ownership.Begin(work.partition, work.key)
-	world.forgetWork()
-	world.work = append(world.work, work)
+	work.work = work.ownership.Begin(work.partition, work.key)
+	world.removeFinished()
+	world.executions = append(world.executions, work)
 	// The upstream ends by its own clock what has not been done in the time that it was told.
-	told := time.Duration(float64(request.timeout) / work.upstream.rate)
+	told := time.Duration(float64(request.timeout) / work.upstream.clockRate)
 	work.deadline = world.LocalTime(work.upstream) + request.timeout
-	world.at(&work.upstream.Process, min(told, request.takes), request.finish)
+	world.scheduleOn(&work.upstream.Process, min(told, request.processingTime), request.finish)
 }
 
 // finish ends the work and answers.
 func (request *request) finish() {
-	if request.work.ended {
+	if request.execution.finished {
 		return
 	}
-	request.end()
-	request.carry(request.work.upstream.Name, request.host.Name, &request.host.Process, request.answered)
+	request.endExecution()
+	request.transmit(request.execution.upstream.Name, request.host.Name, &request.host.Process, request.onAnswer)
 }
 
-func (request *request) end() {
-	request.work.ended = true
-	request.work.ownership.End(request.work.begun)
+func (request *request) endExecution() {
+	request.execution.finished = true
+	request.execution.ownership.End(request.execution.work)
 }
 
-func (request *request) answered() {
-	if request.left || !request.traffic.world.Options.NoFences {
+func (request *request) onAnswer() {
+	if request.closed || !request.traffic.world.Options.NoFences {
 		return
 	}
-	request.left = true
-	request.host.View.FinishRequest(request.work.upstream.Name, request.work.partition, request.work.key)
+	request.closed = true
+	request.host.View.FinishRequest(request.execution.upstream.Name, request.execution.partition, request.execution.key)
 }
 
 // abandon is the end of the host's wait: it closes the connection, which the upstream may hear of late or never.
 func (request *request) abandon() {
-	if request.left {
+	if request.closed {
 		return
 	}
-	request.left = true
-	work := request.work
-	until := request.begun.Add(lease.MaxProcessingTime(request.timeout))
+	request.closed = true
+	work := request.execution
+	until := request.startedAt.Add(lease.MaxProcessingTime(request.timeout))
 	request.host.View.AbandonRequest(work.upstream.Name, work.partition, work.key, until)
-	request.carry(request.host.Name, work.upstream.Name, &work.upstream.Process, func() {
-		if work.ownership != nil && !work.ended {
-			request.end()
+	request.transmit(request.host.Name, work.upstream.Name, &work.upstream.Process, func() {
+		if work.ownership != nil && !work.finished {
+			request.endExecution()
 		}
 	})
 }
 
-// atWork reports whether an upstream works on a key, and may still bring that to effect.
-func (world *World) atWork(upstream *Upstream, partition int, key string) bool {
-	for _, work := range world.work {
-		if work.upstream == upstream && work.partition == partition && work.key == key && world.counts(work) {
+// isProcessing reports whether an upstream works on a key, and may still bring that to effect.
+func (world *World) isProcessing(upstream *Upstream, partition int, key string) bool {
+	for _, work := range world.executions {
+		if work.upstream == upstream && work.partition == partition && work.key == key && world.mayTakeEffect(work) {
 			return true
 		}
 	}
 	return false
 }
 
-func (world *World) counts(work *work) bool {
-	if work.ended || work.upstream.Dead || work.ownership != work.upstream.Ownership {
+func (world *World) mayTakeEffect(work *execution) bool {
+	if work.finished || work.upstream.Dead || work.ownership != work.upstream.Ownership {
 		return false
 	}
 	now := world.LocalTime(work.upstream)
 	if world.Options.NoFences {
 		return now < work.deadline
 	}
-	return !work.ownership.Lapsed(work.begun, now)
+	return !work.ownership.Lapsed(work.work, now)
 }
 
-// forgetWork drops what has ended.
-func (world *World) forgetWork() {
-	world.work = slices.DeleteFunc(world.work, func(work *work) bool { return !world.counts(work) })
+// removeFinished drops what has ended.
+func (world *World) removeFinished() {
+	world.executions = slices.DeleteFunc(world.executions, func(work *execution) bool { return !world.mayTakeEffect(work) })
 }
--- a/trial/world.go
+++ b/trial/world.go
@@ -19,8 +19,8 @@
 const Service = "trial/keys"
 
 const (
-	tickPause = 20 * time.Millisecond
-	listLag   = time.Second
+	tickInterval = 20 * time.Millisecond
+	listDelay    = time.Second
 )
 
 // Options describe a world.
@@ -71,13 +71,13 @@
 	Demand         cherrykeel.Demand
 	Placer         cherrykeel.Placer
 	// Steps counts everything that has happened; Check is called after each of them.
-	Steps   int
-	Check   func(world *World)
-	records [][]byte
-	now     time.Duration
-	events  events
-	serial  int
-	work    []*work
+	Steps      int
+	Check      func(world *World)
+	logRecords [][]byte
+	now        time.Duration
+	events     eventQueue
+	lastSerial int
+	executions []*execution
 }
 
 // Process is what hosts and upstreams have in common.
@@ -87,8 +87,8 @@
 	Dead bool
 	// SuspendedUntil is when the process wakes; what reaches it before waits.
 	SuspendedUntil time.Duration
-	rate           float64
-	offset         time.Duration
+	clockRate      float64
+	clockOffset    time.Duration
 }
 
 // Host is an entry host's part in ownership.
@@ -103,43 +103,43 @@
 	// View is the host's lease on sending, for upstreams that do not check fences.
 	View *views.View
 	// timeout is the longest that a request may take, by the settings that the host has read.
-	timeout time.Duration
-	claims  map[string]bool
-	diedAt  time.Duration
-	leftAt  time.Duration
+	timeout    time.Duration
+	claimIDs   map[string]bool
+	diedAt     time.Duration
+	shutdownAt time.Duration
 }
 
 // Upstream is a server that holds keys.
 type Upstream struct {
 	Process
-	failedAt  time.Duration
+	diedAt    time.Duration
 	Ownership *fakes.Ownership
 	// Draining keeps new work away.
 	Draining bool
 }
 
 type event struct {
-	at     time.Duration
+	dueAt  time.Duration
 	serial int
 	call   func()
 }
 
-type events []event
+type eventQueue []event
 
-func (events events) Len() int { return len(events) }
+func (events eventQueue) Len() int { return len(events) }
 
-func (events events) Less(i, j int) bool {
-	if events[i].at != events[j].at {
-		return events[i].at < events[j].at
+func (events eventQueue) Less(i, j int) bool {
+	if events[i].dueAt != events[j].dueAt {
+		return events[i].dueAt < events[j].dueAt
 	}
 	return events[i].serial < events[j].serial
 }
 
-func (events events) Swap(i, j int) { events[i], events[j] = events[j], events[i] }
+func (events eventQueue) Swap(i, j int) { events[i], events[j] = events[j], events[i] }
 
-func (events *events) Push(value any) { *events = append(*events, value.(event)) }
+func (events *eventQueue) Push(value any) { *events = append(*events, value.(event)) }
 
-func (events *events) Pop() any {
+func (events *eventQueue) Pop() any {
 	last := len(*events) - 1
 	popped := (*events)[last]
 	*events = (*events)[:last]
@@ -172,15 +172,15 @@
 	return world
 }
 
-func (world *World) process(name string, zone int) Process {
+func (world *World) newProcess(name string, zone int) Process {
 	drift := world.Options.MaxClockDrift * (2*world.Random.Float64() - 1)
 	offset := time.Duration(world.Random.Int63n(int64(time.Hour))) + time.Second
-	return Process{Name: name, Zone: "zone-" + strconv.Itoa(zone), rate: 1 + drift, offset: offset}
+	return Process{Name: name, Zone: "zone-" + strconv.Itoa(zone), clockRate: 1 + drift, clockOffset: offset}
 }
 
 // AddUpstream adds an upstream that owns nothing.
 func (world *World) AddUpstream(name string, zone int) *Upstream {
-	upstream := &Upstream{Process: world.process(name, zone)}
+	upstream := &Upstream{Process: world.newProcess(name, zone)}
 	upstream.Ownership = fakes.NewOwnership(name+" "+strconv.Itoa(world.Steps), Service)
 	world.Upstreams = append(world.Upstreams, upstream)
 	world.Settings.Upstreams = append(world.Settings.Upstreams, cherrykeel.UpstreamServer{Name: name, Zone: upstream.Zone})
@@ -189,14 +189,14 @@
 
 // AddHost adds an entry host that has read the log so far.
 func (world *World) AddHost(name string, zone int) *Host {
-	host := &Host{Process: world.process(name, zone), State: fold.NewState(), claims: map[string]bool{}}
+	host := &Host{Process: world.newProcess(name, zone), State: fold.NewState(), claimIDs: map[string]bool{}}
 	host.Witness = lease.NewWitness(world.local(&host.Process))
 	host.Keeper = keeper.New(name, Service, host.Witness, world.Placer)
 	host.View = views.New(name+" "+strconv.Itoa(world.Steps), Service, world.Options.Partitions)
 	host.timeout = world.Settings.Timeout
 	world.Hosts = append(world.Hosts, host)
-	world.tick(host)
-	world.readLog(host)
+	world.scheduleTick(host)
+	world.scheduleLogRead(host)
 	return host
 }
 
@@ -207,7 +207,7 @@
 
 // local is a process's own monotonic time.
 func (world *World) local(process *Process) cherrykeel.Instant {
-	return cherrykeel.Instant(process.offset + time.Duration(float64(world.now)*process.rate))
+	return cherrykeel.Instant(process.clockOffset + time.Duration(float64(world.now)*process.clockRate))
 }
 
 // LocalTime is an upstream's own monotonic time.
@@ -215,15 +215,15 @@
 	return time.Duration(world.local(&upstream.Process))
 }
 
-// at runs a step on a process after a delay; it waits while the process is paused and falls away if it is dead.
-func (world *World) at(process *Process, delay time.Duration, call func()) {
-	world.serial++
-	heap.Push(&world.events, event{at: world.now + delay, serial: world.serial, call: func() {
+// scheduleOn runs a step on a process after a delay; it waits while the process is paused and falls away if it is dead.
+func (world *World) scheduleOn(process *Process, delay time.Duration, call func()) {
+	world.lastSerial++
+	heap.Push(&world.events, event{dueAt: world.now + delay, serial: world.lastSerial, call: func() {
 		if process.Dead {
 			return
 		}
 		if left := process.SuspendedUntil - world.now; left > 0 {
-			world.at(process, left, call)
+			world.scheduleOn(process, left, call)
 			return
 		}
 		call()
@@ -232,8 +232,8 @@
 
 // Schedule runs a scenario's step at a time.
 func (world *World) Schedule(at time.Duration, call func()) {
-	world.serial++
-	heap.Push(&world.events, event{at: at, serial: world.serial, call: call})
+	world.lastSerial++
+	heap.Push(&world.events, event{dueAt: at, serial: world.lastSerial, call: call})
 }
 
 // send carries a message; a lost one is never delivered.
@@ -242,14 +242,14 @@
 	if lost {
 		return
 	}
-	world.at(to, world.Options.Latency+delay, call)
+	world.scheduleOn(to, world.Options.Latency+delay, call)
 }
 
 // RunUntil goes on until a time.
 func (world *World) RunUntil(until time.Duration) {
-	for len(world.events) > 0 && world.events[0].at <= until {
+	for len(world.events) > 0 && world.events[0].dueAt <= until {
 		next := heap.Pop(&world.events).(event)
-		world.now = next.at
+		world.now = next.dueAt
 		next.call()
 		world.Steps++
 		world.Check(world)
@@ -262,7 +262,7 @@
 func (world *World) Owners(partition int, key string) []*Upstream {
 	var owners []*Upstream
 	for _, upstream := range world.Upstreams {
-		if !upstream.Dead && (world.mayAct(upstream, partition, key) || world.atWork(upstream, partition, key)) {
+		if !upstream.Dead && (world.mayAct(upstream, partition, key) || world.isProcessing(upstream, partition, key)) {
 			owners = append(owners, upstream)
 		}
 	}
@@ -290,18 +290,18 @@
 // ServingUpstream returns the index of the upstream that answers a key's requests now, when they come
 // through a host, or -1; it looks at the hinted one first.
 func (world *World) ServingUpstream(host *Host, partition int, key string, hint int) int {
-	if hint >= 0 && world.serves(host, world.Upstreams[hint], partition, key) {
+	if hint >= 0 && world.isServing(host, world.Upstreams[hint], partition, key) {
 		return hint
 	}
 	for i, upstream := range world.Upstreams {
-		if world.serves(host, upstream, partition, key) {
+		if world.isServing(host, upstream, partition, key) {
 			return i
 		}
 	}
 	return -1
 }
 
-func (world *World) serves(host *Host, upstream *Upstream, partition int, key string) bool {
+func (world *World) isServing(host *Host, upstream *Upstream, partition int, key string) bool {
 	if upstream.Dead || world.now < upstream.SuspendedUntil {
 		return false
 	}
