--- a/poison/callers.go
+++ b/poison/callers.go
@@ -6,88 +6,91 @@
 	"slices"
 )
 
-// countsAgainst reports whether the end counts for a caller.
-func (end *Crash) countsAgainst(mark CallerFingerprint) bool {
-	answered, known := end.Callers[mark]
+// countsAgainst reports whether the crash counts against a caller: its copy was running, and it has had no successful
+// answer since.
+func (crash *Crash) countsAgainst(caller CallerFingerprint) bool {
+	answered, known := crash.Callers[caller]
 	return known && !answered
 }
 
-// merge takes what another host says of the same end, and reports whether that is news.
-func (end *Crash) merge(told Crash) bool {
-	news := told.Answered && !end.Answered
-	end.Answered = end.Answered || told.Answered
-	news = news || told.SeenAt < end.SeenAt || told.SentAt > end.SentAt
-	end.SeenAt = min(end.SeenAt, told.SeenAt)
-	end.SentAt = max(end.SentAt, told.SentAt)
-	for mark, answered := range told.Callers {
-		news = end.recordCaller(mark, answered) || news
+// merge merges what another host reports of the same crash, and reports whether that changed anything.
+func (crash *Crash) merge(received Crash) bool {
+	changed := received.Answered && !crash.Answered
+	crash.Answered = crash.Answered || received.Answered
+	changed = changed || received.SeenAt < crash.SeenAt || received.SentAt > crash.SentAt
+	crash.SeenAt = min(crash.SeenAt, received.SeenAt)
+	crash.SentAt = max(crash.SentAt, received.SentAt)
+	for caller, answered := range received.Callers {
+		changed = crash.recordCaller(caller, answered) || changed
 	}
-	return news
+	return changed
 }
 
-// recordCaller takes a caller's mark, and reports whether that is news. Of too many the smallest digests are kept, so that all
-// hosts keep the same ones in whatever order they hear of them.
-func (end *Crash) recordCaller(mark CallerFingerprint, answered bool) bool {
-	before, known := end.Callers[mark]
+// recordCaller records a caller whose copy was running, and reports whether that changed anything. Above maxCallers
+// the smallest fingerprints are kept, so that all hosts keep the same ones in whatever order they receive them.
+func (crash *Crash) recordCaller(caller CallerFingerprint, answered bool) bool {
+	before, known := crash.Callers[caller]
 	if known && (before || !answered) {
 		return false
 	}
-	if !known && len(end.Callers) >= maxCallers {
-		last := slices.Max(slices.Collect(maps.Keys(end.Callers)))
-		if mark > last {
+	if !known && len(crash.Callers) >= maxCallers {
+		largest := slices.Max(slices.Collect(maps.Keys(crash.Callers)))
+		if caller > largest {
 			return false
 		}
-		delete(end.Callers, last)
+		delete(crash.Callers, largest)
 	}
-	if end.Callers == nil {
-		end.Callers = map[CallerFingerprint]bool{}
+	if crash.Callers == nil {
+		crash.Callers = map[CallerFingerprint]bool{}
 	}
-	end.Callers[mark] = answered
+	crash.Callers[caller] = answered
 	return true
 }
 
-// unansweredByCaller returns the ends that count for each caller that is known.
+// unansweredByCaller returns, for each recorded caller, the crashes that count against it.
 func (record *Record) unansweredByCaller() map[CallerFingerprint][]Crash {
-	standing := map[CallerFingerprint][]Crash{}
-	for _, end := range record.Crashes {
-		for mark := range end.Callers {
-			if end.countsAgainst(mark) {
-				standing[mark] = append(standing[mark], end)
+	unanswered := map[CallerFingerprint][]Crash{}
+	for _, crash := range record.Crashes {
+		for caller := range crash.Callers {
+			if crash.countsAgainst(caller) {
+				unanswered[caller] = append(unanswered[caller], crash)
 			}
 		}
 	}
-	return standing
+	return unanswered
 }
 
-// maxUnanswered is at how many ends the request stands, for all callers or for the one that stands at the most.
+// maxUnanswered returns the number of crashes that count against all callers, or against the caller with the most of
+// them if that is more.
 func (record *Record) maxUnanswered() int {
 	most := len(record.UnansweredCrashes())
-	for _, ends := range record.unansweredByCaller() {
-		most = max(most, len(ends))
+	for _, crashes := range record.unansweredByCaller() {
+		most = max(most, len(crashes))
 	}
 	return most
 }
 
-// countIndependent counts the ends that came of one send after another. Copies that were at work together may have ended together
-// by something else: when all upstreams lose power, each page that many ask for stands at three ends, and nobody has had
-// an answer since. An end whose host has not said when the request was sent counts.
-func countIndependent(ends []Crash) int {
-	inOrder := slices.SortedFunc(slices.Values(ends), func(one, other Crash) int { return cmp.Compare(one.SeenAt, other.SeenAt) })
+// countIndependent counts the crashes whose request was sent after the crash counted before it. Copies that were
+// running at the same time may have ended together by another cause: after a power failure of all upstreams, each page
+// that many callers request has three crashes, and no upstream has answered it since. A crash without a send time
+// counts.
+func countIndependent(crashes []Crash) int {
+	inOrder := slices.SortedFunc(slices.Values(crashes), func(one, other Crash) int { return cmp.Compare(one.SeenAt, other.SeenAt) })
 	count := 0
 	last := int64(0)
-	for _, end := range inOrder {
-		if end.SentAt == 0 || end.SentAt >= last {
+	for _, crash := range inOrder {
+		if crash.SentAt == 0 || crash.SentAt >= last {
 			count++
-			last = end.SeenAt
+			last = crash.SeenAt
 		}
 	}
 	return count
 }
 
-// haveCommonCaller reports whether one caller's request was at work at each of some ends.
-func haveCommonCaller(ends []Crash) bool {
-	for mark := range ends[0].Callers {
-		if !slices.ContainsFunc(ends, func(end Crash) bool { return !end.countsAgainst(mark) }) {
+// haveCommonCaller reports whether there is a caller against which each of the crashes counts.
+func haveCommonCaller(crashes []Crash) bool {
+	for caller := range crashes[0].Callers {
+		if !slices.ContainsFunc(crashes, func(crash Crash) bool { return !crash.countsAgainst(caller) }) {
 			return true
 		}
 	}
--- a/poison/doc.go
+++ b/poison/doc.go
@@ -1,4 +1,6 @@
-// Package poison finds requests that end the upstreams that run them, so that hosts can refuse them: what a host's
-// connections show of upstreams' ends (Witness), and what all hosts know of the requests that were at work there
-// (Table). It decides and keeps; it does no I/O and reads no clock.
+// Package poison identifies requests that crash the upstreams that run them, so that hosts can deny them.
+//
+// CrashDetector holds one host's attempts that got no answer until it is known whether their upstreams crashed. Table
+// merges what all hosts observed: which requests were running when upstreams crashed, and which of them are denied. The
+// package does no I/O and reads no clock; callers pass in the time.
 package poison
--- a/poison/identity.go
+++ b/poison/identity.go
@@ -13,46 +13,48 @@
 )
 
 const (
-	// targetBytes name what is asked for, in a digest that is cheap enough to be made for each request, and
-	// digestBytes the whole request, in one that nobody can make to collide with another's.
+	// targetBytes is the size of the target's digest, a hash that is cheap enough to compute for every request.
+	// digestBytes is the size of the whole request's digest, a cryptographic hash, so that no caller can construct a
+	// request that collides with another one.
 	targetBytes      = 8
 	digestBytes      = 16
 	fingerprintBytes = targetBytes + digestBytes
-	// callerFingerprintBytes tell the callers of one request apart.
+	// callerFingerprintBytes is the number of digest bytes in a CallerFingerprint. They only have to distinguish the
+	// callers of one request.
 	callerFingerprintBytes = 8
 )
 
-// ErrMalformedFingerprint means that a text is no identity.
-var ErrMalformedFingerprint = errors.New("not the identity of a request")
+// ErrMalformedFingerprint means that a text is not the hexadecimal form of a Fingerprint.
+var ErrMalformedFingerprint = errors.New("malformed request fingerprint")
 
-// Fingerprint tells requests apart that are sent again with another request ID, by the same caller or by others. It is a
-// digest, so that neither memory nor logs hold what was sent.
+// Fingerprint is equal for all repeats of a request, also under another request ID and from other callers. It is a
+// digest, so that neither memory nor logs hold the request's content.
 type Fingerprint [fingerprintBytes]byte
 
-// Target is the part of an identity that says what is asked for, whoever asks and whatever the body is.
+// Target is the part of a fingerprint that depends only on the request's method, domain and path.
 type Target [targetBytes]byte
 
-// RequestParts are what makes two requests the same one.
+// RequestParts holds the parts of a request from which its fingerprint and its caller's fingerprints are computed.
 type RequestParts struct {
 	Method string
-	// Domain and Path are the host that was asked for, and the path with its query, as they came.
+	// Domain is the requested host name, and Path the path with its query, both exactly as received.
 	Domain string
 	Path   string
-	// Key is the key that the request is for; empty if it has none.
+	// Key is the request's key; empty if it has none.
 	Key string
-	// CallerAddress is the caller's address, with or without a port.
+	// CallerAddress is the caller's IP address, with or without a port.
 	CallerAddress string
-	// Credentials are what the caller shows of who it is; empty if nothing.
+	// Credentials are the credentials that the caller sent; empty if none.
 	Credentials string
-	// Body is whole; how it came in parts says nothing.
+	// Body is the whole body; how it was split in transit makes no difference.
 	Body []byte
 }
 
-// Target returns the first part of the request's identity.
-func (parts *RequestParts) Target() Target {
+// Target returns the digest of the request's method, domain and path.
+func (requestParts *RequestParts) Target() Target {
 	var digest xxhash.Digest
 	digest.Reset()
-	for _, part := range [...]string{parts.Method, parts.Domain, parts.Path} {
+	for _, part := range [...]string{requestParts.Method, requestParts.Domain, requestParts.Path} {
 		_, _ = digest.WriteString(part)
 	}
 	var target Target
@@ -60,21 +62,22 @@
 	return target
 }
 
-// FingerprintOf returns the identity of a request. A caller's address is no part of it: one request may come from many.
-func FingerprintOf(parts RequestParts) Fingerprint {
+// FingerprintOf returns the fingerprint of a request. It does not depend on the caller, since the same request may come
+// from many addresses.
+func FingerprintOf(requestParts RequestParts) Fingerprint {
 	digest := sha256.New()
-	for _, part := range []string{parts.Method, parts.Domain, parts.Path, parts.Key} {
+	for _, part := range []string{requestParts.Method, requestParts.Domain, requestParts.Path, requestParts.Key} {
 		writeField(digest, part)
 	}
-	_, _ = digest.Write(parts.Body)
-	target := parts.Target()
-	var identity Fingerprint
-	copy(identity[:], target[:])
-	copy(identity[targetBytes:], digest.Sum(nil))
-	return identity
+	_, _ = digest.Write(requestParts.Body)
+	target := requestParts.Target()
+	var fingerprint Fingerprint
+	copy(fingerprint[:], target[:])
+	copy(fingerprint[targetBytes:], digest.Sum(nil))
+	return fingerprint
 }
 
-// CallerFingerprint is a digest of one thing that tells a caller from others: its address, or its credentials.
+// CallerFingerprint is a digest of a caller's address or of its credentials. A suffix says of which.
 type CallerFingerprint string
 
 const (
@@ -82,26 +85,26 @@
 	credentialsSuffix = "c"
 )
 
-// isFromCredentials reports whether the mark is of what a caller shows of itself, which its neighbours do not share.
-func (mark CallerFingerprint) isFromCredentials() bool {
-	return strings.HasSuffix(string(mark), credentialsSuffix)
+// isFromCredentials reports whether the fingerprint is of credentials. Unlike an address, callers do not share these.
+func (callerFingerprint CallerFingerprint) isFromCredentials() bool {
+	return strings.HasSuffix(string(callerFingerprint), credentialsSuffix)
 }
 
-// CallerFingerprints returns what tells the request's caller from others that send the same.
-func (parts *RequestParts) CallerFingerprints() []CallerFingerprint {
-	marks := []CallerFingerprint{newCallerFingerprint(withoutPort(parts.CallerAddress), addressSuffix)}
-	if parts.Credentials != "" {
-		marks = append(marks, newCallerFingerprint(parts.Credentials, credentialsSuffix))
+// CallerFingerprints returns the fingerprint of the caller's address, and that of its credentials if it sent any.
+func (requestParts *RequestParts) CallerFingerprints() []CallerFingerprint {
+	callers := []CallerFingerprint{newCallerFingerprint(withoutPort(requestParts.CallerAddress), addressSuffix)}
+	if requestParts.Credentials != "" {
+		callers = append(callers, newCallerFingerprint(requestParts.Credentials, credentialsSuffix))
 	}
-	return marks
+	return callers
 }
 
-func newCallerFingerprint(text, kind string) CallerFingerprint {
+func newCallerFingerprint(text, suffix string) CallerFingerprint {
 	sum := sha256.Sum256([]byte(text))
-	return CallerFingerprint(hex.EncodeToString(sum[:callerFingerprintBytes]) + kind)
+	return CallerFingerprint(hex.EncodeToString(sum[:callerFingerprintBytes]) + suffix)
 }
 
-// writeField adds a part with its length before it, so that none can pass for the end of another.
+// writeField writes a part prefixed with its length, so that parts that are split elsewhere give another digest.
 func writeField(digest hash.Hash, part string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
@@ -109,32 +112,32 @@
 	_, _ = digest.Write([]byte(part))
 }
 
-// withoutPort drops the port, which is another one for each connection of a caller.
+// withoutPort removes the port from an address, since each connection of a caller has another one.
 func withoutPort(address string) string {
-	whole, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return address
 	}
-	return whole.Addr().Unmap().String()
+	return addrPort.Addr().Unmap().String()
 }
 
-// Target returns what the request asks for.
-func (identity Fingerprint) Target() Target {
-	return Target(identity[:targetBytes])
+// Target returns the target that is part of the fingerprint.
+func (fingerprint Fingerprint) Target() Target {
+	return Target(fingerprint[:targetBytes])
 }
 
-// String returns the form for logs and records.
-func (identity Fingerprint) String() string {
-	return hex.EncodeToString(identity[:])
+// String returns the hexadecimal form for logs and stored records.
+func (fingerprint Fingerprint) String() string {
+	return hex.EncodeToString(fingerprint[:])
 }
 
-// ParseFingerprint reads the form that String returns; ErrIdentity says that it is none.
+// ParseFingerprint parses the form that String returns, or returns an error that wraps ErrMalformedFingerprint.
 func ParseFingerprint(text string) (Fingerprint, error) {
-	var identity Fingerprint
+	var fingerprint Fingerprint
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != fingerprintBytes {
-		return identity, errors.Wrap(ErrMalformedFingerprint, text)
+		return fingerprint, errors.Wrap(ErrMalformedFingerprint, text)
 	}
-	copy(identity[:], data)
-	return identity, nil
+	copy(fingerprint[:], data)
+	return fingerprint, nil
 }
--- a/poison/judge.go
+++ b/poison/judge.go
@@ -2,109 +2,115 @@
 
 import "slices"
 
-// denial says for whom a request is refused: for all, or for callers with certain marks.
+// denial holds the callers to which a request is denied: all, or those with certain fingerprints.
 type denial struct {
 	allCallers bool
 	callers    map[CallerFingerprint]bool
 }
 
-// DenialScope is for how many a request is refused.
+// DenialScope is the extent to which a request is denied.
 type DenialScope struct {
-	// AllCallers says that it is refused whoever sends it.
+	// AllCallers means that the request is denied to every caller.
 	AllCallers bool
-	// CallerCount counts the marks of callers that it is refused to.
+	// CallerCount is the number of caller fingerprints to which the request is denied individually.
 	CallerCount int
 }
 
-// IsEmpty reports whether the request is refused to nobody.
-func (extent DenialScope) IsEmpty() bool {
-	return extent == DenialScope{}
+// IsEmpty reports whether the request is denied to no caller.
+func (denialScope DenialScope) IsEmpty() bool {
+	return denialScope == DenialScope{}
 }
 
-// IsWiderThan reports whether the request is refused to any that it was not refused to before.
-func (extent DenialScope) IsWiderThan(before DenialScope) bool {
-	return extent.AllCallers && !before.AllCallers || extent.CallerCount > before.CallerCount
+// IsWiderThan reports whether the request is now denied to all callers and was not before, or to more caller
+// fingerprints than before.
+func (denialScope DenialScope) IsWiderThan(before DenialScope) bool {
+	return denialScope.AllCallers && !before.AllCallers || denialScope.CallerCount > before.CallerCount
 }
 
 func (denial denial) scope() DenialScope {
 	return DenialScope{AllCallers: denial.allCallers, CallerCount: len(denial.callers)}
 }
 
-func (denial denial) appliesTo(marks []CallerFingerprint) bool {
-	return denial.allCallers || slices.ContainsFunc(marks, func(mark CallerFingerprint) bool { return denial.callers[mark] })
+func (denial denial) appliesTo(callers []CallerFingerprint) bool {
+	return denial.allCallers || slices.ContainsFunc(callers, func(caller CallerFingerprint) bool { return denial.callers[caller] })
 }
 
-// updateDenials finds the requests to refuse. All that ran on an upstream ends with it, and on a busy service some request may
-// stand beside another at several ends. Of those at an end, only the ones that stand at the most ends are held to
-// have caused it. What is refused stays so while it stands at as many ends: it cannot end more, and others can.
+// updateDenials decides anew which requests are denied. A crash ends all requests that the upstream was running, and on
+// a busy service an innocent request may be running at several crashes by chance. So a crash is attributed only to those
+// of its requests that have the most crashes. A denied request is not compared with others again: it can get no more
+// crashes, but others can get more than it has.
 func (table *Table) updateDenials() {
-	beside := table.suspectsByIncarnation()
+	suspects := table.suspectsByIncarnation()
 	before := table.denials
 	table.denials = map[Fingerprint]denial{}
-	for identity, record := range table.records {
-		found := record.decideDenial(before[identity], func(end Crash) int { return maxRivalCrashes(beside[end.Incarnation], end, identity) })
-		if !found.scope().IsEmpty() {
-			table.denials[identity] = found
+	for fingerprint, record := range table.records {
+		decided := record.decideDenial(before[fingerprint], func(crash Crash) int {
+			return maxRivalCrashes(suspects[crash.Incarnation], crash, fingerprint)
+		})
+		if !decided.scope().IsEmpty() {
+			table.denials[fingerprint] = decided
 		}
 	}
 }
 
-// decideDenial says for whom the record's request is to be refused; rivals returns at how many ends another request stands
-// that was at work at one. If one caller's request was at work at all of the ends, it is refused to that caller alone:
-// others may be served with what they ask for alike.
-func (record *Record) decideDenial(before denial, rivals func(end Crash) int) denial {
-	found := denial{callers: map[CallerFingerprint]bool{}}
-	standing := record.UnansweredCrashes()
-	if reachesThreshold(standing, before.allCallers, rivals) {
-		found.allCallers = !haveCommonCaller(standing) && countIndependent(standing) >= independentCrashesToDeny
+// decideDenial returns to whom the record's request is denied. For each crash, rivalCrashes returns the largest number
+// of crashes of any other request that was running there. If one caller's copy was running at all of the crashes, the
+// request is denied to that caller alone, since the same request may be harmless from other callers.
+func (record *Record) decideDenial(before denial, rivalCrashes func(crash Crash) int) denial {
+	decided := denial{callers: map[CallerFingerprint]bool{}}
+	unanswered := record.UnansweredCrashes()
+	if reachesThreshold(unanswered, before.allCallers, rivalCrashes) {
+		decided.allCallers = !haveCommonCaller(unanswered) && countIndependent(unanswered) >= independentCrashesToDeny
 	}
-	for mark, ends := range record.unansweredByCaller() {
-		// Behind one address may be many callers, whose copies end together as those of all do.
-		if reachesThreshold(ends, before.callers[mark], rivals) && (mark.isFromCredentials() || countIndependent(ends) >= independentCrashesToDeny) {
-			found.callers[mark] = true
+	for caller, crashes := range record.unansweredByCaller() {
+		// Many callers may share one address, and one failure can end their copies together. So the crashes of an
+		// address must be independent of each other, as those of all callers must be.
+		if reachesThreshold(crashes, before.callers[caller], rivalCrashes) && (caller.isFromCredentials() || countIndependent(crashes) >= independentCrashesToDeny) {
+			decided.callers[caller] = true
 		}
 	}
-	return found
+	return decided
 }
 
-// reachesThreshold reports whether enough of some ends are held against what stands at all of them, or were before.
-func reachesThreshold(ends []Crash, before bool, rivals func(end Crash) int) bool {
-	if len(ends) < CrashesToDeny {
+// reachesThreshold reports whether at least CrashesToDeny of the crashes are attributed to the request, since no other
+// request that was running has more of them. For a request that was denied before, their number alone decides.
+func reachesThreshold(crashes []Crash, deniedBefore bool, rivalCrashes func(crash Crash) int) bool {
+	if len(crashes) < CrashesToDeny {
 		return false
 	}
-	caused := 0
-	for _, end := range ends {
-		if len(ends) >= rivals(end) {
-			caused++
+	attributed := 0
+	for _, crash := range crashes {
+		if len(crashes) >= rivalCrashes(crash) {
+			attributed++
 		}
 	}
-	return before || caused >= CrashesToDeny
+	return deniedBefore || attributed >= CrashesToDeny
 }
 
-// suspect is an end at which a request stood that stands at so many ends in all.
+// suspect is a request that was running at a crash, with the number of crashes that count against it in all.
 type suspect struct {
 	fingerprint Fingerprint
 	crash       Crash
 	crashCount  int
 }
 
-// suspectsByIncarnation returns which requests stood at the ends of each life.
+// suspectsByIncarnation returns the requests that were running when each incarnation crashed.
 func (table *Table) suspectsByIncarnation() map[Incarnation][]suspect {
-	beside := map[Incarnation][]suspect{}
-	for identity, record := range table.records {
-		strength := record.maxUnanswered()
-		for _, end := range record.Crashes {
-			beside[end.Incarnation] = append(beside[end.Incarnation], suspect{fingerprint: identity, crash: end, crashCount: strength})
+	suspects := map[Incarnation][]suspect{}
+	for fingerprint, record := range table.records {
+		crashCount := record.maxUnanswered()
+		for _, crash := range record.Crashes {
+			suspects[crash.Incarnation] = append(suspects[crash.Incarnation], suspect{fingerprint: fingerprint, crash: crash, crashCount: crashCount})
 		}
 	}
-	return beside
+	return suspects
 }
 
-// maxRivalCrashes returns at how many ends another request stands that stood at this one.
-func maxRivalCrashes(all []suspect, end Crash, but Fingerprint) int {
+// maxRivalCrashes returns the largest crash count among the other requests that were running at a crash.
+func maxRivalCrashes(suspects []suspect, crash Crash, except Fingerprint) int {
 	most := 0
-	for _, other := range all {
-		if other.fingerprint != but && other.crash.isSame(end) {
+	for _, other := range suspects {
+		if other.fingerprint != except && other.crash.isSame(crash) {
 			most = max(most, other.crashCount)
 		}
 	}
--- a/poison/record.go
+++ b/poison/record.go
@@ -10,103 +10,108 @@
 )
 
 const (
-	// sameCrashWithin is within what two hosts see one end of an upstream, each by its own time of day. Upstreams take some
-	// seconds to come back, and one that does not say when it was born may end again under its name.
+	// sameCrashWithin is the difference in time below which two crashes of an upstream that reports no start time are
+	// taken for the same one, seen by two hosts with different clocks. Upstreams need some seconds to restart, so a
+	// second crash under the same ID comes later than that.
 	sameCrashWithin = 2 * time.Second
-	// maxCrashes bounds the ends that are kept of one request; hosts refuse it long before.
+	// maxCrashes limits the crashes kept of one request. Hosts deny the request long before it has that many.
 	maxCrashes = 16
-	// maxCallers bounds the callers' marks that are kept of one end; an upstream has few copies of one request at once.
+	// maxCallers limits the caller fingerprints kept of one crash. An upstream runs few copies of one request at once.
 	maxCallers = 16
 )
 
-// ErrMalformedRecord means that a record cannot be read.
-var ErrMalformedRecord = errors.New("no record of a request")
+// ErrMalformedRecord means that a stored or received record cannot be decoded, or exceeds the limits.
+var ErrMalformedRecord = errors.New("malformed record of a suspected request")
 
-// Crash is an end of an upstream at which a request was at work.
+// Crash is a crash of an upstream while a request was running there.
 type Crash struct {
 	Incarnation
-	// SeenAt is in Unix milliseconds on the clock of the host that saw it first.
+	// SeenAt is when the crash was seen, in Unix milliseconds by the clock of the host that saw it first.
 	SeenAt int64 `json:"At"`
-	// SentAt is when the last copy of the request was sent that was at work there, in Unix milliseconds; 0 if not told.
+	// SentAt is when the last copy of the request that was running there was sent, in Unix milliseconds; 0 if unknown.
 	SentAt int64 `json:"Begun,omitempty"`
-	// Answered says that an upstream has answered the request since, whoever sent it. The end counts for no caller
-	// then but those whose own request was at work.
+	// Answered means that an upstream has answered the request successfully since, for any caller. The crash then counts
+	// only against callers whose own copy was running and that have had no successful answer since.
 	Answered bool `json:"Withdrawn,omitempty"`
-	// Callers are the marks of those whose request was at work; true says that an upstream has answered them since.
+	// Callers has the fingerprints of the callers whose copy was running; true means that an upstream has answered that
+	// caller's request successfully since.
 	Callers map[CallerFingerprint]bool `json:",omitempty"`
 }
 
-// isSame reports whether two hosts mean the same end. A life that is told apart by its birth has one; of an upstream that
-// does not say when it was born, ends that lie near each other are taken for one.
-func (end Crash) isSame(other Crash) bool {
-	apart := time.Duration(max(end.SeenAt-other.SeenAt, other.SeenAt-end.SeenAt)) * time.Millisecond
-	return end.Incarnation == other.Incarnation && (end.StartedAt != 0 || apart < sameCrashWithin)
+// isSame reports whether two hosts saw the same crash. An incarnation with a start time crashes only once. Crashes of
+// an upstream without a start time are the same if they are close in time.
+func (crash Crash) isSame(other Crash) bool {
+	apart := time.Duration(max(crash.SeenAt-other.SeenAt, other.SeenAt-crash.SeenAt)) * time.Millisecond
+	return crash.Incarnation == other.Incarnation && (crash.StartedAt != 0 || apart < sameCrashWithin)
 }
 
-// Record is what is known of one request. Records are merged end by end, so that it does not matter in what order,
-// how often, or by which way they come.
+// Record holds the crashes that were seen while one request was running. Records are merged crash by crash, so that
+// their order, their number and the way by which they are received make no difference.
 type Record struct {
 	Fingerprint Fingerprint `json:"-"`
 	Service     string
 	Crashes     []Crash `json:"Ends"`
 }
 
-// DecodeRecord reads a record; ErrRecord says that it is none.
+// DecodeRecord decodes a record from its key, which is the fingerprint, and its JSON value. The error wraps
+// ErrMalformedFingerprint or ErrMalformedRecord.
 func DecodeRecord(key string, value []byte) (Record, error) {
-	identity, err := ParseFingerprint(key)
+	fingerprint, err := ParseFingerprint(key)
 	if err != nil {
 		return Record{}, err
 	}
-	record := Record{Fingerprint: identity}
+	record := Record{Fingerprint: fingerprint}
 	err = json.Unmarshal(value, &record)
 	if err != nil {
 		return Record{}, errors.Wrap(ErrMalformedRecord, err.Error())
 	}
 	if len(record.Crashes) == 0 || len(record.Crashes) > maxCrashes {
-		return Record{}, errors.Wrapf(ErrMalformedRecord, "%d ends", len(record.Crashes))
+		return Record{}, errors.Wrapf(ErrMalformedRecord, "%d crashes", len(record.Crashes))
 	}
-	for _, end := range record.Crashes {
-		if len(end.Callers) > maxCallers {
-			return Record{}, errors.Wrapf(ErrMalformedRecord, "%d callers at an end", len(end.Callers))
+	for _, crash := range record.Crashes {
+		if len(crash.Callers) > maxCallers {
+			return Record{}, errors.Wrapf(ErrMalformedRecord, "%d callers in one crash", len(crash.Callers))
 		}
 	}
 	return record, nil
 }
 
-// Encode returns the record's value; its key is the identity.
+// Encode returns the record's JSON value. It does not contain the fingerprint, which is the record's key.
 func (record *Record) Encode() ([]byte, error) {
 	data, err := json.Marshal(record)
 	return data, errors.WithStack(err)
 }
 
-// UnansweredCrashes returns the ends that count whoever sends the request.
+// UnansweredCrashes returns the crashes after which no upstream has answered the request successfully. They count
+// against all callers.
 func (record *Record) UnansweredCrashes() []Crash {
-	var standing []Crash
-	for _, end := range record.Crashes {
-		if !end.Answered {
-			standing = append(standing, end)
+	var unanswered []Crash
+	for _, crash := range record.Crashes {
+		if !crash.Answered {
+			unanswered = append(unanswered, crash)
 		}
 	}
-	return standing
+	return unanswered
 }
 
-// lastSeenAt is when the record's last end was seen.
+// lastSeenAt returns when the latest crash was seen, in Unix milliseconds.
 func (record *Record) lastSeenAt() int64 {
-	newest := int64(0)
-	for _, end := range record.Crashes {
-		newest = max(newest, end.SeenAt)
+	latest := int64(0)
+	for _, crash := range record.Crashes {
+		latest = max(latest, crash.SeenAt)
 	}
-	return newest
+	return latest
 }
 
-// addCrash takes an end and reports whether it says anything new. What is withdrawn stays so, whatever comes late.
-func (record *Record) addCrash(end Crash) bool {
-	known := slices.IndexFunc(record.Crashes, end.isSame)
+// addCrash adds a crash or merges it into the same one, and reports whether that changed the record. A crash that is
+// marked as answered stays so, whatever is received later.
+func (record *Record) addCrash(crash Crash) bool {
+	known := slices.IndexFunc(record.Crashes, crash.isSame)
 	if known >= 0 {
-		return record.Crashes[known].merge(end)
+		return record.Crashes[known].merge(crash)
 	}
-	end.Callers = maps.Clone(end.Callers)
-	record.Crashes = append(record.Crashes, end)
+	crash.Callers = maps.Clone(crash.Callers)
+	record.Crashes = append(record.Crashes, crash)
 	if len(record.Crashes) > maxCrashes {
 		record.dropOldestCrash()
 	}
@@ -115,43 +120,44 @@
 
 func (record *Record) dropOldestCrash() {
 	oldest := 0
-	for i, end := range record.Crashes {
-		if end.SeenAt < record.Crashes[oldest].SeenAt {
+	for i, crash := range record.Crashes {
+		if crash.SeenAt < record.Crashes[oldest].SeenAt {
 			oldest = i
 		}
 	}
 	record.Crashes = slices.Delete(record.Crashes, oldest, oldest+1)
 }
 
-// NeedsMerge reports whether another record of the request says anything that this one does not.
+// NeedsMerge reports whether merging another record of the request would change this one.
 func (record *Record) NeedsMerge(other Record) bool {
 	copied := record.clone()
-	for _, end := range other.Crashes {
-		if copied.addCrash(end) {
+	for _, crash := range other.Crashes {
+		if copied.addCrash(crash) {
 			return true
 		}
 	}
 	return false
 }
 
-// markAnswered takes it that a caller has had a good answer, and reports whether that is news of any end.
-func (record *Record) markAnswered(marks []CallerFingerprint) bool {
-	news := false
+// markAnswered marks every crash as answered, for all callers and for those given, and reports whether that changed
+// the record.
+func (record *Record) markAnswered(callers []CallerFingerprint) bool {
+	changed := false
 	for i := range record.Crashes {
-		end := &record.Crashes[i]
-		news = news || !end.Answered
-		end.Answered = true
-		for _, mark := range marks {
-			if end.countsAgainst(mark) {
-				end.Callers[mark] = true
-				news = true
+		crash := &record.Crashes[i]
+		changed = changed || !crash.Answered
+		crash.Answered = true
+		for _, caller := range callers {
+			if crash.countsAgainst(caller) {
+				crash.Callers[caller] = true
+				changed = true
 			}
 		}
 	}
-	return news
+	return changed
 }
 
-// clone returns a copy that later changes do not touch.
+// clone returns a deep copy.
 func (record *Record) clone() Record {
 	copied := *record
 	copied.Crashes = slices.Clone(record.Crashes)
@@ -161,21 +167,22 @@
 	return copied
 }
 
-// MergeRecord merges what is told into a map of records by identity, and returns a new map; those that are too old at the
-// time of telling are left out, and beyond a bound those that say least. Equal maps and equal words make equal maps.
-func MergeRecord(records map[string]Record, told Record, now int64) map[string]Record {
+// MergeRecord merges a received record into a map of records by fingerprint and returns a new map. Records that have
+// expired at the given time, in Unix milliseconds, are left out; above the table's limits, so are those with the fewest
+// crashes. The result depends only on the arguments, so that hosts that fold the same log have equal maps.
+func MergeRecord(records map[string]Record, received Record, now int64) map[string]Record {
 	table := NewTable()
 	for key, record := range records {
-		identity, err := ParseFingerprint(key)
+		fingerprint, err := ParseFingerprint(key)
 		if err == nil {
-			record.Fingerprint = identity
+			record.Fingerprint = fingerprint
 			_, _ = table.Merge(record, now)
 		}
 	}
-	_, _ = table.Merge(told, now)
-	folded := make(map[string]Record, len(table.records))
-	for identity, record := range table.records {
-		folded[identity.String()] = *record
+	_, _ = table.Merge(received, now)
+	merged := make(map[string]Record, len(table.records))
+	for fingerprint, record := range table.records {
+		merged[fingerprint.String()] = *record
 	}
-	return folded
+	return merged
 }
--- a/poison/table.go
+++ b/poison/table.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// CrashesToDeny is how many ends of upstreams a request stands at before it is refused. Fewer would refuse what merely
-	// was at work beside others; each one more costs an upstream with all that runs there.
+	// CrashesToDeny is the number of crashes at which a request is denied. Fewer would deny requests that were merely
+	// running beside others; each one more costs an upstream with all that it runs.
 	CrashesToDeny = 3
-	// independentCrashesToDeny is how many of these have to come of one send after another before a request is refused to all, or to all behind an address.
+	// independentCrashesToDeny is how many of these must be independent of each other, that is, from sends one after
+	// another, before a request is denied to all callers or to all callers of one address.
 	independentCrashesToDeny = 2
-	// retention is for how long after its last end a request is known. Refused for that long, it may end three more
-	// upstreams an hour; a caller that is refused wrongly is denied no longer.
+	// retention is how long a request is remembered after its last crash. Denied for that long, a request can crash at
+	// most three more upstreams an hour, and a caller that is denied wrongly is denied no longer than that.
 	retention = time.Hour
-	// maxSuspected and maxRefused bound what is kept, apart from each other: however many requests stand at one end or
-	// two, they push out none that is refused. A record takes some 600 bytes
-	// at one end, and 24 KB with all the ends and marks there is room for.
+	// maxSuspected and maxDenied limit the records kept, separately, so that no number of requests with one or two
+	// crashes displaces a denied one. A record takes about 600 bytes with one crash, and 24 KB with the largest number
+	// of crashes and callers.
 	maxSuspected = 512
 	maxDenied    = 1024
 )
 
-// Table keeps which requests were at work when upstreams ended, as all hosts together have seen it.
+// Table holds the requests that were running when upstreams crashed, as seen by all hosts together. It is not safe for
+// concurrent use.
 type Table struct {
 	records map[Fingerprint]*Record
 	denials map[Fingerprint]denial
-	// targetCounts counts the records by what their requests ask for.
+	// targetCounts has the number of records for each target.
 	targetCounts map[Target]int
-	// observedLocally are the requests of which this host has seen something itself.
+	// observedLocally has the requests of which this host itself has seen a crash or an answer.
 	observedLocally map[Fingerprint]bool
 }
 
@@ -38,43 +40,45 @@
 	return &Table{records: map[Fingerprint]*Record{}, denials: map[Fingerprint]denial{}, targetCounts: map[Target]int{}, observedLocally: map[Fingerprint]bool{}}
 }
 
-// RecordCrash takes an end that this host has seen, and returns the request's record if it is news.
-func (table *Table) RecordCrash(found UnansweredAttempt, at int64) (Record, bool) {
-	end := Crash{Incarnation: found.Incarnation, SeenAt: at, SentAt: at - found.EndedAt.Sub(found.SentAt).Milliseconds()}
-	for _, mark := range found.CallerFingerprints {
-		end.recordCaller(mark, false)
+// RecordCrash records a crash that this host has seen at a time, in Unix milliseconds. It returns the request's record
+// if that changed it.
+func (table *Table) RecordCrash(attempt UnansweredAttempt, seenAt int64) (Record, bool) {
+	crash := Crash{Incarnation: attempt.Incarnation, SeenAt: seenAt, SentAt: seenAt - attempt.EndedAt.Sub(attempt.SentAt).Milliseconds()}
+	for _, caller := range attempt.CallerFingerprints {
+		crash.recordCaller(caller, false)
 	}
-	record, news := table.Merge(Record{Fingerprint: found.Fingerprint, Service: found.Service, Crashes: []Crash{end}}, at)
-	_, kept := table.records[found.Fingerprint]
-	if news && kept {
-		table.observedLocally[found.Fingerprint] = true
+	record, changed := table.Merge(Record{Fingerprint: attempt.Fingerprint, Service: attempt.Service, Crashes: []Crash{crash}}, seenAt)
+	_, kept := table.records[attempt.Fingerprint]
+	if changed && kept {
+		table.observedLocally[attempt.Fingerprint] = true
 	}
-	return record, news
+	return record, changed
 }
 
-// IsObservedLocally reports whether this host has seen something of a request itself, and has not only been told.
-func (table *Table) IsObservedLocally(identity Fingerprint) bool {
-	return table.observedLocally[identity]
+// IsObservedLocally reports whether this host itself has seen a crash or an answer of the request, and has not only
+// received records of it.
+func (table *Table) IsObservedLocally(fingerprint Fingerprint) bool {
+	return table.observedLocally[fingerprint]
 }
 
-// Merge takes what another host has seen, and returns all that is known of the request if it is news.
-func (table *Table) Merge(told Record, now int64) (Record, bool) {
-	record, known := table.records[told.Fingerprint]
+// Merge merges a received record; now is in Unix milliseconds. It returns the merged record if that changed it.
+func (table *Table) Merge(received Record, now int64) (Record, bool) {
+	record, known := table.records[received.Fingerprint]
 	if !known {
-		record = &Record{Fingerprint: told.Fingerprint, Service: told.Service}
+		record = &Record{Fingerprint: received.Fingerprint, Service: received.Service}
 	}
-	news := false
-	for _, end := range told.Crashes {
-		if !isExpired(end.SeenAt, now) {
-			news = record.addCrash(end) || news
+	changed := false
+	for _, crash := range received.Crashes {
+		if !isExpired(crash.SeenAt, now) {
+			changed = record.addCrash(crash) || changed
 		}
 	}
-	if !news {
+	if !changed {
 		return Record{}, false
 	}
 	if !known {
-		table.records[told.Fingerprint] = record
-		table.targetCounts[told.Fingerprint.Target()]++
+		table.records[received.Fingerprint] = record
+		table.targetCounts[received.Fingerprint.Target()]++
 	}
 	table.removeExpired(now)
 	table.updateDenials()
@@ -82,55 +86,55 @@
 	return record.clone(), true
 }
 
-// RecordAnswer takes it that an upstream has run a caller's request to its end: those that have ended others did not by
-// what all callers send alike, nor by this one's. It returns the request's record if it is news.
-func (table *Table) RecordAnswer(identity Fingerprint, marks ...CallerFingerprint) (Record, bool) {
-	record, known := table.records[identity]
-	if !known || !record.markAnswered(marks) {
+// RecordAnswer records that an upstream has answered a caller's request successfully. The crashes so far then count
+// neither against all callers nor against this one. It returns the request's record if that changed it.
+func (table *Table) RecordAnswer(fingerprint Fingerprint, callers ...CallerFingerprint) (Record, bool) {
+	record, known := table.records[fingerprint]
+	if !known || !record.markAnswered(callers) {
 		return Record{}, false
 	}
-	table.observedLocally[identity] = true
+	table.observedLocally[fingerprint] = true
 	table.updateDenials()
 	return record.clone(), true
 }
 
-// IsDenied reports whether a caller's request is not to be sent to any upstream.
-func (table *Table) IsDenied(identity Fingerprint, marks ...CallerFingerprint) bool {
-	return table.denials[identity].appliesTo(marks)
+// IsDenied reports whether the request must not be sent to any upstream for a caller with these fingerprints.
+func (table *Table) IsDenied(fingerprint Fingerprint, callers ...CallerFingerprint) bool {
+	return table.denials[fingerprint].appliesTo(callers)
 }
 
-// DenialScope returns for whom a request is refused.
-func (table *Table) DenialScope(identity Fingerprint) DenialScope {
-	return table.denials[identity].scope()
+// DenialScope returns to whom a request is denied.
+func (table *Table) DenialScope(fingerprint Fingerprint) DenialScope {
+	return table.denials[fingerprint].scope()
 }
 
-// HasTarget reports whether anything is known of a request that asks for a target: if not, its whole identity need not
-// be worked out.
+// HasTarget reports whether there is a record of any request for a target. If not, the whole fingerprint need not be
+// computed.
 func (table *Table) HasTarget(target Target) bool {
 	return table.targetCounts[target] > 0
 }
 
-// IsSuspected reports whether a caller's request stands at any end.
-func (table *Table) IsSuspected(identity Fingerprint, marks ...CallerFingerprint) bool {
-	record, known := table.records[identity]
+// IsSuspected reports whether any crash counts against a caller's request, be it against all callers or this one.
+func (table *Table) IsSuspected(fingerprint Fingerprint, callers ...CallerFingerprint) bool {
+	record, known := table.records[fingerprint]
 	if !known {
 		return false
 	}
-	return slices.ContainsFunc(record.Crashes, func(end Crash) bool {
-		return !end.Answered || slices.ContainsFunc(marks, end.countsAgainst)
+	return slices.ContainsFunc(record.Crashes, func(crash Crash) bool {
+		return !crash.Answered || slices.ContainsFunc(callers, crash.countsAgainst)
 	})
 }
 
-// Find returns what is known of a request.
-func (table *Table) Find(identity Fingerprint) (Record, bool) {
-	record, known := table.records[identity]
+// Find returns a copy of a request's record, and whether there is one.
+func (table *Table) Find(fingerprint Fingerprint) (Record, bool) {
+	record, known := table.records[fingerprint]
 	if !known {
 		return Record{}, false
 	}
 	return record.clone(), true
 }
 
-// Records returns all that is known.
+// Records returns copies of all records.
 func (table *Table) Records() []Record {
 	var records []Record
 	for _, record := range table.records {
@@ -139,45 +143,45 @@
 	return records
 }
 
-// Counts returns how many requests are refused, and how many are known in all.
-func (table *Table) Counts() (refused, known int) {
+// Counts returns the number of denied requests and the number of all records.
+func (table *Table) Counts() (denied, total int) {
 	return len(table.denials), len(table.records)
 }
 
-// ExpiresAt returns when a request is forgotten, in Unix milliseconds.
-func (table *Table) ExpiresAt(identity Fingerprint) int64 {
-	record, known := table.records[identity]
+// ExpiresAt returns when a request's record expires, in Unix milliseconds; 0 if there is none.
+func (table *Table) ExpiresAt(fingerprint Fingerprint) int64 {
+	record, known := table.records[fingerprint]
 	if !known {
 		return 0
 	}
 	return record.lastSeenAt() + retention.Milliseconds()
 }
 
-// RemoveExpired drops what is too old, and returns what it dropped.
+// RemoveExpired removes the records that have expired at a time in Unix milliseconds, and returns their fingerprints.
 func (table *Table) RemoveExpired(now int64) []Fingerprint {
-	dropped := table.removeExpired(now)
-	if len(dropped) > 0 {
+	removed := table.removeExpired(now)
+	if len(removed) > 0 {
 		table.updateDenials()
 	}
-	return dropped
+	return removed
 }
 
 func (table *Table) removeExpired(now int64) []Fingerprint {
-	var dropped []Fingerprint
-	for identity, record := range table.records {
+	var removed []Fingerprint
+	for fingerprint, record := range table.records {
 		if isExpired(record.lastSeenAt(), now) {
-			table.remove(identity)
-			dropped = append(dropped, identity)
+			table.remove(fingerprint)
+			removed = append(removed, fingerprint)
 		}
 	}
-	return dropped
+	return removed
 }
 
-func isExpired(at, now int64) bool {
-	return time.Duration(now-at)*time.Millisecond > retention
+func isExpired(seenAt, now int64) bool {
+	return time.Duration(now-seenAt)*time.Millisecond > retention
 }
 
-// enforceLimits drops the requests that say least while there are too many.
+// enforceLimits drops the weakest records while there are more than maxSuspected or maxDenied.
 func (table *Table) enforceLimits() {
 	for len(table.records)-len(table.denials) > maxSuspected {
 		table.dropWeakest(false)
@@ -187,30 +191,32 @@
 	}
 }
 
-// dropWeakest drops one request, refused or not: that with the fewest ends, and the oldest of these.
-func (table *Table) dropWeakest(refused bool) {
-	var least *Record
-	for identity, record := range table.records {
-		_, found := table.denials[identity]
-		if found == refused && (least == nil || record.isWeakerThan(least)) {
-			least = record
+// dropWeakest drops one record, of a denied request or of one that is not: the one with the fewest crashes, and of
+// these the oldest.
+func (table *Table) dropWeakest(denied bool) {
+	var weakest *Record
+	for fingerprint, record := range table.records {
+		_, isDenied := table.denials[fingerprint]
+		if isDenied == denied && (weakest == nil || record.isWeakerThan(weakest)) {
+			weakest = record
 		}
 	}
-	table.remove(least.Fingerprint)
+	table.remove(weakest.Fingerprint)
 }
 
-func (table *Table) remove(identity Fingerprint) {
-	delete(table.records, identity)
-	delete(table.denials, identity)
-	delete(table.observedLocally, identity)
-	target := identity.Target()
+func (table *Table) remove(fingerprint Fingerprint) {
+	delete(table.records, fingerprint)
+	delete(table.denials, fingerprint)
+	delete(table.observedLocally, fingerprint)
+	target := fingerprint.Target()
 	table.targetCounts[target]--
 	if table.targetCounts[target] == 0 {
 		delete(table.targetCounts, target)
 	}
 }
 
-// isWeakerThan reports whether a record says less than another; equal ones have an order too, the same at each host.
+// isWeakerThan reports whether a record has fewer crashes than another, or as many but older ones. Fingerprints break
+// ties, so that all hosts drop the same records.
 func (record *Record) isWeakerThan(other *Record) bool {
 	return cmp.Or(
 		cmp.Compare(record.maxUnanswered(), other.maxUnanswered()),
--- a/poison/witness.go
+++ b/poison/witness.go
@@ -8,124 +8,133 @@
 )
 
 const (
-	// pendingTimeout is how long after a break the end of its upstream is still taken for the reason: an entry in the
-	// store lapses some 3 s after the last heartbeat, and is believed to be missing after 2 s more at the worst.
+	// pendingTimeout is how long after an attempt's end a crash of its upstream is still taken for the cause. An
+	// upstream's entry in the store expires about 3 s after its last heartbeat, and hosts see that it is missing at most
+	// 2 s later.
 	pendingTimeout = 6 * time.Second
-	// abandonedTimeout is how long an upstream may still begin to run a request that its caller or this host has given up:
-	// some do not look whether anybody waits, and their own queues hold a second's work or two.
+	// abandonedTimeout is how long an upstream may still start to run a request that its caller or this host has
+	// abandoned. Some upstreams do not check whether anyone still waits, and queue a second or two of requests.
 	abandonedTimeout = 2 * time.Second
-	// maxPending bounds what is kept; an upstream has a few dozen requests at once, and few upstreams end together.
+	// maxPending limits the attempts kept. An upstream has a few dozen requests at once, and few upstreams crash
+	// together.
 	maxPending = 1024
-	// maxAbandoned does so apart: overloaded hosts give up many, and these must not push out what was lost.
+	// maxAbandoned limits abandoned attempts separately. Overloaded hosts abandon many, and these must not displace
+	// attempts whose connection ended.
 	maxAbandoned = 512
 )
 
-// Incarnation is one life of an upstream, which may start again under its ID.
+// Incarnation is one start of an upstream, which may restart under the same ID.
 type Incarnation struct {
+	// Upstream is the upstream's ID.
 	Upstream string
-	// StartedAt is in Unix milliseconds on the upstream's clock; 0 if it does not say.
+	// StartedAt is in Unix milliseconds on the upstream's clock; 0 if it does not report it.
 	StartedAt int64 `json:"Born,omitempty"`
 }
 
-// IncarnationOf returns an upstream's present life.
+// IncarnationOf returns an upstream's current incarnation.
 func IncarnationOf(upstream cherrykeel.Upstream) Incarnation {
 	return Incarnation{Upstream: upstream.ID, StartedAt: upstream.StartedAt}
 }
 
-// UnansweredAttempt is a request that was sent and got no answer: its connection ended, or this host gave it up.
+// UnansweredAttempt is an attempt to send a request to an upstream that got no successful answer: its connection ended,
+// or this host abandoned it. The upstream may have crashed while running it, or may be running it still.
 type UnansweredAttempt struct {
-	Fingerprint Fingerprint
-	// CallerFingerprints are the caller's.
+	Fingerprint        Fingerprint
 	CallerFingerprints []CallerFingerprint
-	// RequestID is the ID of this attempt of the caller, for logs.
+	// RequestID is the ID of the caller's attempt, for logs.
 	RequestID   string
 	Service     string
 	Incarnation Incarnation
 	Address     string
-	// SentAt is when the request was sent, At when its connection ended.
+	// SentAt is when the request was sent, and EndedAt when its connection ended or it was abandoned.
 	SentAt  cherrykeel.Instant
 	EndedAt cherrykeel.Instant
-	// ConnectionReset says that the connection was reset, not closed, and Abandoned that this host has closed it.
+	// ConnectionReset means that the connection was reset, not closed. Abandoned means that this host closed it, or got
+	// an error answer, so that the upstream may still be running the request.
 	ConnectionReset bool
 	Abandoned       bool
 }
 
-// CrashDetector keeps one host's breaks until it is known whether their upstreams have ended. What a host sees first is a
-// connection that ends, and so it does for many reasons: the upstream was full, the network cut, an answer lost.
+// CrashDetector holds one host's unanswered attempts until it is known whether their upstreams crashed. A connection
+// that ends is no proof of that: the upstream may have been full, the network interrupted, or an answer lost. Its zero
+// value is ready for use. It is not safe for concurrent use.
 type CrashDetector struct {
 	pending   []UnansweredAttempt
 	abandoned []UnansweredAttempt
 }
 
-// RecordUnanswered notes a break.
-func (witness *CrashDetector) RecordUnanswered(found UnansweredAttempt) {
-	witness.removeExpired(found.EndedAt)
-	if found.Abandoned {
-		witness.abandoned = appendBounded(witness.abandoned, found, maxAbandoned)
+// RecordUnanswered records an unanswered attempt.
+func (crashDetector *CrashDetector) RecordUnanswered(attempt UnansweredAttempt) {
+	crashDetector.removeExpired(attempt.EndedAt)
+	if attempt.Abandoned {
+		crashDetector.abandoned = appendBounded(crashDetector.abandoned, attempt, maxAbandoned)
 		return
 	}
-	witness.pending = appendBounded(witness.pending, found, maxPending)
+	crashDetector.pending = appendBounded(crashDetector.pending, attempt, maxPending)
 }
 
-// appendBounded adds a break, in place of the oldest one if there are as many as may be.
-func appendBounded(list []UnansweredAttempt, found UnansweredAttempt, most int) []UnansweredAttempt {
-	if len(list) >= most {
-		list = list[1:]
+// appendBounded appends an attempt, and removes the oldest one if the list is full.
+func appendBounded(attempts []UnansweredAttempt, attempt UnansweredAttempt, limit int) []UnansweredAttempt {
+	if len(attempts) >= limit {
+		attempts = attempts[1:]
 	}
-	return append(list, found)
+	return append(attempts, attempt)
 }
 
-// RecordAnswer takes it that an upstream's life has answered a request that was sent at the given time: breaks before
-// that were no end of it. What was abandoned may still wait there.
-func (witness *CrashDetector) RecordAnswer(life Incarnation, sent cherrykeel.Instant) {
-	_, witness.pending = splitInPlace(witness.pending, func(found UnansweredAttempt) bool { return found.Incarnation == life && found.EndedAt <= sent })
+// RecordAnswer records that an incarnation has answered a request that was sent at a time. Attempts that ended before
+// that time did not end by its crash and are removed. Abandoned attempts are kept, since they may still be queued there.
+func (crashDetector *CrashDetector) RecordAnswer(incarnation Incarnation, sentAt cherrykeel.Instant) {
+	_, crashDetector.pending = splitInPlace(crashDetector.pending, func(attempt UnansweredAttempt) bool {
+		return attempt.Incarnation == incarnation && attempt.EndedAt <= sentAt
+	})
 }
 
-// RemoveByAddress returns the breaks at an address where a connection is refused now, since no process listens there.
-func (witness *CrashDetector) RemoveByAddress(address string, now cherrykeel.Instant) []UnansweredAttempt {
-	witness.removeExpired(now)
-	return witness.removeMatching(func(found UnansweredAttempt) bool { return found.Address == address })
+// RemoveByAddress removes and returns the attempts at an address. Callers use it when a connection there was refused,
+// so that no process listens any more.
+func (crashDetector *CrashDetector) RemoveByAddress(address string, now cherrykeel.Instant) []UnansweredAttempt {
+	crashDetector.removeExpired(now)
+	return crashDetector.removeMatching(func(attempt UnansweredAttempt) bool { return attempt.Address == address })
 }
 
-// RemoveByIncarnation returns the breaks of a life that is known to have ended.
-func (witness *CrashDetector) RemoveByIncarnation(life Incarnation, now cherrykeel.Instant) []UnansweredAttempt {
-	witness.removeExpired(now)
-	return witness.removeMatching(func(found UnansweredAttempt) bool { return found.Incarnation == life })
+// RemoveByIncarnation removes and returns the attempts at an incarnation that is known to have ended.
+func (crashDetector *CrashDetector) RemoveByIncarnation(incarnation Incarnation, now cherrykeel.Instant) []UnansweredAttempt {
+	crashDetector.removeExpired(now)
+	return crashDetector.removeMatching(func(attempt UnansweredAttempt) bool { return attempt.Incarnation == incarnation })
 }
 
-// HasPending reports whether any break at the address still waits for its reason.
-func (witness *CrashDetector) HasPending(address string) bool {
-	return slices.ContainsFunc(witness.pending, func(found UnansweredAttempt) bool { return found.Address == address })
+// HasPending reports whether there is an attempt at an address, other than abandoned ones, whose cause is not known yet.
+func (crashDetector *CrashDetector) HasPending(address string) bool {
+	return slices.ContainsFunc(crashDetector.pending, func(attempt UnansweredAttempt) bool { return attempt.Address == address })
 }
 
-// IsEmpty reports whether no break waits for its reason any more.
-func (witness *CrashDetector) IsEmpty(now cherrykeel.Instant) bool {
-	witness.removeExpired(now)
-	return len(witness.pending)+len(witness.abandoned) == 0
+// IsEmpty reports whether no attempt is held any more, pending or abandoned.
+func (crashDetector *CrashDetector) IsEmpty(now cherrykeel.Instant) bool {
+	crashDetector.removeExpired(now)
+	return len(crashDetector.pending)+len(crashDetector.abandoned) == 0
 }
 
-func (witness *CrashDetector) removeExpired(now cherrykeel.Instant) {
-	_, witness.pending = splitInPlace(witness.pending, func(found UnansweredAttempt) bool { return now.Sub(found.EndedAt) > pendingTimeout })
-	_, witness.abandoned = splitInPlace(witness.abandoned, func(found UnansweredAttempt) bool { return now.Sub(found.EndedAt) > abandonedTimeout })
+func (crashDetector *CrashDetector) removeExpired(now cherrykeel.Instant) {
+	_, crashDetector.pending = splitInPlace(crashDetector.pending, func(attempt UnansweredAttempt) bool { return now.Sub(attempt.EndedAt) > pendingTimeout })
+	_, crashDetector.abandoned = splitInPlace(crashDetector.abandoned, func(attempt UnansweredAttempt) bool { return now.Sub(attempt.EndedAt) > abandonedTimeout })
 }
 
-// removeMatching removes the breaks that match and returns them.
-func (witness *CrashDetector) removeMatching(matches func(found UnansweredAttempt) bool) []UnansweredAttempt {
-	var lost, left []UnansweredAttempt
-	lost, witness.pending = splitInPlace(witness.pending, matches)
-	left, witness.abandoned = splitInPlace(witness.abandoned, matches)
-	return append(lost, left...)
+// removeMatching removes and returns the attempts that match, abandoned ones last.
+func (crashDetector *CrashDetector) removeMatching(matches func(attempt UnansweredAttempt) bool) []UnansweredAttempt {
+	var pending, abandoned []UnansweredAttempt
+	pending, crashDetector.pending = splitInPlace(crashDetector.pending, matches)
+	abandoned, crashDetector.abandoned = splitInPlace(crashDetector.abandoned, matches)
+	return append(pending, abandoned...)
 }
 
-// splitInPlace returns the breaks that match, and the others in the list's own place.
-func splitInPlace(list []UnansweredAttempt, matches func(found UnansweredAttempt) bool) (matching, others []UnansweredAttempt) {
-	others = list[:0]
-	for _, found := range list {
-		if matches(found) {
-			matching = append(matching, found)
+// splitInPlace returns the attempts that match in a new slice, and the others in the memory of the given one.
+func splitInPlace(attempts []UnansweredAttempt, matches func(attempt UnansweredAttempt) bool) (matching, others []UnansweredAttempt) {
+	others = attempts[:0]
+	for _, attempt := range attempts {
+		if matches(attempt) {
+			matching = append(matching, attempt)
 			continue
 		}
-		others = append(others, found)
+		others = append(others, attempt)
 	}
 	return matching, others
 }
