--- a/poison/callers_test.go
+++ b/poison/callers_test.go
@@ -11,116 +11,116 @@
 	"cherrykeel/poison"
 )
 
-var _ = Describe("one request of several callers at upstreams' ends", func() {
+var _ = Describe("one request of several callers at crashes", func() {
 	var table *poison.Table
-	at := int64(noon)
+	now := int64(noon)
 
 	BeforeEach(func() {
 		table = poison.NewTable()
-		at = noon
+		now = noon
 	})
 
-	// end has an upstream end while callers' copies of a request are at work there.
-	end := func(upstream string, request int, marks ...poison.CallerFingerprint) {
-		at += 5000
-		table.RecordCrash(ended(request, upstream, marks...), at)
+	// crash records the crash of an upstream that was running callers' copies of a request.
+	crash := func(upstream string, request int, callers ...poison.CallerFingerprint) {
+		now += 5000
+		table.RecordCrash(attempt(request, upstream, callers...), now)
 	}
 
-	// Guards against addresses that change with each send: no caller stands at three ends.
-	It("is refused to all when no caller stands at each of them", func() {
-		end("a", 1, "x")
-		end("b", 1, "y")
-		end("c", 1, "x")
-		Expect(table.IsDenied(identity(1), "z")).To(BeTrue())
-		Expect(table.DenialScope(identity(1))).To(Equal(poison.DenialScope{AllCallers: true}))
+	// Guards against a caller that changes its address with each send, so that no caller has three crashes.
+	It("is denied to all if no caller was there at each of them", func() {
+		crash("a", 1, "x")
+		crash("b", 1, "y")
+		crash("c", 1, "x")
+		Expect(table.IsDenied(fingerprint(1), "z")).To(BeTrue())
+		Expect(table.DenialScope(fingerprint(1))).To(Equal(poison.DenialScope{AllCallers: true}))
 	})
 
-	// Guards against a caller who ends upstreams to have a page denied to all who ask for it.
-	It("is refused to the one caller that stands at each of them, and to no other", func() {
+	// Guards against a caller that crashes upstreams in order to have a page denied to all others.
+	It("is denied to the one caller that was there at each of them, and to no other", func() {
 		for _, upstream := range []string{"a", "b", "c"} {
-			end(upstream, 1, "x")
+			crash(upstream, 1, "x")
 		}
-		Expect(table.IsDenied(identity(1), "x")).To(BeTrue())
-		Expect(table.IsDenied(identity(1), "y", "x")).To(BeTrue(), "by any of its marks")
-		Expect(table.IsDenied(identity(1), "y")).To(BeFalse())
-		Expect(table.IsSuspected(identity(1), "y")).To(BeTrue())
-		end("d", 1, "y")
-		Expect(table.IsDenied(identity(1), "z")).To(BeTrue())
+		Expect(table.IsDenied(fingerprint(1), "x")).To(BeTrue())
+		Expect(table.IsDenied(fingerprint(1), "y", "x")).To(BeTrue(), "by any of its fingerprints")
+		Expect(table.IsDenied(fingerprint(1), "y")).To(BeFalse())
+		Expect(table.IsSuspected(fingerprint(1), "y")).To(BeTrue())
+		crash("d", 1, "y")
+		Expect(table.IsDenied(fingerprint(1), "z")).To(BeTrue())
 	})
 
-	// Guards against one bad request that denies a page which upstreams serve to others all the while.
-	It("stays open to those who have had good answers, and to others, though one caller's ends upstreams", func() {
+	// Guards against a page that is denied to all for one caller's bad request, while upstreams keep answering others.
+	It("is not denied to callers that have had an answer, nor to others, if one caller's copy crashes upstreams", func() {
 		for _, upstream := range []string{"a", "b", "c"} {
-			end(upstream, 1, "x", "y")
-			table.RecordAnswer(identity(1), "y")
+			crash(upstream, 1, "x", "y")
+			table.RecordAnswer(fingerprint(1), "y")
 		}
-		Expect(table.IsDenied(identity(1), "x")).To(BeTrue())
-		Expect(table.IsDenied(identity(1), "y")).To(BeFalse())
-		Expect(table.IsDenied(identity(1), "z")).To(BeFalse())
-		Expect(table.IsSuspected(identity(1), "z")).To(BeFalse())
+		Expect(table.IsDenied(fingerprint(1), "x")).To(BeTrue())
+		Expect(table.IsDenied(fingerprint(1), "y")).To(BeFalse())
+		Expect(table.IsDenied(fingerprint(1), "z")).To(BeFalse())
+		Expect(table.IsSuspected(fingerprint(1), "z")).To(BeFalse())
 	})
 
-	// Guards against a page that many ask for being denied by chance: it stands at three ends, served between.
-	It("is refused to nobody if each caller has had a good answer since", func() {
+	// Guards against a popular page being denied by chance: it was running at three crashes, and was answered since.
+	It("is denied to nobody if each caller has had an answer since", func() {
 		for _, upstream := range []string{"a", "b", "c"} {
-			end(upstream, 1, "x", "y")
+			crash(upstream, 1, "x", "y")
 		}
-		table.RecordAnswer(identity(1), "x")
-		Expect(table.IsDenied(identity(1), "z")).To(BeFalse())
-		table.RecordAnswer(identity(1), "y")
-		Expect(table.DenialScope(identity(1)).IsEmpty()).To(BeTrue())
+		table.RecordAnswer(fingerprint(1), "x")
+		Expect(table.IsDenied(fingerprint(1), "z")).To(BeFalse())
+		table.RecordAnswer(fingerprint(1), "y")
+		Expect(table.DenialScope(fingerprint(1)).IsEmpty()).To(BeTrue())
 	})
 
-	// Guards against an innocent page's denial beside a request that ends upstreams for one caller alone.
-	It("is held against the request whose one caller stands at the most ends", func() {
+	// Guards against denying an innocent page that was running beside a request that crashes upstreams for one caller.
+	It("is compared with other requests by the crashes of its worst caller", func() {
 		for _, upstream := range []string{"a", "b", "c"} {
-			end(upstream, 1, "x")
-			table.RecordAnswer(identity(1), "other")
-			table.RecordCrash(ended(2, upstream, "y"), at)
-			table.RecordCrash(ended(2, upstream, "z"), at)
+			crash(upstream, 1, "x")
+			table.RecordAnswer(fingerprint(1), "other")
+			table.RecordCrash(attempt(2, upstream, "y"), now)
+			table.RecordCrash(attempt(2, upstream, "z"), now)
 		}
-		end("d", 1, "x")
-		Expect(table.IsDenied(identity(1), "x")).To(BeTrue())
+		crash("d", 1, "x")
+		Expect(table.IsDenied(fingerprint(1), "x")).To(BeTrue())
 		table = poison.NewTable()
-		end("0", 1, "x")
+		crash("0", 1, "x")
 		for _, upstream := range []string{"a", "b", "c"} {
-			end(upstream, 1, "x")
-			table.RecordAnswer(identity(1), "other")
-			table.RecordCrash(ended(2, upstream, poison.CallerFingerprint(upstream)), at)
+			crash(upstream, 1, "x")
+			table.RecordAnswer(fingerprint(1), "other")
+			table.RecordCrash(attempt(2, upstream, poison.CallerFingerprint(upstream)), now)
 		}
-		Expect(table.IsDenied(identity(2), "z")).To(BeFalse())
+		Expect(table.IsDenied(fingerprint(2), "z")).To(BeFalse())
 	})
 
-	// Guards against a page denied to all after a loss of power: copies of it were at work at each upstream, and no answer
-	// can come since. Once a copy sent after that ends an upstream too, it is refused.
-	It("is not refused to all for copies that were at work together", func() {
-		sent := func(upstream string, begun, at int, mark poison.CallerFingerprint) {
-			found := ended(1, upstream, mark)
-			found.SentAt = cherrykeel.Instant(time.Duration(begun) * time.Millisecond)
-			found.EndedAt = cherrykeel.Instant(time.Duration(at) * time.Millisecond)
-			table.RecordCrash(found, noon+int64(at))
+	// Guards against a page denied to all after a power failure: copies of it were running at each upstream, and none can
+	// be answered since. If a copy that is sent after that crashes an upstream too, the page is denied.
+	It("is not denied to all for copies that were running at the same time", func() {
+		crashAfter := func(upstream string, sentAt, endedAt int, caller poison.CallerFingerprint) {
+			lost := attempt(1, upstream, caller)
+			lost.SentAt = cherrykeel.Instant(time.Duration(sentAt) * time.Millisecond)
+			lost.EndedAt = cherrykeel.Instant(time.Duration(endedAt) * time.Millisecond)
+			table.RecordCrash(lost, noon+int64(endedAt))
 		}
 		for number, upstream := range []string{"a", "b", "c", "d", "e"} {
-			sent(upstream, number, 100+number, poison.CallerFingerprint(upstream))
+			crashAfter(upstream, number, 100+number, poison.CallerFingerprint(upstream))
 		}
-		Expect(table.IsDenied(identity(1), "z")).To(BeFalse())
-		sent("f", 200, 210, "f")
-		Expect(table.IsDenied(identity(1), "z")).To(BeTrue())
+		Expect(table.IsDenied(fingerprint(1), "z")).To(BeFalse())
+		crashAfter("f", 200, 210, "f")
+		Expect(table.IsDenied(fingerprint(1), "z")).To(BeTrue())
 	})
 
-	// Guards against a flood of addresses that pushes out what is known, or that grows without a bound.
-	It("keeps a bounded record of a flood of addresses", func() {
+	// Guards against a flood of caller addresses that displaces records, or that makes a record grow without limit.
+	It("has a record of limited size after a flood of addresses", func() {
 		for _, upstream := range []string{"a", "b", "c"} {
-			at += 5000
+			now += 5000
 			for number := range 1000 {
-				table.RecordCrash(ended(1, upstream, poison.CallerFingerprint(fmt.Sprint(number))), at)
+				table.RecordCrash(attempt(1, upstream, poison.CallerFingerprint(fmt.Sprint(number))), now)
 			}
 		}
-		record, _ := table.Find(identity(1))
+		record, _ := table.Find(fingerprint(1))
 		value, _ := record.Encode()
 		Expect(len(value)).To(BeNumerically("<", 4096))
-		_, known := table.Counts()
-		Expect(known).To(Equal(1))
-		Expect(table.DenialScope(identity(1)).IsEmpty()).To(BeFalse())
+		_, total := table.Counts()
+		Expect(total).To(Equal(1))
+		Expect(table.DenialScope(fingerprint(1)).IsEmpty()).To(BeFalse())
 	})
 })
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -10,191 +10,193 @@
 	"cherrykeel/poison"
 )
 
-// moreSends is how often a request may be sent on once three upstreams have ended under it and all hosts know that.
-const moreSends = 3
+// maxLateSends is how often a request may still be sent once it has crashed three upstreams and all hosts know that.
+const maxLateSends = 3
 
-// fleet is some hosts that tell each other what they have seen, over links that lose, repeat and reorder.
-type fleet struct {
+// cluster is a set of hosts that announce their records to each other over links that lose, repeat and reorder them.
+type cluster struct {
 	hosts []*poison.Table
-	// wires has the words on their way to each host, and told all that were ever said.
-	wires [][]poison.Record
-	told  []poison.Record
-	now   int64
+	// inTransit has the records in transit to each host, and announced all records that were ever announced.
+	inTransit [][]poison.Record
+	announced []poison.Record
+	now       int64
 }
 
-func newFleet(count int) *fleet {
-	fleet := &fleet{now: noon, wires: make([][]poison.Record, count)}
+func newCluster(count int) *cluster {
+	cluster := &cluster{now: noon, inTransit: make([][]poison.Record, count)}
 	for range count {
-		fleet.hosts = append(fleet.hosts, poison.NewTable())
+		cluster.hosts = append(cluster.hosts, poison.NewTable())
 	}
-	return fleet
+	return cluster
 }
 
-// tell sends a word to all other hosts.
-func (fleet *fleet) tell(from int, record poison.Record) {
-	fleet.told = append(fleet.told, record)
-	for host := range fleet.hosts {
+// announce sends a record to all other hosts.
+func (cluster *cluster) announce(from int, record poison.Record) {
+	cluster.announced = append(cluster.announced, record)
+	for host := range cluster.hosts {
 		if host != from {
-			fleet.wires[host] = append(fleet.wires[host], record)
+			cluster.inTransit[host] = append(cluster.inTransit[host], record)
 		}
 	}
 }
 
-// deliver delivers one word, or loses it.
-func (fleet *fleet) deliver(host, word int, lost, twice bool) {
-	wire := fleet.wires[host]
-	if len(wire) == 0 {
+// deliver delivers one record to a host, or loses it. If it is repeated, it stays in transit.
+func (cluster *cluster) deliver(host, index int, lost, repeated bool) {
+	queue := cluster.inTransit[host]
+	if len(queue) == 0 {
 		return
 	}
-	word %= len(wire)
-	record := wire[word]
-	if !twice {
-		fleet.wires[host] = append(append([]poison.Record(nil), wire[:word]...), wire[word+1:]...)
+	index %= len(queue)
+	record := queue[index]
+	if !repeated {
+		cluster.inTransit[host] = append(append([]poison.Record(nil), queue[:index]...), queue[index+1:]...)
 	}
 	if !lost {
-		fleet.hosts[host].Merge(record, fleet.now)
+		cluster.hosts[host].Merge(record, cluster.now)
 	}
 }
 
-// settle brings all that was ever told to every host, as telling again does, and telling hosts that start.
-func (fleet *fleet) settle() {
-	for host, table := range fleet.hosts {
-		for _, record := range fleet.told {
-			table.Merge(record, fleet.now)
+// deliverAll delivers all records that were ever announced to every host, as repeated announcements do.
+func (cluster *cluster) deliverAll() {
+	for host, table := range cluster.hosts {
+		for _, record := range cluster.announced {
+			table.Merge(record, cluster.now)
 		}
-		fleet.wires[host] = nil
+		cluster.inTransit[host] = nil
 	}
 }
 
-// restart makes a host forget what it knows, and tells it what another one does.
-func (fleet *fleet) restart(host, other int) {
-	fleet.hosts[host] = poison.NewTable()
-	for _, record := range fleet.hosts[other].Records() {
-		fleet.hosts[host].Merge(record, fleet.now)
+// restart restarts a host with an empty table, and sends it the records of another one.
+func (cluster *cluster) restart(host, other int) {
+	cluster.hosts[host] = poison.NewTable()
+	for _, record := range cluster.hosts[other].Records() {
+		cluster.hosts[host].Merge(record, cluster.now)
 	}
 }
 
-// end has an upstream end while requests were at work there, each sent by some host for some caller.
-func (fleet *fleet) end(upstream string, requests, by []int, marks []poison.CallerFingerprint) {
+// crash has an upstream crash while it runs requests, each sent by some host for some caller.
+func (cluster *cluster) crash(upstream string, requests, senders []int, callers []poison.CallerFingerprint) {
 	for i, request := range requests {
-		record, news := fleet.hosts[by[i]].RecordCrash(ended(request, upstream, marks[i]), fleet.now)
-		if news {
-			fleet.tell(by[i], record)
+		record, changed := cluster.hosts[senders[i]].RecordCrash(attempt(request, upstream, callers[i]), cluster.now)
+		if changed {
+			cluster.announce(senders[i], record)
 		}
 	}
 }
 
-// serve has an upstream serve a request that a host has sent for a caller.
-func (fleet *fleet) serve(request, by int, mark poison.CallerFingerprint) {
-	record, news := fleet.hosts[by].RecordAnswer(identity(request), mark)
-	if news {
-		fleet.tell(by, record)
+// answer has an upstream answer a request that a host has sent for a caller.
+func (cluster *cluster) answer(request, sender int, caller poison.CallerFingerprint) {
+	record, changed := cluster.hosts[sender].RecordAnswer(fingerprint(request), caller)
+	if changed {
+		cluster.announce(sender, record)
 	}
 }
 
-// endsOf counts the ends at which each caller's copy of a request was at work that has had no good answer since.
-func endsOf(record poison.Record) map[poison.CallerFingerprint]int {
-	ends := map[poison.CallerFingerprint]int{}
-	for _, end := range record.Crashes {
-		for mark, answered := range end.Callers {
+// unansweredCounts counts, for each caller, the crashes at which its copy was running and has had no answer since.
+func unansweredCounts(record poison.Record) map[poison.CallerFingerprint]int {
+	counts := map[poison.CallerFingerprint]int{}
+	for _, crash := range record.Crashes {
+		for caller, answered := range crash.Callers {
 			if !answered {
-				ends[mark]++
+				counts[caller]++
 			}
 		}
 	}
-	return ends
+	return counts
 }
 
-// anyMark is one of more callers than are kept of one end.
-func anyMark(t *rapid.T) poison.CallerFingerprint {
-	return poison.CallerFingerprint(fmt.Sprintf("%02d", rapid.IntRange(0, 39).Draw(t, "mark")))
+// anyCaller draws one of 40 callers, which is more than are kept of one crash.
+func anyCaller(t *rapid.T) poison.CallerFingerprint {
+	return poison.CallerFingerprint(fmt.Sprintf("%02d", rapid.IntRange(0, 39).Draw(t, "caller")))
 }
 
+// The texts of this Describe and of its first It name the saved failure under testdata/rapid, which rapid replays.
 var _ = Describe("hosts that tell each other of requests at upstreams' ends", func() {
-	// One request ends each upstream that runs it and comes at any host. Others run beside it, and some of them are
-	// served between. Words are lost, doubled and late, hosts start anew. Once three upstreams have ended under the one
-	// and words have come through, no host sends it; no request is refused that was served since all but two of its ends.
+	// Guards against a request that keeps crashing upstreams, and against denying innocent ones. One request crashes each
+	// upstream that runs it, through any host; others run beside it, and some of them are answered in between. Records
+	// are lost, repeated and late, and hosts restart.
 	It("refuse what ends upstreams, and nothing that is served between", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			const deadly, hosts, innocents = 0, 4, 5
 			address := rapid.IntRange(0, rapid.SampledFrom([]int{0, 3, 1000}).Draw(t, "addresses"))
-			caller := func() poison.CallerFingerprint {
+			anyAddress := func() poison.CallerFingerprint {
 				return poison.CallerFingerprint(fmt.Sprint(address.Draw(t, "address")))
 			}
-			fleet := newFleet(hosts)
+			cluster := newCluster(hosts)
 			host := rapid.IntRange(0, hosts-1)
-			ends, after := 0, 0
+			crashes, lateSends := 0, 0
 			for step := range rapid.IntRange(5, 60).Draw(t, "steps") {
-				fleet.now += int64(rapid.IntRange(0, 4000).Draw(t, "pause"))
-				by := host.Draw(t, "by")
-				switch rapid.IntRange(0, 5).Draw(t, "what") {
+				cluster.now += int64(rapid.IntRange(0, 4000).Draw(t, "pause"))
+				sender := host.Draw(t, "sender")
+				switch rapid.IntRange(0, 5).Draw(t, "action") {
 				case 0, 1:
-					sender := caller()
-					if fleet.hosts[by].IsDenied(identity(deadly), sender) {
+					caller := anyAddress()
+					if cluster.hosts[sender].IsDenied(fingerprint(deadly), caller) {
 						continue
 					}
-					if ends >= poison.CrashesToDeny {
-						after++
+					if crashes >= poison.CrashesToDeny {
+						lateSends++
 					}
-					ends++
+					crashes++
 					beside := rapid.IntRange(1, innocents).Draw(t, "beside")
-					fleet.end(fmt.Sprint("u", step), []int{deadly, beside}, []int{by, host.Draw(t, "other")}, []poison.CallerFingerprint{sender, caller()})
-					if rapid.Bool().Draw(t, "settled") || ends >= poison.CrashesToDeny {
-						fleet.settle()
+					cluster.crash(fmt.Sprint("u", step), []int{deadly, beside}, []int{sender, host.Draw(t, "other")}, []poison.CallerFingerprint{caller, anyAddress()})
+					if rapid.Bool().Draw(t, "delivered") || crashes >= poison.CrashesToDeny {
+						cluster.deliverAll()
 					}
 				case 2:
-					fleet.serve(rapid.IntRange(1, innocents).Draw(t, "served"), by, caller())
+					cluster.answer(rapid.IntRange(1, innocents).Draw(t, "answered"), sender, anyAddress())
 				case 3:
-					fleet.restart(by, (by+1)%hosts)
+					cluster.restart(sender, (sender+1)%hosts)
 				default:
-					fleet.deliver(by, rapid.IntRange(0, 100).Draw(t, "word"), rapid.Bool().Draw(t, "lost"), rapid.Bool().Draw(t, "twice"))
+					cluster.deliver(sender, rapid.IntRange(0, 100).Draw(t, "index"), rapid.Bool().Draw(t, "lost"), rapid.Bool().Draw(t, "repeated"))
 				}
 			}
-			Expect(after).To(BeNumerically("<=", moreSends))
-			fleet.settle()
-			for _, table := range fleet.hosts {
-				Expect(table.DenialScope(identity(deadly)).IsEmpty()).To(Equal(ends < poison.CrashesToDeny))
+			Expect(lateSends).To(BeNumerically("<=", maxLateSends))
+			cluster.deliverAll()
+			for _, table := range cluster.hosts {
+				Expect(table.DenialScope(fingerprint(deadly)).IsEmpty()).To(Equal(crashes < poison.CrashesToDeny))
+				// An innocent request is not denied if it was answered since all but two of its crashes.
 				for innocent := 1; innocent <= innocents; innocent++ {
-					record, known := table.Find(identity(innocent))
+					record, known := table.Find(fingerprint(innocent))
 					if !known || len(record.UnansweredCrashes()) >= poison.CrashesToDeny {
 						continue
 					}
-					Expect(table.DenialScope(identity(innocent)).AllCallers).To(BeFalse())
-					for mark, ends := range endsOf(record) {
-						Expect(ends < poison.CrashesToDeny && table.IsDenied(identity(innocent), mark)).To(BeFalse())
+					Expect(table.DenialScope(fingerprint(innocent)).AllCallers).To(BeFalse())
+					for caller, count := range unansweredCounts(record) {
+						Expect(count < poison.CrashesToDeny && table.IsDenied(fingerprint(innocent), caller)).To(BeFalse())
 					}
 				}
 			}
 		})
 	})
 
-	It("come to the same, in whatever order words come", func() {
+	It("have equal records in whatever order they receive them", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			one, other := poison.NewTable(), poison.NewTable()
-			var words []poison.Record
-			for range rapid.IntRange(1, 12).Draw(t, "words") {
-				record := poison.Record{Fingerprint: identity(rapid.IntRange(0, 2).Draw(t, "request")), Service: "s"}
+			var received []poison.Record
+			for range rapid.IntRange(1, 12).Draw(t, "records") {
+				record := poison.Record{Fingerprint: fingerprint(rapid.IntRange(0, 2).Draw(t, "request")), Service: "s"}
 				record.Crashes = []poison.Crash{{
 					Incarnation: poison.Incarnation{Upstream: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "upstream"))}, SeenAt: noon,
-					SentAt:   noon - int64(rapid.IntRange(0, 3).Draw(t, "begun")),
-					Answered: rapid.IntRange(0, 4).Draw(t, "withdrawn") == 0,
-					Callers:  rapid.MapOfN(rapid.Custom(anyMark), rapid.Bool(), 0, 12).Draw(t, "callers"),
+					SentAt:   noon - int64(rapid.IntRange(0, 3).Draw(t, "sent before")),
+					Answered: rapid.IntRange(0, 4).Draw(t, "answered") == 0,
+					Callers:  rapid.MapOfN(rapid.Custom(anyCaller), rapid.Bool(), 0, 12).Draw(t, "callers"),
 				}}
-				words = append(words, record)
+				received = append(received, record)
 			}
-			for _, word := range words {
-				one.Merge(word, noon)
+			for _, record := range received {
+				one.Merge(record, noon)
 			}
-			for _, word := range rapid.Permutation(words).Draw(t, "order") {
-				other.Merge(word, noon)
-				other.Merge(word, noon)
+			for _, record := range rapid.Permutation(received).Draw(t, "order") {
+				other.Merge(record, noon)
+				other.Merge(record, noon)
 			}
 			for request := range 3 {
-				found, known := one.Find(identity(request))
-				also, alsoKnown := other.Find(identity(request))
+				found, known := one.Find(fingerprint(request))
+				alsoFound, alsoKnown := other.Find(fingerprint(request))
 				Expect(alsoKnown).To(Equal(known))
-				Expect(also.Crashes).To(ConsistOf(found.Crashes))
-				Expect(other.IsSuspected(identity(request))).To(Equal(one.IsSuspected(identity(request))))
+				Expect(alsoFound.Crashes).To(ConsistOf(found.Crashes))
+				Expect(other.IsSuspected(fingerprint(request))).To(Equal(one.IsSuspected(fingerprint(request))))
 			}
 		})
 	})
--- a/poison/identity_test.go
+++ b/poison/identity_test.go
@@ -7,51 +7,54 @@
 	"cherrykeel/poison"
 )
 
-var _ = Describe("a request's identity", func() {
+var _ = Describe("a request's fingerprint", func() {
 	request := poison.RequestParts{Method: "GET", Domain: "h.example", Path: "/a/b?c", CallerAddress: "10.0.0.1:4000", Body: []byte("xy")}
 
-	// A caller sends a request again after it has failed: on another connection, so from another port.
-	It("is the same from another port of its caller", func() {
+	// A caller repeats a failed request on another connection, and so from another port.
+	It("is equal from another port of the caller, and so are the caller's fingerprints", func() {
 		again := request
 		again.CallerAddress = "10.0.0.1:4001"
 		Expect(poison.FingerprintOf(again)).To(Equal(poison.FingerprintOf(request)))
 		Expect(again.CallerFingerprints()).To(Equal(request.CallerFingerprints()))
 	})
 
-	DescribeTable("is another one", func(change func(parts *poison.RequestParts)) {
+	DescribeTable("differs", func(change func(requestParts *poison.RequestParts)) {
 		other := request
 		change(&other)
 		Expect(poison.FingerprintOf(other)).NotTo(Equal(poison.FingerprintOf(request)))
 	},
-		Entry("with another method", func(parts *poison.RequestParts) { parts.Method = "PUT" }),
-		Entry("to another host", func(parts *poison.RequestParts) { parts.Domain = "i.example" }),
-		Entry("with another query", func(parts *poison.RequestParts) { parts.Path = "/a/b?d" }),
-		Entry("for another key", func(parts *poison.RequestParts) { parts.Key = "7" }),
-		Entry("with another body", func(parts *poison.RequestParts) { parts.Body = []byte("xz") }),
-		Entry("where a part ends elsewhere", func(parts *poison.RequestParts) { parts.Domain, parts.Path = "h.example/", "a/b?c" }),
+		Entry("with another method", func(requestParts *poison.RequestParts) { requestParts.Method = "PUT" }),
+		Entry("for another domain", func(requestParts *poison.RequestParts) { requestParts.Domain = "i.example" }),
+		Entry("with another query", func(requestParts *poison.RequestParts) { requestParts.Path = "/a/b?d" }),
+		Entry("for another key", func(requestParts *poison.RequestParts) { requestParts.Key = "7" }),
+		Entry("with another body", func(requestParts *poison.RequestParts) { requestParts.Body = []byte("xz") }),
+		Entry("if the parts are split elsewhere", func(requestParts *poison.RequestParts) {
+			requestParts.Domain, requestParts.Path = "h.example/", "a/b?c"
+		}),
 	)
 
-	// Guards against an address that stands for a caller: the same request comes from many.
-	It("is the same from another address, which marks it apart", func() {
+	// Guards against fingerprints that depend on the address: a request that crashes upstreams would never be denied to a
+	// caller that changes its address.
+	It("is equal from another address, but the caller's fingerprints differ", func() {
 		other := request
 		other.CallerAddress = "10.0.0.2:4000"
 		Expect(poison.FingerprintOf(other)).To(Equal(poison.FingerprintOf(request)))
 		Expect(other.CallerFingerprints()).NotTo(ContainElement(BeElementOf(request.CallerFingerprints())))
 	})
 
-	It("is marked by what its caller shows of itself, at any address", func() {
-		known := request
-		known.Credentials = "Cookie: session=1"
-		elsewhere := known
+	It("comes with a caller fingerprint of the credentials that is equal at any address", func() {
+		withCredentials := request
+		withCredentials.Credentials = "Cookie: session=1"
+		elsewhere := withCredentials
 		elsewhere.CallerAddress = "10.0.0.2:4000"
-		Expect(elsewhere.CallerFingerprints()).To(ContainElement(BeElementOf(known.CallerFingerprints())))
-		Expect(known.CallerFingerprints()).To(HaveLen(2))
-		Expect(request.CallerFingerprints()).To(HaveLen(1), "who shows nothing is no other's match")
+		Expect(elsewhere.CallerFingerprints()).To(ContainElement(BeElementOf(withCredentials.CallerFingerprints())))
+		Expect(withCredentials.CallerFingerprints()).To(HaveLen(2))
+		Expect(request.CallerFingerprints()).To(HaveLen(1), "a caller without credentials matches no other")
 	})
 
-	It("is read back from its text, and from no other", func() {
-		identity := poison.FingerprintOf(request)
-		Expect(poison.ParseFingerprint(identity.String())).To(Equal(identity))
+	It("is parsed from its text, and from no malformed one", func() {
+		fingerprint := poison.FingerprintOf(request)
+		Expect(poison.ParseFingerprint(fingerprint.String())).To(Equal(fingerprint))
 		_, err := poison.ParseFingerprint("00ff")
 		Expect(err).To(MatchError(poison.ErrMalformedFingerprint))
 	})
--- a/poison/witness_test.go
+++ b/poison/witness_test.go
@@ -10,78 +10,78 @@
 	"cherrykeel/poison"
 )
 
-func at(moment time.Duration) cherrykeel.Instant {
+func instant(moment time.Duration) cherrykeel.Instant {
 	return cherrykeel.Instant(moment)
 }
 
-var _ = Describe("a host that loses a request", func() {
-	life := poison.Incarnation{Upstream: "u-1", StartedAt: 5}
+var _ = Describe("a crash detector", func() {
+	incarnation := poison.Incarnation{Upstream: "u-1", StartedAt: 5}
 	lost := func(moment time.Duration) poison.UnansweredAttempt {
-		return poison.UnansweredAttempt{Fingerprint: poison.Fingerprint{1}, Incarnation: life, Address: "10.0.0.9:80", EndedAt: at(moment)}
+		return poison.UnansweredAttempt{Fingerprint: poison.Fingerprint{1}, Incarnation: incarnation, Address: "10.0.0.9:80", EndedAt: instant(moment)}
 	}
 
-	It("knows that its upstream has ended once nobody listens there", func() {
-		var witness poison.CrashDetector
-		witness.RecordUnanswered(lost(time.Second))
-		Expect(witness.RemoveByAddress("10.0.0.8:80", at(2*time.Second))).To(BeEmpty())
-		Expect(witness.RemoveByAddress("10.0.0.9:80", at(2*time.Second))).To(HaveLen(1))
-		Expect(witness.RemoveByAddress("10.0.0.9:80", at(2*time.Second))).To(BeEmpty(), "each is told once")
+	It("returns an unanswered attempt once no process listens at its address", func() {
+		var detector poison.CrashDetector
+		detector.RecordUnanswered(lost(time.Second))
+		Expect(detector.RemoveByAddress("10.0.0.8:80", instant(2*time.Second))).To(BeEmpty())
+		Expect(detector.RemoveByAddress("10.0.0.9:80", instant(2*time.Second))).To(HaveLen(1))
+		Expect(detector.RemoveByAddress("10.0.0.9:80", instant(2*time.Second))).To(BeEmpty(), "each attempt is returned once")
 	})
 
-	// A full upstream resets a connection and goes on. It ends seconds later, by something else: the request that it
-	// reset was not at work then.
-	It("does not when the upstream has answered another request since", func() {
-		var witness poison.CrashDetector
-		witness.RecordUnanswered(lost(time.Second))
-		witness.RecordAnswer(life, at(1100*time.Millisecond))
-		Expect(witness.RemoveByIncarnation(life, at(2*time.Second))).To(BeEmpty())
+	// Guards against suspecting a request that was not running: a full upstream reset its connection, kept running, and
+	// crashed seconds later by another cause.
+	It("does not return it if the upstream has answered another request since", func() {
+		var detector poison.CrashDetector
+		detector.RecordUnanswered(lost(time.Second))
+		detector.RecordAnswer(incarnation, instant(1100*time.Millisecond))
+		Expect(detector.RemoveByIncarnation(incarnation, instant(2*time.Second))).To(BeEmpty())
 	})
 
-	// An answer that was on its way when the upstream ended is read after the other connections' ends.
-	It("does when the answer is to a request sent before", func() {
-		var witness poison.CrashDetector
-		witness.RecordUnanswered(lost(time.Second))
-		witness.RecordAnswer(life, at(900*time.Millisecond))
-		Expect(witness.RemoveByIncarnation(life, at(2*time.Second))).To(HaveLen(1))
+	// Guards against an answer in transit at the crash, which is read after other connections have ended.
+	It("returns it if the answer is to a request that was sent before the attempt ended", func() {
+		var detector poison.CrashDetector
+		detector.RecordUnanswered(lost(time.Second))
+		detector.RecordAnswer(incarnation, instant(900*time.Millisecond))
+		Expect(detector.RemoveByIncarnation(incarnation, instant(2*time.Second))).To(HaveLen(1))
 	})
 
-	It("does not when another life of the upstream ends, or this one long after", func() {
-		var witness poison.CrashDetector
-		witness.RecordUnanswered(lost(time.Second))
-		Expect(witness.RemoveByIncarnation(poison.Incarnation{Upstream: "u-1", StartedAt: 6}, at(2*time.Second))).To(BeEmpty())
-		Expect(witness.RemoveByIncarnation(life, at(time.Minute))).To(BeEmpty())
+	It("does not return it if another incarnation of the upstream ends, or this one much later", func() {
+		var detector poison.CrashDetector
+		detector.RecordUnanswered(lost(time.Second))
+		Expect(detector.RemoveByIncarnation(poison.Incarnation{Upstream: "u-1", StartedAt: 6}, instant(2*time.Second))).To(BeEmpty())
+		Expect(detector.RemoveByIncarnation(incarnation, instant(time.Minute))).To(BeEmpty())
 	})
 
-	It("keeps a bounded number of such requests", func() {
-		var witness poison.CrashDetector
+	It("keeps a limited number of attempts", func() {
+		var detector poison.CrashDetector
 		for range 10000 {
-			witness.RecordUnanswered(lost(time.Second))
+			detector.RecordUnanswered(lost(time.Second))
 		}
-		Expect(len(witness.RemoveByIncarnation(life, at(time.Second)))).To(BeNumerically("<", 2000))
+		Expect(len(detector.RemoveByIncarnation(incarnation, instant(time.Second)))).To(BeNumerically("<", 2000))
 	})
 
-	// A request waits in an upstream's own queue until its caller leaves. The upstream does not look, runs it, and ends;
-	// meanwhile it has answered others that came later.
-	It("knows that one which it gave up may have run there a little later", func() {
-		var witness poison.CrashDetector
+	// Guards against overlooking an abandoned request: the upstream still has it queued, answers later ones, then runs it
+	// and crashes.
+	It("returns an abandoned attempt for a little longer, even after other answers", func() {
+		var detector poison.CrashDetector
 		abandoned := lost(time.Second)
 		abandoned.Abandoned = true
-		witness.RecordUnanswered(abandoned)
-		witness.RecordAnswer(life, at(1100*time.Millisecond))
-		Expect(witness.RemoveByIncarnation(life, at(2*time.Second))).To(HaveLen(1))
-		witness.RecordUnanswered(abandoned)
-		Expect(witness.RemoveByIncarnation(life, at(4*time.Second))).To(BeEmpty())
+		detector.RecordUnanswered(abandoned)
+		detector.RecordAnswer(incarnation, instant(1100*time.Millisecond))
+		Expect(detector.RemoveByIncarnation(incarnation, instant(2*time.Second))).To(HaveLen(1))
+		detector.RecordUnanswered(abandoned)
+		Expect(detector.RemoveByIncarnation(incarnation, instant(4*time.Second))).To(BeEmpty())
 	})
 
-	It("is not made to forget what it lost by many that it gave up", func() {
-		var witness poison.CrashDetector
-		witness.RecordUnanswered(lost(time.Second))
+	It("keeps other attempts when many are abandoned", func() {
+		var detector poison.CrashDetector
+		detector.RecordUnanswered(lost(time.Second))
 		for range 10000 {
 			abandoned := lost(time.Second)
 			abandoned.Fingerprint = poison.Fingerprint{2}
 			abandoned.Abandoned = true
-			witness.RecordUnanswered(abandoned)
+			detector.RecordUnanswered(abandoned)
 		}
-		Expect(witness.RemoveByIncarnation(life, at(time.Second))).To(ContainElement(HaveField("Fingerprint", poison.Fingerprint{1})))
+		Expect(detector.RemoveByIncarnation(incarnation, instant(time.Second))).To(ContainElement(HaveField("Fingerprint", poison.Fingerprint{1})))
 	})
 })
--- a/poison/words_test.go
+++ b/poison/words_test.go
@@ -7,65 +7,65 @@
 	"cherrykeel/poison"
 )
 
-// oneEnd is a word of an upstream's end, in milliseconds from noon on.
-func oneEnd(upstream string, at, begun int64, marks ...poison.CallerFingerprint) poison.Record {
-	callers := map[poison.CallerFingerprint]bool{}
-	for _, mark := range marks {
-		callers[mark] = false
+// crashRecord returns a record of one crash of an upstream; times are in milliseconds after noon.
+func crashRecord(upstream string, seenAt, sentAt int64, callers ...poison.CallerFingerprint) poison.Record {
+	answered := map[poison.CallerFingerprint]bool{}
+	for _, caller := range callers {
+		answered[caller] = false
 	}
-	end := poison.Crash{Incarnation: poison.Incarnation{Upstream: upstream, StartedAt: 5}, SeenAt: noon + at, SentAt: noon + begun, Callers: callers}
-	return poison.Record{Fingerprint: identity(1), Service: "s", Crashes: []poison.Crash{end}}
+	crash := poison.Crash{Incarnation: poison.Incarnation{Upstream: upstream, StartedAt: 5}, SeenAt: noon + seenAt, SentAt: noon + sentAt, Callers: answered}
+	return poison.Record{Fingerprint: fingerprint(1), Service: "s", Crashes: []poison.Crash{crash}}
 }
 
-// bareEnd is such a word of a host that knows neither callers nor when the request was sent.
-func bareEnd(upstream string, at int64) poison.Record {
-	record := oneEnd(upstream, at, 0)
+// incompleteRecord returns such a record from a host that reports neither callers nor when the request was sent.
+func incompleteRecord(upstream string, seenAt int64) poison.Record {
+	record := crashRecord(upstream, seenAt, 0)
 	record.Crashes[0].SentAt = 0
 	record.Crashes[0].Callers = nil
 	return record
 }
 
-func hears(words ...poison.Record) *poison.Table {
+func tableOf(records ...poison.Record) *poison.Table {
 	table := poison.NewTable()
-	for _, word := range words {
-		table.Merge(word, noon+10000)
+	for _, record := range records {
+		table.Merge(record, noon+10000)
 	}
 	return table
 }
 
-var _ = Describe("hosts that hear the same words in another order", func() {
-	// Guards against hosts that refuse differently for good, though their records are alike.
-	DescribeTable("refuse the same", func(words ...poison.Record) {
-		want := hears(words...).DenialScope(identity(1))
-		for turn := range words {
-			turned := append(append([]poison.Record{}, words[turn:]...), words[:turn]...)
-			table := hears(turned...)
-			Expect(table.DenialScope(identity(1))).To(Equal(want))
-			record, known := table.Find(identity(1))
+var _ = Describe("hosts that receive the same records in another order", func() {
+	// Guards against hosts with equal records that deny different requests for good.
+	DescribeTable("deny the same", func(records ...poison.Record) {
+		expected := tableOf(records...).DenialScope(fingerprint(1))
+		for start := range records {
+			rotated := append(append([]poison.Record{}, records[start:]...), records[:start]...)
+			table := tableOf(rotated...)
+			Expect(table.DenialScope(fingerprint(1))).To(Equal(expected))
+			record, known := table.Find(fingerprint(1))
 			Expect(known).To(BeTrue())
-			Expect(hears(record).DenialScope(identity(1))).To(Equal(want), "a host that starts on the record")
+			Expect(tableOf(record).DenialScope(fingerprint(1))).To(Equal(expected), "a host that starts from the record")
 		}
 	},
-		Entry("of an end that two hosts have seen at other times",
-			oneEnd("a", 100, 0, "x"), oneEnd("a", 160, 0, "x"), oneEnd("b", 200, 130, "y"), oneEnd("c", 210, 50, "z")),
-		Entry("of a caller that one of them knew late",
-			oneEnd("a", 0, -1, "x"), oneEnd("b", 5000, 4999, "y"), oneEnd("c", 9000, 8999, "x"), oneEnd("b", 5000, 4999, "x")),
-		Entry("of hosts that know no callers",
-			bareEnd("a", 0), bareEnd("b", 3000), bareEnd("c", 6000),
-			oneEnd("a", 0, -1, "x"), oneEnd("b", 3000, 2999, "x"), oneEnd("c", 6000, 5999, "x")),
+		Entry("with a crash that two hosts saw at different times",
+			crashRecord("a", 100, 0, "x"), crashRecord("a", 160, 0, "x"), crashRecord("b", 200, 130, "y"), crashRecord("c", 210, 50, "z")),
+		Entry("with a caller that one of them recorded later",
+			crashRecord("a", 0, -1, "x"), crashRecord("b", 5000, 4999, "y"), crashRecord("c", 9000, 8999, "x"), crashRecord("b", 5000, 4999, "x")),
+		Entry("from hosts that report no callers",
+			incompleteRecord("a", 0), incompleteRecord("b", 3000), incompleteRecord("c", 6000),
+			crashRecord("a", 0, -1, "x"), crashRecord("b", 3000, 2999, "x"), crashRecord("c", 6000, 5999, "x")),
 	)
 
-	// Guards against one upstream's end that is told late, and counts as three.
-	It("take one life's end for one, however late they hear of it", func() {
-		table := hears(oneEnd("a", 0, -100, "x"), oneEnd("a", 2000, 1900, "y"), oneEnd("a", 4000, 3900, "z"))
-		Expect(table.DenialScope(identity(1)).IsEmpty()).To(BeTrue())
+	// Guards against the crash of one incarnation that counts as three, since reports of it arrive late.
+	It("count the crash of one incarnation once, however late they receive it", func() {
+		table := tableOf(crashRecord("a", 0, -100, "x"), crashRecord("a", 2000, 1900, "y"), crashRecord("a", 4000, 3900, "z"))
+		Expect(table.DenialScope(fingerprint(1)).IsEmpty()).To(BeTrue())
 	})
 
-	// Guards against all that are behind one address being refused a page, since their upstreams lost power together.
-	It("refuse nothing to an address for copies that were at work together", func() {
-		table := hears(oneEnd("a", 100, 0, "proxya", "1c"), oneEnd("b", 101, 1, "proxya", "2c"), oneEnd("c", 102, 2, "proxya", "3c"))
-		Expect(table.IsDenied(identity(1), "proxya", "4c")).To(BeFalse())
-		one := hears(oneEnd("a", 100, 0, "proxya", "1c"), oneEnd("b", 101, 1, "proxya", "1c"), oneEnd("c", 102, 2, "proxya", "1c"))
-		Expect(one.IsDenied(identity(1), "proxya", "1c")).To(BeTrue(), "one caller's copies")
+	// Guards against a page denied to all callers of one address, since upstreams lost power together.
+	It("deny nothing to an address for copies that were running at the same time", func() {
+		table := tableOf(crashRecord("a", 100, 0, "proxya", "1c"), crashRecord("b", 101, 1, "proxya", "2c"), crashRecord("c", 102, 2, "proxya", "3c"))
+		Expect(table.IsDenied(fingerprint(1), "proxya", "4c")).To(BeFalse())
+		single := tableOf(crashRecord("a", 100, 0, "proxya", "1c"), crashRecord("b", 101, 1, "proxya", "1c"), crashRecord("c", 102, 2, "proxya", "1c"))
+		Expect(single.IsDenied(fingerprint(1), "proxya", "1c")).To(BeTrue(), "one caller's copies")
 	})
 })
