--- a/deny/list_test.go
+++ b/deny/list_test.go
@@ -22,188 +22,188 @@
 
 const address = "10.0.0.9:80"
 
-var parts = poison.RequestParts{Method: "GET", Domain: "h", Path: "/deadly", CallerAddress: "10.0.0.1:5", Body: []byte("x")}
-
-// scene is a list whose upstream answers connections, or does not.
-type scene struct {
-	list     *deny.List
-	clock    cherrykeel.Clock
-	refuses  atomic.Bool
-	probes   atomic.Int64
-	leaving  atomic.Bool
-	told     atomic.Int64
-	kept     atomic.Int64
-	upstream int
+var requestParts = poison.RequestParts{Method: "GET", Domain: "h", Path: "/deadly", CallerAddress: "10.0.0.1:5", Body: []byte("x")}
+
+// fixture is a list with callbacks that count their calls, and one upstream at a time that may refuse connections.
+type fixture struct {
+	list              *deny.List
+	clock             cherrykeel.Clock
+	connectionRefused atomic.Bool
+	probes            atomic.Int64
+	announcedShutdown atomic.Bool
+	announced         atomic.Int64
+	stored            atomic.Int64
+	upstream          int
 }
 
-func newScene() *scene {
-	scene := &scene{clock: cherrykeel.SystemClock()}
-	scene.list = deny.New(deny.Settings{
-		Clock: scene.clock, Logger: zap.NewNop(), MinCrashesToStore: 2,
+func newFixture() *fixture {
+	fixture := &fixture{clock: cherrykeel.SystemClock()}
+	fixture.list = deny.New(deny.Settings{
+		Clock: fixture.clock, Logger: zap.NewNop(), MinCrashesToStore: 2,
 		IsConnectionRefused: func(string) bool {
-			scene.probes.Add(1)
-			return scene.refuses.Load()
+			fixture.probes.Add(1)
+			return fixture.connectionRefused.Load()
 		},
-		HasAnnouncedShutdown: func(poison.Incarnation) bool { return scene.leaving.Load() },
-		Announce:             func(poison.Record) { scene.told.Add(1) },
-		Store:                func(poison.Record) { scene.kept.Add(1) },
+		HasAnnouncedShutdown: func(poison.Incarnation) bool { return fixture.announcedShutdown.Load() },
+		Announce:             func(poison.Record) { fixture.announced.Add(1) },
+		Store:                func(poison.Record) { fixture.stored.Add(1) },
 	})
-	return scene
+	return fixture
 }
 
-func (scene *scene) life() poison.Incarnation {
-	return poison.Incarnation{Upstream: fmt.Sprint("u-", scene.upstream)}
+func (fixture *fixture) incarnation() poison.Incarnation {
+	return poison.Incarnation{Upstream: fmt.Sprint("u-", fixture.upstream)}
 }
 
-func (scene *scene) broke() poison.UnansweredAttempt {
-	now := scene.clock.Now()
-	return poison.UnansweredAttempt{RequestID: "r", Service: "s", Incarnation: scene.life(), Address: address, SentAt: now, EndedAt: now}
+func (fixture *fixture) attempt() poison.UnansweredAttempt {
+	now := fixture.clock.Now()
+	return poison.UnansweredAttempt{RequestID: "r", Service: "s", Incarnation: fixture.incarnation(), Address: address, SentAt: now, EndedAt: now}
 }
 
-// lose has the request's connection end without an answer.
-func (scene *scene) lose() {
-	scene.list.NewRequest(parts).RecordUnanswered(scene.broke())
+// loseRequest ends the request's connection without an answer.
+func (fixture *fixture) loseRequest() {
+	fixture.list.NewRequest(requestParts).RecordUnanswered(fixture.attempt())
 }
 
-// end has the upstream end under the request, and the next one come.
-func (scene *scene) end() {
-	scene.lose()
-	scene.list.RecordIncarnationEnded(scene.life())
-	scene.upstream++
+// crash has the upstream crash under the request, and the next one take its place.
+func (fixture *fixture) crash() {
+	fixture.loseRequest()
+	fixture.list.RecordIncarnationEnded(fixture.incarnation())
+	fixture.upstream++
 }
 
-var _ = Describe("a host's list of requests that end upstreams", func() {
-	var scene *scene
+var _ = Describe("a host's list of requests that crash upstreams", func() {
+	var fixture *fixture
 
-	BeforeEach(func() { scene = newScene() })
+	BeforeEach(func() { fixture = newFixture() })
 
-	refused := func() bool {
-		_, refused := scene.list.NewRequest(parts).Denied()
-		return refused
+	denied := func() bool {
+		_, denied := fixture.list.NewRequest(requestParts).Denied()
+		return denied
 	}
 
-	It("asks the address at which a request was lost, and counts the end if nobody listens there", func() {
-		scene.refuses.Store(true)
-		scene.lose()
-		Eventually(scene.list.NewRequest(parts).IsSuspected).Should(BeTrue())
-		Expect(scene.told.Load()).To(Equal(int64(1)))
-		Expect(scene.kept.Load()).To(Equal(int64(0)), "one end is told, not kept")
+	It("probes the address at which a request was lost, and counts a crash if no process listens there", func() {
+		fixture.connectionRefused.Store(true)
+		fixture.loseRequest()
+		Eventually(fixture.list.NewRequest(requestParts).IsSuspected).Should(BeTrue())
+		Expect(fixture.announced.Load()).To(Equal(int64(1)))
+		Expect(fixture.stored.Load()).To(Equal(int64(0)), "one crash is announced, not stored")
 	})
 
-	// Upstreams that are full reset hundreds of connections a second, and go on. A probe for each took up connections
-	// that they had left: twice as many were beyond their room.
-	It("does not ask where a connection was reset", func() {
-		found := scene.broke()
-		found.ConnectionReset = true
-		scene.list.NewRequest(parts).RecordUnanswered(found)
-		Consistently(scene.probes.Load, "50ms").Should(Equal(int64(0)))
-		scene.list.RecordIncarnationEnded(scene.life())
-		Expect(scene.list.NewRequest(parts).IsSuspected()).To(BeTrue(), "the end shows by itself later")
+	// Guards against probes that add to an overload: upstreams that are full reset hundreds of connections a second, and
+	// a probe for each would use up connections that they have left, so that twice as many exceed their capacity.
+	It("does not probe where a connection was reset", func() {
+		reset := fixture.attempt()
+		reset.ConnectionReset = true
+		fixture.list.NewRequest(requestParts).RecordUnanswered(reset)
+		Consistently(fixture.probes.Load, "50ms").Should(Equal(int64(0)))
+		fixture.list.RecordIncarnationEnded(fixture.incarnation())
+		Expect(fixture.list.NewRequest(requestParts).IsSuspected()).To(BeTrue(), "the crash is detected otherwise later")
 	})
 
-	It("counts no connection that a living upstream ended, and asks seldom", func() {
+	It("does not count a connection that a running upstream closed, and probes at a limited rate", func() {
 		for range 1000 {
-			scene.lose()
+			fixture.loseRequest()
 		}
-		Eventually(scene.probes.Load).Should(Equal(int64(1)))
-		Expect(scene.list.NewRequest(parts).IsSuspected()).To(BeFalse())
-		scene.list.RecordAnswer(scene.life(), scene.clock.Now())
-		scene.list.RecordIncarnationEnded(scene.life())
-		Expect(scene.list.NewRequest(parts).IsSuspected()).To(BeFalse(), "it has answered since")
+		Eventually(fixture.probes.Load).Should(Equal(int64(1)))
+		Expect(fixture.list.NewRequest(requestParts).IsSuspected()).To(BeFalse())
+		fixture.list.RecordAnswer(fixture.incarnation(), fixture.clock.Now())
+		fixture.list.RecordIncarnationEnded(fixture.incarnation())
+		Expect(fixture.list.NewRequest(requestParts).IsSuspected()).To(BeFalse(), "the upstream has answered since")
 	})
 
-	It("counts no end that an upstream had said before", func() {
-		scene.leaving.Store(true)
-		scene.end()
-		Expect(scene.list.NewRequest(parts).IsSuspected()).To(BeFalse())
+	It("does not count the end of an upstream that announced its shutdown", func() {
+		fixture.announcedShutdown.Store(true)
+		fixture.crash()
+		Expect(fixture.list.NewRequest(requestParts).IsSuspected()).To(BeFalse())
 	})
 
-	It("refuses at the third end, wakes who waits, and says for how long", func() {
-		scene.end()
-		scene.end()
-		changed := scene.list.DenialAdded()
-		Expect(refused()).To(BeFalse())
-		scene.end()
-		Expect(changed).To(BeClosed())
-		left, _ := scene.list.NewRequest(parts).Denied()
-		Expect(left).To(BeNumerically("~", time.Hour, time.Minute))
-		Expect(scene.kept.Load()).To(Equal(int64(2)))
+	It("denies at the third crash, wakes waiting requests, and returns for how long", func() {
+		fixture.crash()
+		fixture.crash()
+		denialAdded := fixture.list.DenialAdded()
+		Expect(denied()).To(BeFalse())
+		fixture.crash()
+		Expect(denialAdded).To(BeClosed())
+		remaining, _ := fixture.list.NewRequest(requestParts).Denied()
+		Expect(remaining).To(BeNumerically("~", time.Hour, time.Minute))
+		Expect(fixture.stored.Load()).To(Equal(int64(2)))
 	})
 
-	It("refuses what another host has seen, and neither the same of another caller nor another body", func() {
-		other := newScene()
+	It("denies what another host has observed, but neither to another caller nor with another body", func() {
+		other := newFixture()
 		for range poison.CrashesToDeny {
-			other.end()
+			other.crash()
 		}
 		for _, record := range other.list.Records() {
-			scene.list.Merge(record)
+			fixture.list.Merge(record)
 		}
-		Expect(refused()).To(BeTrue())
-		Expect(scene.told.Load()).To(Equal(int64(0)), "who has seen it tells")
-		for _, change := range []func(parts *poison.RequestParts){
-			func(parts *poison.RequestParts) { parts.CallerAddress = "10.0.0.2:5" },
-			func(parts *poison.RequestParts) { parts.Body = []byte("y") },
+		Expect(denied()).To(BeTrue())
+		Expect(fixture.announced.Load()).To(Equal(int64(0)), "only the host that observed it announces it")
+		for _, change := range []func(requestParts *poison.RequestParts){
+			func(requestParts *poison.RequestParts) { requestParts.CallerAddress = "10.0.0.2:5" },
+			func(requestParts *poison.RequestParts) { requestParts.Body = []byte("y") },
 		} {
-			innocent := parts
+			innocent := requestParts
 			change(&innocent)
-			_, found := scene.list.NewRequest(innocent).Denied()
-			Expect(found).To(BeFalse())
+			_, denied := fixture.list.NewRequest(innocent).Denied()
+			Expect(denied).To(BeFalse())
 		}
 	})
 
-	// Guards against an address that stands for a caller: the same request comes from another machine each time.
-	It("refuses what came from another address at each end, and another body there it does not", func() {
-		again := func(address int) poison.RequestParts {
-			other := parts
-			other.CallerAddress = fmt.Sprintf("10.0.1.%d:5", address)
+	// Guards against a request that comes from another address each time, so that no single caller reaches the threshold.
+	It("denies a request that came from another address at each crash, but not another body from there", func() {
+		from := func(number int) poison.RequestParts {
+			other := requestParts
+			other.CallerAddress = fmt.Sprintf("10.0.1.%d:5", number)
 			return other
 		}
 		for number := range poison.CrashesToDeny {
-			scene.list.NewRequest(again(number)).RecordUnanswered(scene.broke())
-			scene.list.RecordIncarnationEnded(scene.life())
-			scene.upstream++
+			fixture.list.NewRequest(from(number)).RecordUnanswered(fixture.attempt())
+			fixture.list.RecordIncarnationEnded(fixture.incarnation())
+			fixture.upstream++
 		}
-		_, found := scene.list.NewRequest(again(9)).Denied()
-		Expect(found).To(BeTrue())
-		innocent := again(9)
+		_, denied := fixture.list.NewRequest(from(9)).Denied()
+		Expect(denied).To(BeTrue())
+		innocent := from(9)
 		innocent.Body = []byte("y")
-		_, found = scene.list.NewRequest(innocent).Denied()
-		Expect(found).To(BeFalse())
+		_, denied = fixture.list.NewRequest(innocent).Denied()
+		Expect(denied).To(BeFalse())
 	})
 
-	It("takes all back once an upstream has served the request, and tells that", func() {
+	It("stops denying a request once an upstream has answered it, and announces that", func() {
 		for range poison.CrashesToDeny {
-			scene.end()
+			fixture.crash()
 		}
-		told := scene.told.Load()
-		scene.list.NewRequest(parts).RecordSuccess()
-		Expect(refused()).To(BeFalse())
-		Expect(scene.told.Load()).To(Equal(told + 1))
+		announced := fixture.announced.Load()
+		fixture.list.NewRequest(requestParts).RecordSuccess()
+		Expect(denied()).To(BeFalse())
+		Expect(fixture.announced.Load()).To(Equal(announced + 1))
 	})
 
-	// Two hosts see two ends each and write them at the same moment. The later record stands in the place of the earlier
-	// one, so that a host that starts would know two ends of four.
-	It("has all kept again when the record that stands lacks what it has seen", func() {
-		other := newScene()
+	// Guards against a host that starts with two crashes of four: two hosts saw two crashes each and stored them at the
+	// same time, and the later record replaced the earlier one.
+	It("stores the merged record again if the stored one lacks what this host has observed", func() {
+		other := newFixture()
 		other.upstream = 10
 		for range 2 {
-			scene.end()
-			other.end()
+			fixture.crash()
+			other.crash()
 		}
-		kept, stood := scene.kept.Load(), other.list.Records()[0]
-		scene.list.MergeStored(stood)
-		Expect(scene.kept.Load()).To(Equal(kept + 1))
-		scene.list.MergeStored(scene.list.Records()[0])
-		Expect(scene.kept.Load()).To(Equal(kept+1), "it stands now")
-		reader := newScene()
-		reader.list.MergeStored(stood)
-		Expect(reader.kept.Load()).To(Equal(int64(0)), "who has seen nothing writes nothing")
+		stored, replacing := fixture.stored.Load(), other.list.Records()[0]
+		fixture.list.MergeStored(replacing)
+		Expect(fixture.stored.Load()).To(Equal(stored + 1))
+		fixture.list.MergeStored(fixture.list.Records()[0])
+		Expect(fixture.stored.Load()).To(Equal(stored+1), "the stored record is complete now")
+		reader := newFixture()
+		reader.list.MergeStored(replacing)
+		Expect(reader.stored.Load()).To(Equal(int64(0)), "a host that has observed nothing stores nothing")
 	})
 
-	It("works out no identity while nothing is known of what a request asks for", func() {
-		request := scene.list.NewRequest(parts)
+	It("computes no fingerprint while there is no record of a request's target", func() {
+		request := fixture.list.NewRequest(requestParts)
 		_, _ = request.Denied()
-		_, identified := request.ComputedFingerprint()
-		Expect(identified).To(BeFalse())
+		_, computed := request.ComputedFingerprint()
+		Expect(computed).To(BeFalse())
 	})
 })
