--- a/deny/list.go
+++ b/deny/list.go
@@ -13,33 +13,34 @@
 	"cherrykeel/poison"
 )
 
-// Evidence is what showed that an upstream's process had ended.
+// Evidence is how a host detected that an upstream's process had ended, as logged.
 type Evidence string
 
-// The kinds of evidence, as they stand in logs.
+// The kinds of evidence.
 const (
-	// ConnectionRefused means that a connection to its address was refused.
+	// ConnectionRefused means that a connection to the upstream's address was refused.
 	ConnectionRefused Evidence = "connection refused"
-	// EntryGone means that its entry was gone, or another process had its address.
+	// EntryGone means that the upstream's entry was removed, or that another process had its address.
 	EntryGone Evidence = "entry gone"
 )
 
-// Settings is what a List needs of its host; what is nil is not asked or told.
+// Settings holds what a List needs of its host. Callbacks may be nil.
 type Settings struct {
 	Clock  cherrykeel.Clock
 	Logger *zap.Logger
-	// IsConnectionRefused asks for a connection to an address and reports whether it was refused.
+	// IsConnectionRefused opens a connection to an address and reports whether it was refused.
 	IsConnectionRefused func(address string) bool
-	// HasAnnouncedShutdown reports whether an upstream's life had said that it would end.
-	HasAnnouncedShutdown func(life poison.Incarnation) bool
-	// Announce passes on to the other hosts what this host has seen itself, and Keep writes it where hosts find it
-	// that start later, from so many ends on.
-	Announce          func(record poison.Record)
+	// HasAnnouncedShutdown reports whether an incarnation had announced its graceful shutdown before it ended.
+	HasAnnouncedShutdown func(incarnation poison.Incarnation) bool
+	// Announce sends what this host has observed itself to the other hosts.
+	Announce func(record poison.Record)
+	// Store stores a record where hosts that start later read it. It is called for records with at least
+	// MinCrashesToStore crashes.
 	Store             func(record poison.Record)
 	MinCrashesToStore int
 }
 
-// List is one host's list.
+// List holds one host's suspected and denied requests, and its unanswered attempts. It is safe for concurrent use.
 type List struct {
 	Settings
 	prober *prober
@@ -47,13 +48,13 @@
 	mutex    sync.Mutex
 	detector poison.CrashDetector
 	table    *poison.Table
-	// hasPending says that the witness keeps breaks and known that the table has records, so that requests need not take
-	// the lock on usual days.
+	// hasPending is set while the detector holds attempts, and hasRecords while the table has records. With neither, as
+	// is usual, requests need not acquire the mutex.
 	hasPending atomic.Bool
 	hasRecords atomic.Bool
-	// denialAdded is closed when one more request is refused.
+	// denialAdded is closed and replaced when a denial is added or widened.
 	denialAdded chan struct{}
-	// refusalCount counts what was not sent.
+	// refusalCount counts how often a denied request was not sent.
 	refusalCount atomic.Int64
 }
 
@@ -76,137 +77,140 @@
 	return list
 }
 
-// IsEmpty reports whether nothing is known of any request.
+// IsEmpty reports whether there is no record of any request.
 func (list *List) IsEmpty() bool {
 	return !list.hasRecords.Load()
 }
 
-// hasTarget reports whether anything is known of requests for a target.
+// hasTarget reports whether there is a record of any request for a target.
 func (list *List) hasTarget(target poison.Target) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.table.HasTarget(target)
 }
 
-func (list *List) denied(identity poison.Fingerprint, marks []poison.CallerFingerprint) (time.Duration, bool) {
+// denied returns for how much longer a request is denied to a caller, and whether it is.
+func (list *List) denied(fingerprint poison.Fingerprint, callers []poison.CallerFingerprint) (time.Duration, bool) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	if !list.table.IsDenied(identity, marks...) {
+	if !list.table.IsDenied(fingerprint, callers...) {
 		return 0, false
 	}
 	list.refusalCount.Add(1)
-	left := time.Duration(list.table.ExpiresAt(identity)-list.unixMillis()) * time.Millisecond
-	return max(0, left), true
+	remaining := time.Duration(list.table.ExpiresAt(fingerprint)-list.unixMillis()) * time.Millisecond
+	return max(0, remaining), true
 }
 
-func (list *List) isSuspected(identity poison.Fingerprint, marks []poison.CallerFingerprint) bool {
+func (list *List) isSuspected(fingerprint poison.Fingerprint, callers []poison.CallerFingerprint) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	return list.table.IsSuspected(identity, marks...)
+	return list.table.IsSuspected(fingerprint, callers...)
 }
 
-// DenialAdded returns a channel that is closed when one more request is refused.
+// DenialAdded returns a channel that is closed the next time that a request is denied to more callers than before.
 func (list *List) DenialAdded() <-chan struct{} {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.denialAdded
 }
 
-// Records returns all that is known, for a host that knows nothing yet.
+// Records returns all records, for a host that has none yet.
 func (list *List) Records() []poison.Record {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.table.Records()
 }
 
-// Find returns what is known of a request.
-func (list *List) Find(identity poison.Fingerprint) (poison.Record, bool) {
+// Find returns a request's record, and whether there is one.
+func (list *List) Find(fingerprint poison.Fingerprint) (poison.Record, bool) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	return list.table.Find(identity)
+	return list.table.Find(fingerprint)
 }
 
-// UpdateMetrics shows in a host's metrics how many requests are denied and suspected, and how often one was refused.
+// UpdateMetrics sets the gauges of denied and suspected requests, and of how often a denied request was not sent.
 func (list *List) UpdateMetrics(scope tally.Scope) {
 	list.mutex.Lock()
-	refused, known := list.table.Counts()
+	denied, total := list.table.Counts()
 	list.mutex.Unlock()
-	scope.Gauge("denied_requests").Update(float64(refused))
-	scope.Gauge("suspected_requests").Update(float64(known - refused))
+	scope.Gauge("denied_requests").Update(float64(denied))
+	scope.Gauge("suspected_requests").Update(float64(total - denied))
 	scope.Gauge("denied_refusals").Update(float64(list.refusalCount.Load()))
 }
 
-// RemoveExpired drops what is too old, and returns what it dropped.
+// RemoveExpired removes expired records and returns their fingerprints.
 func (list *List) RemoveExpired() []poison.Fingerprint {
 	if list.IsEmpty() {
 		return nil
 	}
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	dropped := list.table.RemoveExpired(list.unixMillis())
+	removed := list.table.RemoveExpired(list.unixMillis())
 	list.updateHasRecords()
-	return dropped
+	return removed
 }
 
-// updateHasRecords keeps known right; List.mutex is held.
+// updateHasRecords updates hasRecords from the table; the caller holds List.mutex.
 func (list *List) updateHasRecords() {
-	_, known := list.table.Counts()
-	list.hasRecords.Store(known > 0)
+	_, total := list.table.Counts()
+	list.hasRecords.Store(total > 0)
 }
 
-// unixMillis is the time of day by which ends are told, in Unix milliseconds.
+// unixMillis returns the wall-clock time, in Unix milliseconds, by which crashes are recorded.
 func (list *List) unixMillis() int64 {
 	return list.Clock.Wall().UnixMilli()
 }
 
-// Merge takes what another host has seen.
+// Merge merges a record received from another host.
 func (list *List) Merge(record poison.Record) {
 	list.mutex.Lock()
 	before := list.table.DenialScope(record.Fingerprint)
-	merged, news := list.table.Merge(record, list.unixMillis())
-	if news {
+	merged, changed := list.table.Merge(record, list.unixMillis())
+	if changed {
 		list.signalIfWider(record.Fingerprint, before)
 	}
 	list.mutex.Unlock()
-	if news {
+	if changed {
 		list.logScopeChange(merged, before)
 	}
 }
 
-// MergeStored takes the newest record that is kept of a request. Of two hosts that write at the same moment the later
-// one's record stands, without what only the other has seen; whoever has seen it writes all that is known again.
-// Hosts that start later would know too little, and send the request on once more often for each end that they lack.
-func (list *List) MergeStored(kept poison.Record) {
-	list.Merge(kept)
+// MergeStored merges the latest stored record of a request. If two hosts store records at the same time, the later
+// one replaces the earlier one and lacks what only the other host observed. So a host that has observed something of the
+// request itself stores the merged record again if the stored one is incomplete. Otherwise, hosts that start later would
+// send the request once more for each crash that is missing.
+func (list *List) MergeStored(stored poison.Record) {
+	list.Merge(stored)
 	list.mutex.Lock()
-	known, exists := list.table.Find(kept.Fingerprint)
-	lacks := exists && list.table.IsObservedLocally(kept.Fingerprint) && kept.NeedsMerge(known)
+	merged, exists := list.table.Find(stored.Fingerprint)
+	incomplete := exists && list.table.IsObservedLocally(stored.Fingerprint) && stored.NeedsMerge(merged)
 	list.mutex.Unlock()
-	if lacks {
-		list.Store(known)
+	if incomplete {
+		list.Store(merged)
 	}
 }
 
-// signalIfWider wakes those that wait if a request is refused that was not; List.mutex is held.
-func (list *List) signalIfWider(identity poison.Fingerprint, before poison.DenialScope) {
+// signalIfWider closes denialAdded if a request is denied to more callers than before; the caller holds List.mutex.
+func (list *List) signalIfWider(fingerprint poison.Fingerprint, before poison.DenialScope) {
 	list.updateHasRecords()
-	if list.table.DenialScope(identity).IsWiderThan(before) {
+	if list.table.DenialScope(fingerprint).IsWiderThan(before) {
 		close(list.denialAdded)
 		list.denialAdded = make(chan struct{})
 	}
 }
 
+// logScopeChange logs a request's denial or the end of it, if its scope has changed.
 func (list *List) logScopeChange(record poison.Record, before poison.DenialScope) {
 	list.mutex.Lock()
-	extent := list.table.DenialScope(record.Fingerprint)
+	scope := list.table.DenialScope(record.Fingerprint)
 	list.mutex.Unlock()
-	if extent == before {
+	if scope == before {
 		return
 	}
 	event := events.RequestCleared
-	if extent.IsWiderThan(before) {
+	if scope.IsWiderThan(before) {
 		event = events.RequestDenied
 	}
 	events.Log(list.Logger, event,
-		zap.Stringer("Identity", record.Fingerprint), zap.Bool("All", extent.AllCallers), zap.Int("Callers", extent.CallerCount), zap.String("Service", record.Service), zap.Any("Ends", record.Crashes))
+		zap.Stringer("Identity", record.Fingerprint), zap.Bool("All", scope.AllCallers), zap.Int("Callers", scope.CallerCount), zap.String("Service", record.Service), zap.Any("Ends", record.Crashes))
 }
--- a/deny/parts.go
+++ b/deny/parts.go
@@ -7,11 +7,11 @@
 	"cherrykeel/poison"
 )
 
-// credentialHeaders are what callers show of who they are, whichever address they come from.
+// credentialHeaders are the headers that identify a caller independently of its address.
 var credentialHeaders = []string{"Authorization", "Cookie"}
 
-// RequestPartsOf returns what makes a request the same one when it is sent again. Its target is the path with the query as
-// they came, its body is whole; the key is empty if it has none.
+// RequestPartsOf returns the parts of a request that its fingerprint is computed from. The target is the path with the
+// query as received, the key is empty if the request has none, and the body is the whole one.
 func RequestPartsOf(request *http.Request, target, key string, body []byte) poison.RequestParts {
 	return poison.RequestParts{
 		Method: request.Method, Domain: request.Host, Path: target, Key: key, Body: body,
@@ -19,12 +19,13 @@
 	}
 }
 
+// credentials returns the values of the credential headers, or "" if there are none.
 func credentials(header http.Header) string {
-	var shown []string
+	var found []string
 	for _, name := range credentialHeaders {
 		for _, value := range header[name] {
-			shown = append(shown, name+": "+value)
+			found = append(found, name+": "+value)
 		}
 	}
-	return strings.Join(shown, "\n")
+	return strings.Join(found, "\n")
 }
--- a/deny/pending.go
+++ b/deny/pending.go
@@ -7,7 +7,7 @@
 	"cherrykeel/poison"
 )
 
-// PendingRecords are requests whose records are still to be written where hosts find them that start later.
+// PendingRecords is a set of requests whose records have not been stored yet. It is safe for concurrent use.
 type PendingRecords struct {
 	mutex        sync.Mutex
 	fingerprints map[poison.Fingerprint]bool
@@ -19,39 +19,40 @@
 	return &PendingRecords{fingerprints: map[poison.Fingerprint]bool{}, added: make(chan struct{}, 1)}
 }
 
-// Add adds a request; what is written of it is the newest record when its turn comes.
-func (pending *PendingRecords) Add(record poison.Record) {
-	pending.mutex.Lock()
-	pending.fingerprints[record.Fingerprint] = true
-	pending.mutex.Unlock()
+// Add adds a record's request. Only its fingerprint is kept, so that the record stored later is the latest one.
+func (pendingRecords *PendingRecords) Add(record poison.Record) {
+	pendingRecords.mutex.Lock()
+	pendingRecords.fingerprints[record.Fingerprint] = true
+	pendingRecords.mutex.Unlock()
 	select {
-	case pending.added <- struct{}{}:
+	case pendingRecords.added <- struct{}{}:
 	default:
 	}
 }
 
-// DequeueAll waits until there are requests and takes them all; nil says that the context has ended.
-func (pending *PendingRecords) DequeueAll(ctx context.Context) []poison.Fingerprint {
+// DequeueAll waits until there are requests, removes all of them and returns their fingerprints. It returns nil if the
+// context has ended.
+func (pendingRecords *PendingRecords) DequeueAll(ctx context.Context) []poison.Fingerprint {
 	for ctx.Err() == nil {
-		taken := pending.removeAll()
-		if len(taken) > 0 {
-			return taken
+		removed := pendingRecords.removeAll()
+		if len(removed) > 0 {
+			return removed
 		}
 		select {
-		case <-pending.added:
+		case <-pendingRecords.added:
 		case <-ctx.Done():
 		}
 	}
 	return nil
 }
 
-func (pending *PendingRecords) removeAll() []poison.Fingerprint {
-	pending.mutex.Lock()
-	defer pending.mutex.Unlock()
-	taken := make([]poison.Fingerprint, 0, len(pending.fingerprints))
-	for identity := range pending.fingerprints {
-		taken = append(taken, identity)
+func (pendingRecords *PendingRecords) removeAll() []poison.Fingerprint {
+	pendingRecords.mutex.Lock()
+	defer pendingRecords.mutex.Unlock()
+	removed := make([]poison.Fingerprint, 0, len(pendingRecords.fingerprints))
+	for fingerprint := range pendingRecords.fingerprints {
+		removed = append(removed, fingerprint)
 	}
-	clear(pending.fingerprints)
-	return taken
+	clear(pendingRecords.fingerprints)
+	return removed
 }
--- a/deny/prober.go
+++ b/deny/prober.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// prober asks addresses at a bounded pace, each by one goroutine at a time.
+// prober probes addresses at a limited rate for each address.
 type prober struct {
 	probe func(address string)
 	mutex sync.Mutex
-	// nextProbe is when an address may be asked again; those whose time has passed are dropped.
+	// nextProbe has the time from which an address may be probed again; entries in the past are removed.
 	nextProbe map[string]time.Time
 }
 
-func newProber(ask func(address string)) *prober {
-	return &prober{probe: ask, nextProbe: map[string]time.Time{}}
+func newProber(probe func(address string)) *prober {
+	return &prober{probe: probe, nextProbe: map[string]time.Time{}}
 }
 
-// schedule has an address asked after a moment, unless that is about to happen.
+// schedule schedules a probe of an address after probeDelay, and at least probeInterval after the previous one. It does
+// nothing if a probe is scheduled already.
 func (prober *prober) schedule(address string) {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
@@ -27,15 +28,15 @@
 			delete(prober.nextProbe, other)
 		}
 	}
-	at := now.Add(probeDelay)
-	next, asked := prober.nextProbe[address]
-	if asked && next.Sub(now) > probeInterval {
-		// The last probe that was asked for has not begun yet.
+	probeAt := now.Add(probeDelay)
+	next, probed := prober.nextProbe[address]
+	if probed && next.Sub(now) > probeInterval {
+		// The latest scheduled probe has not started yet.
 		return
 	}
-	if asked && next.After(at) {
-		at = next
+	if probed && next.After(probeAt) {
+		probeAt = next
 	}
-	prober.nextProbe[address] = at.Add(probeInterval)
-	time.AfterFunc(at.Sub(now), func() { prober.probe(address) })
+	prober.nextProbe[address] = probeAt.Add(probeInterval)
+	time.AfterFunc(probeAt.Sub(now), func() { prober.probe(address) })
 }
--- a/deny/request.go
+++ b/deny/request.go
@@ -6,22 +6,23 @@
 	"cherrykeel/poison"
 )
 
-// Request is one request on its way, as the list sees it. Its identity is worked out when it is first needed: while
-// nothing is known of any request for what this one asks for, it is not.
+// Request is one request of a caller, for which it can query the list and record results. Its fingerprint is computed
+// when it is first needed, which is not the case while there is no record of any request for its target. It is not safe
+// for concurrent use.
 type Request struct {
-	list        *List
-	parts       poison.RequestParts
-	fingerprint poison.Fingerprint
-	callers     []poison.CallerFingerprint
-	computed    bool
+	list         *List
+	requestParts poison.RequestParts
+	fingerprint  poison.Fingerprint
+	callers      []poison.CallerFingerprint
+	computed     bool
 }
 
-// NewRequest returns a request of a caller whose whole body has been read.
-func (list *List) NewRequest(parts poison.RequestParts) *Request {
-	return &Request{list: list, parts: parts}
+// NewRequest returns a request of a caller. Its whole body has been read.
+func (list *List) NewRequest(requestParts poison.RequestParts) *Request {
+	return &Request{list: list, requestParts: requestParts}
 }
 
-// Fingerprint returns what stays the same when the request is sent again, by whomever.
+// Fingerprint returns the request's fingerprint, and computes it if that has not been done yet.
 func (request *Request) Fingerprint() poison.Fingerprint {
 	request.computeFingerprint()
 	return request.fingerprint
@@ -32,20 +33,21 @@
 		return
 	}
 	request.computed = true
-	request.fingerprint = poison.FingerprintOf(request.parts)
-	request.callers = request.parts.CallerFingerprints()
+	request.fingerprint = poison.FingerprintOf(request.requestParts)
+	request.callers = request.requestParts.CallerFingerprints()
 }
 
-// ComputedFingerprint returns the identity if it has been worked out.
+// ComputedFingerprint returns the fingerprint, and whether it has been computed.
 func (request *Request) ComputedFingerprint() (poison.Fingerprint, bool) {
 	return request.fingerprint, request.computed
 }
 
+// isTargetRecorded reports whether there is a record of any request for the same target.
 func (request *Request) isTargetRecorded() bool {
-	return !request.list.IsEmpty() && request.list.hasTarget(request.parts.Target())
+	return !request.list.IsEmpty() && request.list.hasTarget(request.requestParts.Target())
 }
 
-// Denied reports whether the request is not to be sent, and for how long that is remembered.
+// Denied reports whether the request must not be sent to any upstream, and for how much longer.
 func (request *Request) Denied() (time.Duration, bool) {
 	if !request.isTargetRecorded() {
 		return 0, false
@@ -53,24 +55,24 @@
 	return request.list.denied(request.Fingerprint(), request.callers)
 }
 
-// IsSuspected reports whether upstreams have ended while the request was at work there. Then no host sends it once more
-// of its own accord: what is lost with an upstream is mostly none the worse for another one, but this may be what ended
-// it, and each repeat costs an upstream with all that runs there.
+// IsSuspected reports whether upstreams have crashed while the request was running there. Hosts do not retry such a
+// request on their own. Most requests that are lost with an upstream are harmless to the next one, but this one may be
+// what crashed it, and then each retry costs an upstream with all that it runs.
 func (request *Request) IsSuspected() bool {
 	return request.isTargetRecorded() && request.list.isSuspected(request.Fingerprint(), request.callers)
 }
 
-// RecordSuccess takes it that an upstream has run the request to a good end.
+// RecordSuccess records that an upstream has answered the request successfully.
 func (request *Request) RecordSuccess() {
 	if request.isTargetRecorded() {
 		request.list.recordSuccess(request.Fingerprint(), request.callers)
 	}
 }
 
-// RecordUnanswered takes it that the request was sent to an upstream and got no answer from it. Of the break all is to be filled in
-// but the identity and the marks; its Request is the id of this attempt of the caller, for logs.
-func (request *Request) RecordUnanswered(found poison.UnansweredAttempt) {
-	found.Fingerprint = request.Fingerprint()
-	found.CallerFingerprints = request.callers
-	request.list.recordUnanswered(found)
+// RecordUnanswered records an attempt to send the request to an upstream that got no successful answer. The caller sets
+// all fields of the attempt except its fingerprints.
+func (request *Request) RecordUnanswered(attempt poison.UnansweredAttempt) {
+	attempt.Fingerprint = request.Fingerprint()
+	attempt.CallerFingerprints = request.callers
+	request.list.recordUnanswered(attempt)
 }
--- a/deny/witness.go
+++ b/deny/witness.go
@@ -11,98 +11,99 @@
 )
 
 const (
-	// probeDelay lets an upstream's process end whose connections have begun to.
+	// probeDelay gives a process whose connections have started to close the time to end.
 	probeDelay = 10 * time.Millisecond
-	// probeInterval bounds the probes of one address; upstreams that are full end hundreds of connections a second.
+	// probeInterval limits the probes of one address. Upstreams that are full close hundreds of connections a second.
 	probeInterval = 500 * time.Millisecond
 )
 
-// recordUnanswered has the address asked unless the connection was reset. Upstreams that are full reset what is beyond their
-// room, and a probe for each takes more of it; the request under which a process ends has been read, so that its
-// connection is closed. What else was lost there waits for the answer too.
-func (list *List) recordUnanswered(found poison.UnansweredAttempt) {
+// recordUnanswered records an attempt and probes the upstream's address, unless the attempt was abandoned or its
+// connection was reset. Upstreams that are full reset the connections beyond their capacity, and a probe for each would
+// use up more of it. The request under which a process crashes has been read by it, so that its connection is closed,
+// not reset. Other attempts that were lost there are resolved by the same probe.
+func (list *List) recordUnanswered(attempt poison.UnansweredAttempt) {
 	list.mutex.Lock()
-	list.detector.RecordUnanswered(found)
+	list.detector.RecordUnanswered(attempt)
 	list.hasPending.Store(true)
 	list.mutex.Unlock()
-	if !found.ConnectionReset && !found.Abandoned {
-		list.prober.schedule(found.Address)
+	if !attempt.ConnectionReset && !attempt.Abandoned {
+		list.prober.schedule(attempt.Address)
 	}
 }
 
-// RecordAnswer takes it that an upstream's life has answered a request that was sent at the given time.
-func (list *List) RecordAnswer(life poison.Incarnation, sent cherrykeel.Instant) {
+// RecordAnswer records that an incarnation of an upstream has answered a request that was sent at the given time.
+func (list *List) RecordAnswer(incarnation poison.Incarnation, sentAt cherrykeel.Instant) {
 	list.resolveAttempts(func(cherrykeel.Instant) []poison.UnansweredAttempt {
-		list.detector.RecordAnswer(life, sent)
+		list.detector.RecordAnswer(incarnation, sentAt)
 		return nil
 	}, "")
 }
 
-// RecordRefusedConnection takes it that a connection to an address was refused.
+// RecordRefusedConnection records that a connection to an address was refused, so that no process listens there.
 func (list *List) RecordRefusedConnection(address string) {
 	list.resolveAttempts(func(now cherrykeel.Instant) []poison.UnansweredAttempt {
 		return list.detector.RemoveByAddress(address, now)
 	}, ConnectionRefused)
 }
 
-// RecordIncarnationEnded takes it that an upstream's life is over.
-func (list *List) RecordIncarnationEnded(life poison.Incarnation) {
+// RecordIncarnationEnded records that an incarnation of an upstream has ended.
+func (list *List) RecordIncarnationEnded(incarnation poison.Incarnation) {
 	list.resolveAttempts(func(now cherrykeel.Instant) []poison.UnansweredAttempt {
-		return list.detector.RemoveByIncarnation(life, now)
+		return list.detector.RemoveByIncarnation(incarnation, now)
 	}, EntryGone)
 }
 
-// resolveAttempts takes the breaks that the witness knows the reason of now.
-func (list *List) resolveAttempts(known func(now cherrykeel.Instant) []poison.UnansweredAttempt, evidence Evidence) {
+// resolveAttempts removes resolved attempts from the detector, and records a crash for each of those returned.
+func (list *List) resolveAttempts(remove func(now cherrykeel.Instant) []poison.UnansweredAttempt, evidence Evidence) {
 	if !list.hasPending.Load() {
 		return
 	}
 	now := list.Clock.Now()
 	list.mutex.Lock()
-	breaks := known(now)
+	attempts := remove(now)
 	list.hasPending.Store(!list.detector.IsEmpty(now))
 	list.mutex.Unlock()
-	for _, found := range breaks {
-		// Who has said that it leaves ends when its work is done, whatever that was.
-		if !list.HasAnnouncedShutdown(found.Incarnation) {
-			list.recordCrash(found, evidence, now)
+	for _, attempt := range attempts {
+		// An upstream that announced its shutdown ends once it has finished its requests, whatever they are.
+		if !list.HasAnnouncedShutdown(attempt.Incarnation) {
+			list.recordCrash(attempt, evidence, now)
 		}
 	}
 }
 
-// recordCrash takes a request that was at work when its upstream ended.
-func (list *List) recordCrash(found poison.UnansweredAttempt, evidence Evidence, now cherrykeel.Instant) {
-	seen := list.unixMillis() - now.Sub(found.EndedAt).Milliseconds()
+// recordCrash records that the request of an attempt was running when its upstream ended.
+func (list *List) recordCrash(attempt poison.UnansweredAttempt, evidence Evidence, now cherrykeel.Instant) {
+	seenAt := list.unixMillis() - now.Sub(attempt.EndedAt).Milliseconds()
 	list.mutex.Lock()
-	before := list.table.DenialScope(found.Fingerprint)
-	record, news := list.table.RecordCrash(found, seen)
-	if news {
-		list.signalIfWider(found.Fingerprint, before)
+	before := list.table.DenialScope(attempt.Fingerprint)
+	record, changed := list.table.RecordCrash(attempt, seenAt)
+	if changed {
+		list.signalIfWider(attempt.Fingerprint, before)
 	} else {
-		record, _ = list.table.Find(found.Fingerprint)
+		record, _ = list.table.Find(attempt.Fingerprint)
 	}
 	list.mutex.Unlock()
 	events.Log(list.Logger, events.RequestSuspected,
-		zap.String("Request", found.RequestID), zap.Stringer("Identity", found.Fingerprint),
-		zap.Any("Callers", found.CallerFingerprints), zap.String("Service", found.Service),
-		zap.String("Upstream", found.Incarnation.Upstream), zap.Int64("Born", found.Incarnation.StartedAt),
-		zap.String("Evidence", string(evidence)), zap.Duration("After", now.Sub(found.EndedAt)), zap.Int("Ends", len(record.UnansweredCrashes())))
-	if news {
+		zap.String("Request", attempt.RequestID), zap.Stringer("Identity", attempt.Fingerprint),
+		zap.Any("Callers", attempt.CallerFingerprints), zap.String("Service", attempt.Service),
+		zap.String("Upstream", attempt.Incarnation.Upstream), zap.Int64("Born", attempt.Incarnation.StartedAt),
+		zap.String("Evidence", string(evidence)), zap.Duration("After", now.Sub(attempt.EndedAt)), zap.Int("Ends", len(record.UnansweredCrashes())))
+	if changed {
 		list.announceRecord(record, before)
 	}
 }
 
-func (list *List) recordSuccess(identity poison.Fingerprint, marks []poison.CallerFingerprint) {
+func (list *List) recordSuccess(fingerprint poison.Fingerprint, callers []poison.CallerFingerprint) {
 	list.mutex.Lock()
-	before := list.table.DenialScope(identity)
-	record, news := list.table.RecordAnswer(identity, marks...)
+	before := list.table.DenialScope(fingerprint)
+	record, changed := list.table.RecordAnswer(fingerprint, callers...)
 	list.mutex.Unlock()
-	if news {
+	if changed {
 		list.announceRecord(record, before)
 	}
 }
 
-// announceRecord tells of what this host has seen itself.
+// announceRecord announces a record that changed by this host's own observation, and stores it if it has enough crashes.
 func (list *List) announceRecord(record poison.Record, before poison.DenialScope) {
 	list.logScopeChange(record, before)
 	list.Announce(record)
@@ -111,13 +112,14 @@
 	}
 }
 
-// probe looks whether a process listens at an address at which a request was lost. Other requests, and the heartbeats'
-// lapse, would tell later: on a quiet service by seconds, in which the same request ends the next upstream.
+// probe checks whether a process listens at an address at which a request was lost. Other requests or missing
+// heartbeats would show that too, but on a quiet service seconds later, in which the same request crashes the next
+// upstream.
 func (list *List) probe(address string) {
 	list.mutex.Lock()
-	waits := list.detector.HasPending(address)
+	hasPending := list.detector.HasPending(address)
 	list.mutex.Unlock()
-	if waits && list.IsConnectionRefused(address) {
+	if hasPending && list.IsConnectionRefused(address) {
 		list.RecordRefusedConnection(address)
 	}
 }
