--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -20,7 +20,8 @@
 	RunSpecs(t, "trial")
 }
 
-// options describe the worlds in which adversaries act; clocks drift by up to 1%, half of what keepers allow for.
+// options returns the options of the worlds in which adversaries act. Clocks drift by up to 1%, half of what keepers
+// allow for.
 func options(seed int64) trial.Options {
 	return trial.Options{
 		Seed: seed, Hosts: 5, Upstreams: 4, Zones: 3, Partitions: partitions,
@@ -28,8 +29,8 @@
 	}
 }
 
-// watch records the first moment with two owners of one partition or hot key.
-func watch(world *trial.World) *string {
+// recordViolation records the first time at which a partition or hot key has two owners; "" means none so far.
+func recordViolation(world *trial.World) *string {
 	found := ""
 	keys := map[string]int{}
 	for key := range trial.HotKeyCount {
@@ -54,65 +55,66 @@
 	return &found
 }
 
-func adversarial(seed int64, broken trial.Safeguard, length time.Duration) (steps int, found string) {
-	world, _, violation := begin(seed, broken)
-	world.RunUntil(length)
+// run runs an adversarial world without requests and returns its steps and its violation, if any.
+func run(seed int64, disabled trial.Safeguard, duration time.Duration) (steps int, found string) {
+	world, _, violation := newRun(seed, disabled)
+	world.RunUntil(duration)
 	return world.Steps, *violation
 }
 
-// unchecked is an adversarial world whose upstreams check no fences.
-func unchecked(seed int64, length time.Duration) (steps int, found string) {
-	chosen := options(seed)
-	chosen.NoFences = true
-	world := trial.New(chosen)
-	violation := watch(world)
+// runWithoutFences runs an adversarial world with requests, whose upstreams check no fences.
+func runWithoutFences(seed int64, duration time.Duration) (steps int, found string) {
+	settings := options(seed)
+	settings.NoFences = true
+	world := trial.New(settings)
+	violation := recordViolation(world)
 	adversary := trial.NewAdversary(world)
 	adversary.Start(time.Second)
 	adversary.AddTraffic(partitionOf)
-	world.RunUntil(length)
+	world.RunUntil(duration)
 	return world.Steps, *violation
 }
 
-// busy is an adversarial world in which requests run.
-func busy(seed int64, length time.Duration) (steps int, found string) {
-	world, adversary, violation := begin(seed, trial.DisableNothing)
+// runWithTraffic runs an adversarial world with requests.
+func runWithTraffic(seed int64, duration time.Duration) (steps int, found string) {
+	world, adversary, violation := newRun(seed, trial.DisableNothing)
 	adversary.AddTraffic(partitionOf)
-	world.RunUntil(length)
+	world.RunUntil(duration)
 	return world.Steps, *violation
 }
 
 func partitionOf(key string) int { return route.Partition(key, partitions) }
 
-func begin(seed int64, broken trial.Safeguard) (*trial.World, *trial.Adversary, *string) {
-	chosen := options(seed)
-	chosen.Disabled = broken
-	world := trial.New(chosen)
-	violation := watch(world)
+// newRun returns an adversarial world with the kind of faults that the seed selects.
+func newRun(seed int64, disabled trial.Safeguard) (*trial.World, *trial.Adversary, *string) {
+	settings := options(seed)
+	settings.Disabled = disabled
+	world := trial.New(settings)
+	violation := recordViolation(world)
 	adversary := trial.NewAdversary(world)
 	switch seed % 4 {
 	case 0:
-		// Hasty operators and a slow network, so that grants overtake one another.
+		// Drains in quick succession over a slow network, so that grants overtake one another.
 		adversary.OnlyDrain()
 	case 1:
-		// Keepers that are cut off together with an upstream.
+		// Keepers that alone reach an upstream, and are cut off from the other hosts and the log.
 		adversary.OnlyIsolateKeepers()
 	}
 	adversary.Start(time.Second)
 	return world, adversary, violation
 }
 
-// What could go wrong: a keeper that was paused, cut off or replaced renews an owner
-// whose keys its successor has given to another; a grant is delivered 30 s late; a
-// frozen upstream wakes as owner; witnesses forget. Each world mixes pauses longer
-// than every lease, one-way and two-way cuts, log outages, lost and late messages,
-// replaced hosts, restarted upstreams, drains and hot keys, and checks after each
+// Guards against two owners of a key: a keeper that was suspended, cut off or replaced renews the lease of an upstream
+// whose keys its successor has granted to another one; a grant arrives 30 s late; a suspended upstream resumes as owner;
+// witnesses lose their state. Each world mixes suspensions longer than every lease, links cut one way or both,
+// log outages, lost and late messages, replaced hosts, restarted upstreams, drains and hot keys, and checks after each
 // step that nothing has two owners.
 var _ = Describe("sole ownership", func() {
-	It("holds through whatever happens, in any order", func() {
+	It("holds under all faults, in any order", func() {
 		steps := 0
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			seed := rapid.Int64Range(1, 1<<40).Draw(t, "seed")
-			count, found := busy(seed, 40*time.Second)
+			count, found := runWithTraffic(seed, 40*time.Second)
 			steps += count
 			if found != "" {
 				t.Fatalf("seed %d: %s", seed, found)
@@ -125,30 +127,29 @@
 	It("holds where upstreams check no fences, since hosts send only while their views are fresh", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			seed := rapid.Int64Range(1, 1<<40).Draw(t, "seed")
-			_, found := unchecked(seed, 20*time.Second)
+			_, found := runWithoutFences(seed, 20*time.Second)
 			if found != "" {
 				t.Fatalf("seed %d: %s", seed, found)
 			}
 		})
 	})
 
-	// The keeper of a new term extended the lease of an upstream that the old keeper took
-	// for lost, because the answers to the old one's renewals were lost; the old keeper,
-	// not yet aware of the new term, then gave the upstream's keys to another one.
-	// In the second, an upstream came back while it worked on what it had begun under a lease that had ended, and
-	// said so; that passed for holding the key, which another upstream had been given meanwhile.
-	It("holds in runs that once broke it", func() {
-		_, found := busy(512, 40*time.Second)
+	// Guards against two failures. First, the answers to a keeper's renewals were lost, so that it took the upstream for
+	// lost; the keeper of a new term extended that upstream's lease, and the old keeper, not yet aware of the new term,
+	// granted its keys to another one. Second, an upstream became reachable again while it processed a request from an
+	// ended lease, and reported that. It was taken for the owner of the key, which another upstream had been granted.
+	It("holds in runs that once violated it", func() {
+		_, found := runWithTraffic(512, 40*time.Second)
 		Expect(found).To(BeEmpty())
 		for _, seed := range []int64{22304} {
-			_, found := adversarial(seed, trial.DisableNothing, 40*time.Second)
+			_, found := run(seed, trial.DisableNothing, 40*time.Second)
 			Expect(found).To(BeEmpty())
 		}
 	})
 
-	It("comes back for every key when the faults have ended", func() {
+	It("returns for every key after the faults have ended", func() {
 		for seed := int64(1); seed <= 20; seed++ {
-			world, adversary, violation := begin(seed, trial.DisableNothing)
+			world, adversary, violation := newRun(seed, trial.DisableNothing)
 			world.RunUntil(20 * time.Second)
 			adversary.Stop()
 			world.RunUntil(60 * time.Second)
@@ -159,10 +160,10 @@
 		}
 	})
 
-	// The check itself must be able to fail: without a safeguard, the same adversary finds two owners.
-	DescribeTable("is lost without a safeguard", func(broken trial.Safeguard) {
+	// Guards against a check that cannot fail: without a safeguard, the same adversary causes two owners.
+	DescribeTable("is lost without a safeguard", func(disabled trial.Safeguard) {
 		for seed := int64(1); seed <= 200; seed++ {
-			_, found := adversarial(seed, broken, 30*time.Second)
+			_, found := run(seed, disabled, 30*time.Second)
 			if found != "" {
 				GinkgoWriter.Println("seed", seed, found)
 				return
@@ -170,40 +171,41 @@
 		}
 		Fail("no second owner was found")
 	},
-		Entry("leases counted from a grant's arrival", trial.DisableDeadline),
+		Entry("leases counted from the arrival of their grants", trial.DisableDeadline),
 		Entry("fences that are not compared", trial.DisableFences),
 		Entry("witnesses that confirm any term", trial.DisableWitnesses),
 	)
 })
 
-// What could go wrong: the caller's write and the next one run at two upstreams at once. A host dies while its
-// request runs at an upstream that checks no fences, and nobody tells that; the keeper counts on the time that
-// a request may take by the settings, which are others than those under which the request was sent.
-var _ = Describe("a request that outlasts its host's lease", func() {
+// Guards against two writes to a key that run at two upstreams at once. A host ends while its request runs at an upstream
+// that checks no fences, and no other host can detect the request. The keeper then relies on the timeout in the settings,
+// but the request was sent under other settings.
+var _ = Describe("a request that runs longer than its host's lease", func() {
 	const (
-		before = time.Second
-		after  = 8 * time.Second
-		read   = 3 * time.Second
-		sent   = 2 * read
-		// enough is the time after which the partition must have its next owner.
-		enough = 30 * time.Second
+		shortTimeout = time.Second
+		longTimeout  = 8 * time.Second
+		// settleTime is the time after which all hosts have read the first timeout and one is the keeper.
+		settleTime = 3 * time.Second
+		sentAt     = 2 * settleTime
+		// transferTime is the time after which the partition must have its next owner.
+		transferTime = 30 * time.Second
 	)
-	DescribeTable("keeps its key from the next owner", func(first, second, longest time.Duration, keeperDies bool) {
-		chosen := options(1)
-		chosen.NoFences = true
-		world := trial.New(chosen)
-		violation := watch(world)
+	DescribeTable("delays the transfer of its key", func(first, second, processingTime time.Duration, keeperDies bool) {
+		settings := options(1)
+		settings.NoFences = true
+		world := trial.New(settings)
+		violation := recordViolation(world)
 		traffic := trial.NewTraffic(world, partitionOf, func(string, string) bool { return false })
 		traffic.LossRate = 0
 		world.SetTimeout(first, func(*trial.Host) time.Duration { return 0 })
-		world.RunUntil(read)
+		world.RunUntil(settleTime)
 		keeper := world.KeeperHost()
 		sender := world.Hosts[0]
 		if sender == keeper {
 			sender = world.Hosts[1]
 		}
-		strike := func() {
-			upstream := traffic.Send(sender, 0, trial.OtherKey, longest, longest)
+		sendAndKill := func() {
+			upstream := traffic.Send(sender, 0, trial.OtherKey, processingTime, processingTime)
 			Expect(upstream).NotTo(BeNil())
 			world.Schedule(world.Now()+trial.MaxTransitTime, func() {
 				world.Kill(&sender.Process)
@@ -217,17 +219,17 @@
 		if !keeperDies {
 			world.SetTimeout(second, func(*trial.Host) time.Duration { return 0 })
 		}
-		world.Schedule(sent, strike)
-		world.RunUntil(sent + enough)
+		world.Schedule(sentAt, sendAndKill)
+		world.RunUntil(sentAt + transferTime)
 		Expect(*violation).To(BeEmpty())
 		Expect(world.Owners(0, trial.OtherKey)).To(HaveLen(1))
 	},
-		Entry("when the time has been raised", before, after, after, false),
-		Entry("when the time is lowered and another keeper takes over", after, before, after, true),
+		Entry("when the timeout was raised", shortTimeout, longTimeout, longTimeout, false),
+		Entry("when the timeout is lowered and another keeper takes over", longTimeout, shortTimeout, longTimeout, true),
 	)
 })
 
-var _ = Describe("a calm world", func() {
+var _ = Describe("a world without faults", func() {
 	It("gives every partition one owner", func() {
 		world := trial.New(options(1))
 		world.RunUntil(3 * time.Second)
