--- a/trial/adversary.go
+++ b/trial/adversary.go
@@ -10,15 +10,15 @@
 	maxTimeout = 4 * time.Second
 )
 
-// Adversary makes things go wrong in a world, from the world's own randomness.
+// Adversary injects faults into a world. It uses the world's random source.
 type Adversary struct {
 	world   *World
 	blocked map[[2]string]time.Duration
-	// LossRate and Late are the shares of messages that are lost, or take up to MaxDelay longer.
+	// LossRate and DelayRate are the shares of messages that are lost, or that take up to MaxDelay longer.
 	LossRate  float64
 	DelayRate float64
 	MaxDelay  time.Duration
-	// MeanFaultInterval is the mean time between two faults, MaxFault the longest that one lasts.
+	// MeanFaultInterval is the mean time between two faults, and MaxFaultDuration the longest time that one lasts.
 	MeanFaultInterval time.Duration
 	MaxFaultDuration  time.Duration
 	addedHosts        int
@@ -26,7 +26,7 @@
 	stopped           bool
 }
 
-// NewAdversary returns an adversary that has taken over the world's network.
+// NewAdversary returns an adversary and sets the world's network to it.
 func NewAdversary(world *World) *Adversary {
 	adversary := &Adversary{
 		world:             world,
@@ -47,8 +47,8 @@
 	return adversary
 }
 
-// OnlyDrain makes the adversary drain and bring back upstreams in quick succession, over a network
-// on which many messages take up to a lease's length, and do nothing else.
+// OnlyDrain limits the faults to upstreams that drain and come back in quick succession, over a network in which many
+// messages are delayed by up to the lease duration.
 func (adversary *Adversary) OnlyDrain() {
 	adversary.LossRate = 0.1
 	adversary.DelayRate = 0.3
@@ -58,14 +58,14 @@
 	adversary.faults = []func(){adversary.drainUpstream}
 }
 
-// OnlyIsolateKeepers makes the adversary do nothing but leave keepers alone with one upstream.
+// OnlyIsolateKeepers limits the faults to isolated keepers, each of which is the only host that reaches an upstream.
 func (adversary *Adversary) OnlyIsolateKeepers() {
 	adversary.MeanFaultInterval = 3 * time.Second
 	adversary.faults = []func(){adversary.isolateKeeper}
 }
 
-// AddTraffic makes hosts send requests, over a network that loses some of their messages besides, and where upstreams
-// check no fences, operators change the time that a request may take.
+// AddTraffic makes hosts send requests, over the same blocked links and with some further loss. If upstreams check no
+// fences, the service's timeout is changed at random times too.
 func (adversary *Adversary) AddTraffic(partitionOf func(key string) int) {
 	blocked := func(from, to string) bool { return adversary.world.Now() < adversary.blocked[[2]string{from, to}] }
 	traffic := NewTraffic(adversary.world, partitionOf, blocked)
@@ -83,47 +83,50 @@
 	})
 }
 
-// Start begins to cause faults after a calm time.
-func (adversary *Adversary) Start(calm time.Duration) {
-	adversary.world.Schedule(calm, adversary.causeFault)
+// Start starts to inject faults after a delay.
+func (adversary *Adversary) Start(delay time.Duration) {
+	adversary.world.Schedule(delay, adversary.causeFault)
 }
 
+// transmit is the world's Network.
 func (adversary *Adversary) transmit(from, to string) (time.Duration, bool) {
 	random := adversary.world.Random
 	if adversary.world.Now() < adversary.blocked[[2]string{from, to}] || random.Float64() < adversary.LossRate {
 		return 0, true
 	}
 	if random.Float64() < adversary.DelayRate {
-		// Half of the late messages come within about a lease, where they can do most harm.
-		most := adversary.MaxDelay
+		// Half of the delayed messages arrive within about the lease duration, where they can do the most harm.
+		maxDelay := adversary.MaxDelay
 		if random.Intn(2) == 0 {
-			most = adversary.world.Options.LeaseLength
+			maxDelay = adversary.world.Options.LeaseLength
 		}
-		return time.Duration(random.Int63n(int64(most))), false
+		return time.Duration(random.Int63n(int64(maxDelay))), false
 	}
 	return time.Duration(random.Int63n(int64(5 * time.Millisecond))), false
 }
 
-// Stop ends all faults that the adversary would still cause; those that last end by themselves.
+// Stop stops injecting faults and losing or delaying messages. Faults in progress end after their own duration.
 func (adversary *Adversary) Stop() {
 	adversary.stopped = true
 	adversary.LossRate = 0
 	adversary.DelayRate = 0
 }
 
+// causeFault injects one random fault and schedules the next one.
 func (adversary *Adversary) causeFault() {
 	if adversary.stopped {
 		return
 	}
 	adversary.faults[adversary.world.Random.Intn(len(adversary.faults))]()
-	pause := adversary.randomDuration(2 * adversary.MeanFaultInterval)
-	adversary.world.Schedule(adversary.world.Now()+pause, adversary.causeFault)
+	interval := adversary.randomDuration(2 * adversary.MeanFaultInterval)
+	adversary.world.Schedule(adversary.world.Now()+interval, adversary.causeFault)
 }
 
-func (adversary *Adversary) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(adversary.world.Random.Int63n(int64(most)))
+func (adversary *Adversary) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(adversary.world.Random.Int63n(int64(limit)))
 }
 
+// scheduleRecovery schedules the end of a fault that starts now, at a random time within MaxFaultDuration.
 func (adversary *Adversary) scheduleRecovery(call func()) {
 	adversary.world.Schedule(adversary.world.Now()+adversary.randomDuration(adversary.MaxFaultDuration), call)
 }
@@ -152,7 +155,7 @@
 
 func (adversary *Adversary) suspendUpstream() { adversary.suspend(&adversary.randomUpstream().Process) }
 
-// cutLinks blocks messages between two processes, one way or both.
+// cutLinks blocks messages between a host and an upstream and between two hosts, one way or both.
 func (adversary *Adversary) cutLinks() {
 	adversary.blockLink(adversary.randomHost().Name, adversary.randomUpstream().Name)
 	adversary.blockLink(adversary.randomHost().Name, adversary.randomHost().Name)
@@ -166,7 +169,7 @@
 	}
 }
 
-// cutKeeperFromHosts leaves the keeper with the upstreams and takes the other hosts away from it.
+// cutKeeperFromHosts blocks messages between the keeper and the other hosts, so that it reaches only upstreams.
 func (adversary *Adversary) cutKeeperFromHosts() {
 	keeper := adversary.world.KeeperHost()
 	if keeper == nil {
@@ -177,8 +180,8 @@
 	}
 }
 
-// isolateKeeper leaves the keeper alone with one upstream for a long time, without the log,
-// and lets the other hosts reach the keeper, but not the upstream, again after a while.
+// isolateKeeper makes the keeper the only host that reaches one of the upstreams, and cuts it off from the log, both for
+// MaxFaultDuration. For a random time of up to 3 s it also cuts the keeper off from the other hosts.
 func (adversary *Adversary) isolateKeeper() {
 	keeper := adversary.world.KeeperHost()
 	if keeper == nil {
@@ -188,13 +191,13 @@
 	upstream := adversary.randomUpstream()
 	keeper.LogUnreachable = true
 	adversary.world.Schedule(now+adversary.MaxFaultDuration, func() { keeper.LogUnreachable = false })
-	apart := now + adversary.randomDuration(3*time.Second)
+	isolatedUntil := now + adversary.randomDuration(3*time.Second)
 	for _, host := range adversary.world.Hosts {
 		if host == keeper {
 			continue
 		}
-		adversary.blocked[[2]string{host.Name, keeper.Name}] = apart
-		adversary.blocked[[2]string{keeper.Name, host.Name}] = apart
+		adversary.blocked[[2]string{host.Name, keeper.Name}] = isolatedUntil
+		adversary.blocked[[2]string{keeper.Name, host.Name}] = isolatedUntil
 		adversary.blocked[[2]string{host.Name, upstream.Name}] = now + adversary.MaxFaultDuration
 	}
 }
@@ -248,7 +251,7 @@
 	adversary.scheduleRecovery(func() { upstream.Draining = false })
 }
 
-// changeDemand makes some keys hot and lets others cool.
+// changeDemand gives partitions a random demand, and makes random keys hot.
 func (adversary *Adversary) changeDemand() {
 	demand := &adversary.world.Demand
 	demand.Partitions = make([]float64, adversary.world.Options.Partitions)
--- a/trial/host.go
+++ b/trial/host.go
@@ -11,13 +11,13 @@
 	"cherrykeel/lease"
 )
 
-// orderTimeout is after how long an order without an answer counts as failed.
+// orderTimeout is the time after which an order without an answer counts as failed.
 const orderTimeout = 270 * time.Millisecond
 
-// detectionTime is how long hosts take to agree, by their own traffic, that an upstream is down.
+// detectionTime is how long hosts take to agree, from their own traffic, that an upstream is down.
 const detectionTime = 1500 * time.Millisecond
 
-// Kill ends a process for good.
+// Kill ends a process at once. It stays dead, unless it is an upstream that RestartUpstream restarts.
 func (world *World) Kill(process *Process) {
 	process.Dead = true
 	for _, host := range world.Hosts {
@@ -32,21 +32,22 @@
 	}
 }
 
-// RestartUpstream brings an upstream back as a new process that owns nothing.
+// RestartUpstream starts an upstream again as a new process that owns nothing.
 func (world *World) RestartUpstream(upstream *Upstream) {
 	upstream.Dead = false
-	// The new process's clock starts over.
+	// The new process's clock starts at one second.
 	upstream.clockOffset = time.Second - time.Duration(float64(world.now)*upstream.clockRate)
 	upstream.Ownership = fakes.NewOwnership(upstream.Name+" "+strconv.Itoa(world.Steps), Service)
 }
 
-// StartShutdown begins a host's planned stop; it dies once it keeps nothing.
+// StartShutdown starts a host's graceful shutdown. The host ends once it is no longer the keeper.
 func (world *World) StartShutdown(host *Host) {
 	host.Leaving = true
 	host.shutdownAt = world.now
 	world.killAfterHandover(host)
 }
 
+// killAfterHandover kills a host once it is no longer the keeper.
 func (world *World) killAfterHandover(host *Host) {
 	world.scheduleOn(&host.Process, tickInterval, func() {
 		if host.Keeper.HoldsRole() {
@@ -57,6 +58,7 @@
 	})
 }
 
+// scheduleTick runs a host's keeper every tickInterval.
 func (world *World) scheduleTick(host *Host) {
 	world.scheduleOn(&host.Process, tickInterval, func() {
 		world.runKeeper(host)
@@ -64,6 +66,7 @@
 	})
 }
 
+// runKeeper runs one step of a host's keeper and carries out its actions.
 func (world *World) runKeeper(host *Host) {
 	input := world.keeperInput(host)
 	host.Witness.RecordRunning(input.Now)
@@ -74,8 +77,8 @@
 	for _, name := range actions.RequestConfirmation {
 		world.requestConfirmation(host, name, input.Block.Term)
 	}
-	for _, teaching := range actions.TermNotices {
-		world.sendTermNotice(host, teaching)
+	for _, notice := range actions.TermNotices {
+		world.sendTermNotice(host, notice)
 	}
 	for _, name := range actions.RequestSilence {
 		world.requestSilence(host, name, input.Block.LeaseLength)
@@ -93,7 +96,7 @@
 	}
 }
 
-// settingsOf returns the service's settings as a host has read them.
+// settingsOf returns the service's settings with the timeout that a host has read.
 func (world *World) settingsOf(host *Host) *cherrykeel.Service {
 	if host.timeout == world.Settings.Timeout {
 		return world.Settings
@@ -103,16 +106,16 @@
 	return &read
 }
 
-// SetTimeout changes the setting; each host reads that within a time, later if it is cut from the log.
-func (world *World) SetTimeout(timeout time.Duration, within func(host *Host) time.Duration) {
+// SetTimeout changes the service's timeout. Each host reads the change after a delay, or later if the log is unreachable.
+func (world *World) SetTimeout(timeout time.Duration, delay func(host *Host) time.Duration) {
 	world.Settings.Timeout = timeout
 	for _, host := range world.Hosts {
-		world.scheduleTimeoutRead(host, timeout, within(host))
+		world.scheduleTimeoutRead(host, timeout, delay(host))
 	}
 }
 
-func (world *World) scheduleTimeoutRead(host *Host, timeout, after time.Duration) {
-	world.scheduleOn(&host.Process, after, func() {
+func (world *World) scheduleTimeoutRead(host *Host, timeout, delay time.Duration) {
+	world.scheduleOn(&host.Process, delay, func() {
 		if host.LogUnreachable || world.LogUnavailable {
 			world.scheduleTimeoutRead(host, timeout, listDelay)
 			return
@@ -121,6 +124,8 @@
 	})
 }
 
+// keeperInput returns what a host's keeper can observe now. Changes to other hosts are seen after listDelay, and the
+// failure of an upstream after detectionTime.
 func (world *World) keeperInput(host *Host) keeper.Input {
 	input := keeper.Input{
 		Now:          world.local(&host.Process),
@@ -169,21 +174,22 @@
 	return nil
 }
 
+// sendOrder sends a keeper's order to its lessee, and the answer back.
 func (world *World) sendOrder(host *Host, order lease.Order) {
 	world.scheduleOn(&host.Process, orderTimeout, func() { host.Keeper.RecordFailure(order) })
-	lessee, take := world.lessee(order)
+	lessee, apply := world.lessee(order)
 	if lessee == nil {
 		return
 	}
 	world.send(&host.Process, lessee, func() {
-		holding := take()
+		holding := apply()
 		world.send(lessee, &host.Process, func() {
 			host.Keeper.RecordAnswer(order, holding, world.local(&host.Process))
 		})
 	})
 }
 
-// lessee returns the process that an order is for, and how that takes it.
+// lessee returns the process that an order is for, and a function that applies the order there.
 func (world *World) lessee(order lease.Order) (*Process, func() cherrykeel.Holding) {
 	if upstream := world.upstreamByName(order.Lessee); upstream != nil {
 		return &upstream.Process, func() cherrykeel.Holding { return world.applyOrder(upstream, order) }
@@ -200,7 +206,7 @@
 	}
 }
 
-// applyOrder gives an order to an upstream, with the safeguard in place that the options leave.
+// applyOrder applies an order to an upstream, without the safeguard that the options disable.
 func (world *World) applyOrder(upstream *Upstream, order lease.Order) cherrykeel.Holding {
 	now := world.LocalTime(upstream)
 	if order.Query {
@@ -211,14 +217,15 @@
 	case DisableDeadline:
 		grant.Until = now + world.Options.LeaseLength
 	case DisableFences:
-		held := upstream.Ownership.Holding(now)
-		if grant.Fence.Less(held.Fence) {
-			grant.Fence = held.Fence
+		current := upstream.Ownership.Holding(now)
+		if grant.Fence.Less(current.Fence) {
+			grant.Fence = current.Fence
 		}
 	}
 	return upstream.Ownership.Grant(grant, now)
 }
 
+// requestConfirmation requests the confirmation of a term from a witness, which may be the host itself.
 func (world *World) requestConfirmation(host *Host, name string, term int64) {
 	sent := world.local(&host.Process)
 	witness := world.hostByName(name)
@@ -242,23 +249,25 @@
 	})
 }
 
-func (world *World) sendTermNotice(host *Host, teaching keeper.TermNotice) {
-	witness := world.hostByName(teaching.Host)
+// sendTermNotice sends a new term to a witness, which may be the host itself.
+func (world *World) sendTermNotice(host *Host, notice keeper.TermNotice) {
+	witness := world.hostByName(notice.Host)
 	if witness == nil {
 		return
 	}
-	learned := func() { host.Keeper.RecordTermLearned(teaching, world.local(&host.Process)) }
+	onLearned := func() { host.Keeper.RecordTermLearned(notice, world.local(&host.Process)) }
 	if witness == host {
-		witness.Witness.RecordTerm(Service, teaching.Term)
-		learned()
+		witness.Witness.RecordTerm(Service, notice.Term)
+		onLearned()
 		return
 	}
 	world.send(&host.Process, &witness.Process, func() {
-		witness.Witness.RecordTerm(Service, teaching.Term)
-		world.send(&witness.Process, &host.Process, learned)
+		witness.Witness.RecordTerm(Service, notice.Term)
+		world.send(&witness.Process, &host.Process, onLearned)
 	})
 }
 
+// requestSilence requests from a witness how long it has not received a confirmation request for the service.
 func (world *World) requestSilence(host *Host, name string, leaseLength time.Duration) {
 	witness := world.hostByName(name)
 	if witness == nil {
@@ -277,7 +286,7 @@
 	return fold.Record{Format: fold.Format, ID: strconv.Itoa(world.lastSerial), Author: host.Name}
 }
 
-// appendToLog reaches the log after a while, unless the log is out by then.
+// appendToLog appends a record to the log after the network's delay, unless the log is unavailable then.
 func (world *World) appendToLog(host *Host, record fold.Record) {
 	delay, lost := world.Network(host.Name, "log")
 	if lost || host.LogUnreachable {
@@ -295,22 +304,23 @@
 	})
 }
 
-// scheduleLogRead keeps a host's fold in step with the log, as far as the log answers.
+// scheduleLogRead has a host read the log repeatedly and apply new records, as far as the log is reachable.
 func (world *World) scheduleLogRead(host *Host) {
 	delay, lost := world.Network("log", host.Name)
-	begun := world.local(&host.Process)
-	known := len(world.logRecords)
+	startedAt := world.local(&host.Process)
+	next := len(world.logRecords)
 	world.scheduleOn(&host.Process, world.Options.Latency+delay, func() {
 		if !lost && !world.LogUnavailable && !host.LogUnreachable {
-			world.foldUpTo(host, known)
-			host.Witness.RecordCaughtUp(begun)
+			world.foldUpTo(host, next)
+			host.Witness.RecordCaughtUp(startedAt)
 		}
 		world.scheduleLogRead(host)
 	})
 }
 
-func (world *World) foldUpTo(host *Host, known int) {
-	for offset := int(host.State.Next); offset < known; offset++ {
+// foldUpTo applies the log's records before an offset to a host's state, and its term to the host's witness.
+func (world *World) foldUpTo(host *Host, next int) {
+	for offset := int(host.State.Next); offset < next; offset++ {
 		_, err := host.State.Apply(int64(offset), world.logRecords[offset])
 		if err != nil {
 			panic(err)
--- a/trial/work.go
+++ b/trial/work.go
@@ -11,10 +11,10 @@
 	"cherrykeel/lease"
 )
 
-// HotKeyCount is how many keys may be hot; their names are those of KeyName.
+// HotKeyCount is the number of keys that may be hot. HotKeyName returns their names.
 const HotKeyCount = 4
 
-// OtherKey stands for the keys of a partition that are never hot.
+// OtherKey represents all keys of a partition that are never hot.
 const OtherKey = "other"
 
 // HotKeyName returns the name of a key that may be hot.
@@ -23,18 +23,18 @@
 }
 
 const (
-	// requestInterval is the mean time between two requests of a busy world.
+	// requestInterval is the mean time between two requests.
 	requestInterval = 60 * time.Millisecond
-	// MaxTransitTime is the longest that a request of a busy world is on its way.
+	// MaxTransitTime is the longest transit time of a request, an answer or the end of a connection.
 	MaxTransitTime = 200 * time.Millisecond
-	// abandonRate is the share of callers that go away before they are answered.
+	// abandonRate is the share of callers that may disconnect before they are answered.
 	abandonRate = 0.3
-	// defaultLossRate is the share of requests, answers and ends of connections that are lost.
+	// defaultLossRate is the default of Traffic.LossRate.
 	defaultLossRate = 0.1
 )
 
-// execution is a request that an upstream has begun. Where fences are checked it counts while its lease runs, else
-// until the deadline that the upstream was told: one that was frozen drops it when it wakes.
+// execution is a request that an upstream has started to process. If upstreams check fences, it may take effect until its
+// lease ends. Otherwise it may until its deadline; an upstream that was suspended drops it after that when it resumes.
 type execution struct {
 	upstream  *Upstream
 	ownership *fakes.Ownership
@@ -45,8 +45,8 @@
 	finished  bool
 }
 
-// Traffic sends requests through a world's hosts. It has randomness of its own, so that it changes nothing
-// else in a run, but for what upstreams and hosts say that they work on.
+// Traffic sends requests through a world's hosts. It has a random source of its own, so that it changes nothing else in a
+// run, except which requests upstreams and hosts report as running.
 type Traffic struct {
 	world       *World
 	random      *rand.Rand
@@ -56,7 +56,8 @@
 	LossRate float64
 }
 
-// NewTraffic returns the traffic of a world; blocked reports whether messages between two processes are lost now.
+// NewTraffic returns the traffic of a world. The function blocked reports whether all messages from one process to another
+// are lost now.
 func NewTraffic(world *World, partitionOf func(key string) int, blocked func(from, to string) bool) *Traffic {
 	return &Traffic{
 		world:       world,
@@ -67,7 +68,7 @@
 	}
 }
 
-// Start begins to send, and goes on for as long as the world runs.
+// Start sends requests at random times for as long as the world runs.
 func (traffic *Traffic) Start() {
 	traffic.world.Schedule(traffic.world.Now()+traffic.randomDuration(2*requestInterval), func() {
 		traffic.sendRandom()
@@ -75,11 +76,11 @@
 	})
 }
 
-func (traffic *Traffic) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(traffic.random.Int63n(int64(most)))
+func (traffic *Traffic) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(traffic.random.Int63n(int64(limit)))
 }
 
-// sendRandom is one caller's, for a key that may be hot or for another one.
+// sendRandom sends one caller's request through a random host, for a key that may be hot or for another one.
 func (traffic *Traffic) sendRandom() {
 	key := OtherKey
 	partition := traffic.random.Intn(traffic.world.Options.Partitions)
@@ -91,30 +92,31 @@
 	if host.Dead || traffic.world.Now() < host.SuspendedUntil {
 		return
 	}
-	waits := host.timeout
+	callerTimeout := host.timeout
 	if traffic.random.Float64() < abandonRate {
-		waits = traffic.randomDuration(host.timeout)
+		callerTimeout = traffic.randomDuration(host.timeout)
 	}
-	traffic.Send(host, partition, key, traffic.randomDuration(2*host.timeout), waits)
+	traffic.Send(host, partition, key, traffic.randomDuration(2*host.timeout), callerTimeout)
 }
 
-// Send has a host pass on a request that takes an upstream a time, if its deadline leaves it that, and whose
-// caller waits for a time. It returns the upstream, or nil if the host may not send it now.
-func (traffic *Traffic) Send(host *Host, partition int, key string, takes, waits time.Duration) *Upstream {
+// Send has a host send a request to an upstream. The upstream needs processingTime for it, and stops earlier at the
+// request's deadline; the caller waits for callerTimeout. Send returns the upstream, or nil if the host may not send the
+// request now.
+func (traffic *Traffic) Send(host *Host, partition int, key string, processingTime, callerTimeout time.Duration) *Upstream {
 	request := &request{
 		traffic:        traffic,
 		host:           host,
 		startedAt:      traffic.world.local(&host.Process),
 		sentAt:         traffic.world.Now(),
 		timeout:        traffic.upstreamTimeout(host),
-		processingTime: takes,
+		processingTime: processingTime,
 		execution:      &execution{partition: partition, key: key},
 	}
-	request.send(waits)
+	request.send(callerTimeout)
 	return request.execution.upstream
 }
 
-// upstreamTimeout is what a host may tell an upstream.
+// upstreamTimeout returns the timeout that a host may send to an upstream with a request.
 func (traffic *Traffic) upstreamTimeout(host *Host) time.Duration {
 	if !traffic.world.Options.NoFences {
 		return host.timeout
@@ -123,7 +125,7 @@
 	return host.View.LimitDeadline(now.Add(host.timeout), now).Sub(now)
 }
 
-// request is one that a host passes on to an upstream.
+// request is a request that a host sends to an upstream.
 type request struct {
 	traffic        *Traffic
 	host           *Host
@@ -132,23 +134,24 @@
 	timeout        time.Duration
 	processingTime time.Duration
 	execution      *execution
-	// closed says that the host waits no more.
+	// closed means that the host no longer waits for the answer.
 	closed bool
 }
 
-func (request *request) send(waits time.Duration) {
+func (request *request) send(callerTimeout time.Duration) {
 	world := request.traffic.world
 	request.execution.upstream = request.target()
 	if request.execution.upstream == nil {
 		return
 	}
 	if world.Options.NoFences {
-		world.scheduleOn(&request.host.Process, min(waits, request.timeout), request.abandon)
+		world.scheduleOn(&request.host.Process, min(callerTimeout, request.timeout), request.abandon)
 	}
 	request.transmit(request.host.Name, request.execution.upstream.Name, &request.execution.upstream.Process, request.onArrival)
 }
 
-// target returns the upstream that the host sends to; the host's view counts the request.
+// target returns the upstream to which the host sends the request, or nil if it may not send it. The host's view counts
+// the request if upstreams check no fences.
 func (request *request) target() *Upstream {
 	world := request.traffic.world
 	if !world.Options.NoFences {
@@ -161,38 +164,38 @@
 	return world.upstreamByName(name)
 }
 
-// transmit takes a message to a process, unless it is lost.
-func (request *request) transmit(from, to string, process *Process, arrive func()) {
+// transmit delivers a message to a process, unless it is lost.
+func (request *request) transmit(from, to string, process *Process, onArrival func()) {
 	traffic := request.traffic
 	transit := traffic.randomDuration(MaxTransitTime)
 	if traffic.random.Float64() >= traffic.LossRate && !traffic.blocked(from, to) {
-		traffic.world.scheduleOn(process, transit, arrive)
+		traffic.world.scheduleOn(process, transit, onArrival)
 	}
 }
 
-// onArrival begins the work, if the host still waits: else the end of its connection arrives with the request.
-// An upstream that was frozen reads late what waited in its sockets; if it checks no fences, the design asks
-// it to drop that, since it alone can tell.
+// onArrival starts to process the request, unless the host no longer waits: then the end of its connection arrives with
+// the request. An upstream that was suspended reads requests late that arrived in its sockets meanwhile. If it checks no
+// fences, it must drop them, since no other process can detect that they are late.
 func (request *request) onArrival() {
-	world, work := request.traffic.world, request.execution
+	world, execution := request.traffic.world, request.execution
 	late := world.now > request.sentAt+MaxTransitTime
 	if request.closed || late && world.Options.NoFences {
 		return
 	}
-	work.ownership = work.upstream.Ownership
-	if !world.Options.NoFences && !work.ownership.Owns(world.LocalTime(work.upstream), work.partition, work.key) {
+	execution.ownership = execution.upstream.Ownership
+	if !world.Options.NoFences && !execution.ownership.Owns(world.LocalTime(execution.upstream), execution.partition, execution.key) {
 		return
 	}
-	work.work = work.ownership.Begin(work.partition, work.key)
+	execution.work = execution.ownership.Begin(execution.partition, execution.key)
 	world.removeFinished()
-	world.executions = append(world.executions, work)
-	// The upstream ends by its own clock what has not been done in the time that it was told.
-	told := time.Duration(float64(request.timeout) / work.upstream.clockRate)
-	work.deadline = world.LocalTime(work.upstream) + request.timeout
-	world.scheduleOn(&work.upstream.Process, min(told, request.processingTime), request.finish)
+	world.executions = append(world.executions, execution)
+	// The upstream stops processing the request at its timeout, by its own clock.
+	timeout := time.Duration(float64(request.timeout) / execution.upstream.clockRate)
+	execution.deadline = world.LocalTime(execution.upstream) + request.timeout
+	world.scheduleOn(&execution.upstream.Process, min(timeout, request.processingTime), request.finish)
 }
 
-// finish ends the work and answers.
+// finish ends the processing and sends the answer.
 func (request *request) finish() {
 	if request.execution.finished {
 		return
@@ -206,6 +209,7 @@
 	request.execution.ownership.End(request.execution.work)
 }
 
+// onAnswer has the host's view release the request, if the host still waits for it and upstreams check no fences.
 func (request *request) onAnswer() {
 	if request.closed || !request.traffic.world.Options.NoFences {
 		return
@@ -214,44 +218,45 @@
 	request.host.View.FinishRequest(request.execution.upstream.Name, request.execution.partition, request.execution.key)
 }
 
-// abandon is the end of the host's wait: it closes the connection, which the upstream may hear of late or never.
+// abandon has the host stop waiting and close the connection. The upstream may receive that late or never.
 func (request *request) abandon() {
 	if request.closed {
 		return
 	}
 	request.closed = true
-	work := request.execution
-	until := request.startedAt.Add(lease.MaxProcessingTime(request.timeout))
-	request.host.View.AbandonRequest(work.upstream.Name, work.partition, work.key, until)
-	request.transmit(request.host.Name, work.upstream.Name, &work.upstream.Process, func() {
-		if work.ownership != nil && !work.finished {
+	execution := request.execution
+	releaseAt := request.startedAt.Add(lease.MaxProcessingTime(request.timeout))
+	request.host.View.AbandonRequest(execution.upstream.Name, execution.partition, execution.key, releaseAt)
+	request.transmit(request.host.Name, execution.upstream.Name, &execution.upstream.Process, func() {
+		if execution.ownership != nil && !execution.finished {
 			request.endExecution()
 		}
 	})
 }
 
-// isProcessing reports whether an upstream works on a key, and may still bring that to effect.
+// isProcessing reports whether an upstream is processing a request for a key that may still take effect.
 func (world *World) isProcessing(upstream *Upstream, partition int, key string) bool {
-	for _, work := range world.executions {
-		if work.upstream == upstream && work.partition == partition && work.key == key && world.mayTakeEffect(work) {
+	for _, execution := range world.executions {
+		if execution.upstream == upstream && execution.partition == partition && execution.key == key && world.mayTakeEffect(execution) {
 			return true
 		}
 	}
 	return false
 }
 
-func (world *World) mayTakeEffect(work *execution) bool {
-	if work.finished || work.upstream.Dead || work.ownership != work.upstream.Ownership {
+// mayTakeEffect reports whether an execution is still running and may take effect.
+func (world *World) mayTakeEffect(execution *execution) bool {
+	if execution.finished || execution.upstream.Dead || execution.ownership != execution.upstream.Ownership {
 		return false
 	}
-	now := world.LocalTime(work.upstream)
+	now := world.LocalTime(execution.upstream)
 	if world.Options.NoFences {
-		return now < work.deadline
+		return now < execution.deadline
 	}
-	return !work.ownership.Lapsed(work.work, now)
+	return !execution.ownership.Lapsed(execution.work, now)
 }
 
-// removeFinished drops what has ended.
+// removeFinished removes the executions that can no longer take effect.
 func (world *World) removeFinished() {
-	world.executions = slices.DeleteFunc(world.executions, func(work *execution) bool { return !world.mayTakeEffect(work) })
+	world.executions = slices.DeleteFunc(world.executions, func(execution *execution) bool { return !world.mayTakeEffect(execution) })
 }
--- a/trial/world.go
+++ b/trial/world.go
@@ -19,46 +19,49 @@
 const Service = "trial/keys"
 
 const (
+	// tickInterval is the time between two steps of a host's keeper.
 	tickInterval = 20 * time.Millisecond
-	listDelay    = time.Second
+	// listDelay is the time after which hosts see that another host leaves or has ended.
+	listDelay = time.Second
 )
 
-// Options describe a world.
+// Options configures a World.
 type Options struct {
 	Seed       int64
 	Hosts      int
 	Upstreams  int
 	Zones      int
 	Partitions int
-	// Latency is one message's time on the way.
+	// Latency is the transit time of a message.
 	Latency time.Duration
-	// MaxClockDrift is how far clocks run from true time at the most, as a share.
+	// MaxClockDrift is the largest deviation of a clock's rate from true time, as a fraction.
 	MaxClockDrift float64
 	LeaseLength   time.Duration
-	// NoFences stands for upstreams that do not check who gives them orders.
+	// NoFences means that upstreams do not check the fences of grants.
 	NoFences bool
+	// Disabled is the safeguard to disable, if any.
 	Disabled Safeguard
 }
 
-// Safeguard takes a safeguard away, to show that its loss is found.
+// Safeguard is a safeguard that a world can disable, to show that a test detects its absence.
 type Safeguard string
 
-// The safeguards that can be taken away.
+// The safeguards that can be disabled.
 const (
-	// DisableNothing is the real thing.
+	// DisableNothing keeps all safeguards.
 	DisableNothing Safeguard = ""
-	// DisableDeadline counts a lease from the grant's arrival, as a naive lease does.
+	// DisableDeadline counts a lease from the arrival of its grant instead of using the grant's deadline.
 	DisableDeadline Safeguard = "deadline"
-	// DisableFences lets upstreams take grants of older terms.
+	// DisableFences lets upstreams accept grants of older terms.
 	DisableFences Safeguard = "fences"
 	// DisableWitnesses lets witnesses confirm any term.
 	DisableWitnesses Safeguard = "witnesses"
 )
 
-// Network says what becomes of a message: how much longer than usual it takes, or that it is lost.
+// Network returns how much longer than usual a message between two processes takes, or that it is lost.
 type Network func(from, to string) (delay time.Duration, lost bool)
 
-// World is one run.
+// World is the state of one run.
 type World struct {
 	Options   Options
 	Random    *rand.Rand
@@ -66,11 +69,11 @@
 	Hosts     []*Host
 	Upstreams []*Upstream
 	Network   Network
-	// LogUnavailable makes every append and every read of the log fail.
+	// LogUnavailable makes every append to the log and every read of it fail.
 	LogUnavailable bool
 	Demand         cherrykeel.Demand
 	Placer         cherrykeel.Placer
-	// Steps counts everything that has happened; Check is called after each of them.
+	// Steps counts the events so far. Check is called after each of them.
 	Steps      int
 	Check      func(world *World)
 	logRecords [][]byte
@@ -80,73 +83,78 @@
 	executions []*execution
 }
 
-// Process is what hosts and upstreams have in common.
+// Process is the common part of a Host and an Upstream.
 type Process struct {
 	Name string
 	Zone string
 	Dead bool
-	// SuspendedUntil is when the process wakes; what reaches it before waits.
+	// SuspendedUntil is the time until which the process is suspended. Its events before that are deferred.
 	SuspendedUntil time.Duration
 	clockRate      float64
 	clockOffset    time.Duration
 }
 
-// Host is an entry host's part in ownership.
+// Host is an entry host, as far as it takes part in ownership.
 type Host struct {
 	Process
 	Leaving bool
-	// LogUnreachable keeps the log from this host alone.
+	// LogUnreachable makes the log unreachable for this host alone.
 	LogUnreachable bool
 	Keeper         *keeper.Keeper
 	Witness        *lease.Witness
 	State          *fold.State
-	// View is the host's lease on sending, for upstreams that do not check fences.
+	// View is the host's lease on sending requests, which is used if upstreams check no fences.
 	View *views.View
-	// timeout is the longest that a request may take, by the settings that the host has read.
-	timeout    time.Duration
+	// timeout is the service's timeout that the host has read.
+	timeout time.Duration
+	// claimIDs has the IDs of the claims that this host has sent to the log.
 	claimIDs   map[string]bool
 	diedAt     time.Duration
 	shutdownAt time.Duration
 }
 
-// Upstream is a server that holds keys.
+// Upstream is a server that owns keys.
 type Upstream struct {
 	Process
 	diedAt    time.Duration
 	Ownership *fakes.Ownership
-	// Draining keeps new work away.
+	// Draining means that the upstream gets no new keys.
 	Draining bool
 }
 
+// event is a call that is due at a true time; events due at the same time run in the order of their serial numbers.
 type event struct {
 	dueAt  time.Duration
 	serial int
 	call   func()
 }
 
+// eventQueue is a heap of events by due time.
 type eventQueue []event
 
-func (events eventQueue) Len() int { return len(events) }
+func (eventQueue eventQueue) Len() int { return len(eventQueue) }
 
-func (events eventQueue) Less(i, j int) bool {
-	if events[i].dueAt != events[j].dueAt {
-		return events[i].dueAt < events[j].dueAt
+func (eventQueue eventQueue) Less(i, j int) bool {
+	if eventQueue[i].dueAt != eventQueue[j].dueAt {
+		return eventQueue[i].dueAt < eventQueue[j].dueAt
 	}
-	return events[i].serial < events[j].serial
+	return eventQueue[i].serial < eventQueue[j].serial
 }
 
-func (events eventQueue) Swap(i, j int) { events[i], events[j] = events[j], events[i] }
+func (eventQueue eventQueue) Swap(i, j int) {
+	eventQueue[i], eventQueue[j] = eventQueue[j], eventQueue[i]
+}
 
-func (events *eventQueue) Push(value any) { *events = append(*events, value.(event)) }
+func (eventQueue *eventQueue) Push(value any) { *eventQueue = append(*eventQueue, value.(event)) }
 
-func (events *eventQueue) Pop() any {
-	last := len(*events) - 1
-	popped := (*events)[last]
-	*events = (*events)[:last]
+func (eventQueue *eventQueue) Pop() any {
+	last := len(*eventQueue) - 1
+	popped := (*eventQueue)[last]
+	*eventQueue = (*eventQueue)[:last]
 	return popped
 }
 
-// New returns a world in which nothing has happened yet.
+// New returns a world before its first event.
 func New(options Options) *World {
 	world := &World{
 		Options: options,
@@ -187,7 +195,7 @@
 	return upstream
 }
 
-// AddHost adds an entry host that has read the log so far.
+// AddHost adds an entry host, which then reads the log from its start.
 func (world *World) AddHost(name string, zone int) *Host {
 	host := &Host{Process: world.newProcess(name, zone), State: fold.NewState(), claimIDs: map[string]bool{}}
 	host.Witness = lease.NewWitness(world.local(&host.Process))
@@ -200,43 +208,44 @@
 	return host
 }
 
-// Now returns the true time since the start.
+// Now returns the true time since the start of the run.
 func (world *World) Now() time.Duration {
 	return world.now
 }
 
-// local is a process's own monotonic time.
+// local returns a process's own monotonic time.
 func (world *World) local(process *Process) cherrykeel.Instant {
 	return cherrykeel.Instant(process.clockOffset + time.Duration(float64(world.now)*process.clockRate))
 }
 
-// LocalTime is an upstream's own monotonic time.
+// LocalTime returns an upstream's own monotonic time.
 func (world *World) LocalTime(upstream *Upstream) time.Duration {
 	return time.Duration(world.local(&upstream.Process))
 }
 
-// scheduleOn runs a step on a process after a delay; it waits while the process is paused and falls away if it is dead.
+// scheduleOn schedules a call in a process after a delay. It is deferred while the process is suspended, and dropped if
+// it is dead.
 func (world *World) scheduleOn(process *Process, delay time.Duration, call func()) {
 	world.lastSerial++
 	heap.Push(&world.events, event{dueAt: world.now + delay, serial: world.lastSerial, call: func() {
 		if process.Dead {
 			return
 		}
-		if left := process.SuspendedUntil - world.now; left > 0 {
-			world.scheduleOn(process, left, call)
+		if remaining := process.SuspendedUntil - world.now; remaining > 0 {
+			world.scheduleOn(process, remaining, call)
 			return
 		}
 		call()
 	}})
 }
 
-// Schedule runs a scenario's step at a time.
-func (world *World) Schedule(at time.Duration, call func()) {
+// Schedule schedules a call at a true time, independently of any process.
+func (world *World) Schedule(dueAt time.Duration, call func()) {
 	world.lastSerial++
-	heap.Push(&world.events, event{dueAt: at, serial: world.lastSerial, call: call})
+	heap.Push(&world.events, event{dueAt: dueAt, serial: world.lastSerial, call: call})
 }
 
-// send carries a message; a lost one is never delivered.
+// send delivers a message to a process after the network's delay, unless the network loses it.
 func (world *World) send(from, to *Process, call func()) {
 	delay, lost := world.Network(from.Name, to.Name)
 	if lost {
@@ -245,7 +254,7 @@
 	world.scheduleOn(to, world.Options.Latency+delay, call)
 }
 
-// RunUntil goes on until a time.
+// RunUntil runs all events up to a true time.
 func (world *World) RunUntil(until time.Duration) {
 	for len(world.events) > 0 && world.events[0].dueAt <= until {
 		next := heap.Pop(&world.events).(event)
@@ -257,8 +266,8 @@
 	world.now = until
 }
 
-// Owners returns the upstreams that may act for a partition's keys now, by the clocks that decide:
-// their own, or those of the hosts that send to them; and those that work on what they began before.
+// Owners returns the upstreams that may act for a key now: those that own it by their own clocks or, if they check no
+// fences, by the clocks of the hosts that send to them, and those that still process an earlier request for it.
 func (world *World) Owners(partition int, key string) []*Upstream {
 	var owners []*Upstream
 	for _, upstream := range world.Upstreams {
@@ -281,14 +290,14 @@
 	return false
 }
 
-// SendTarget returns the upstream that a host may send a key's requests to, where upstreams check no fences.
+// SendTarget returns the upstream to which a host may send a key's requests if upstreams check no fences, or "".
 func (world *World) SendTarget(host *Host, partition int, key string) string {
 	name, _ := host.View.Owner(partition, key, world.local(&host.Process))
 	return name
 }
 
-// ServingUpstream returns the index of the upstream that answers a key's requests now, when they come
-// through a host, or -1; it looks at the hinted one first.
+// ServingUpstream returns the index of the upstream that answers a key's requests now if they come through a host, and -1
+// if there is none. It checks the upstream at the index hint first, if that is not negative.
 func (world *World) ServingUpstream(host *Host, partition int, key string, hint int) int {
 	if hint >= 0 && world.isServing(host, world.Upstreams[hint], partition, key) {
 		return hint
@@ -311,7 +320,7 @@
 	return upstream.Ownership.Owns(world.LocalTime(upstream), partition, key)
 }
 
-// KeeperHost returns the host that holds the role, or nil.
+// KeeperHost returns the host that is the service's keeper, or nil.
 func (world *World) KeeperHost() *Host {
 	for _, host := range world.Hosts {
 		if !host.Dead && host.Keeper.HoldsRole() && host.State.Ownership[Service].Keeper == host.Name {
