--- a/poison/identity.go
+++ b/poison/identity.go
@@ -36,6 +36,7 @@
 
 // RequestParts holds the parts of a request from which its fingerprint and its caller's fingerprints are computed.
 type RequestParts struct {
+	// Method is the HTTP method.
 	Method string
 	// Domain is the requested host name, and Path the path with its query, both exactly as received.
 	Domain string
--- a/poison/record.go
+++ b/poison/record.go
@@ -48,9 +48,12 @@
 // Record holds the crashes that were seen while one request was running. Records are merged crash by crash, so that
 // their order, their number and the way by which they are received make no difference.
 type Record struct {
+	// Fingerprint is the record's key, and not part of its value.
 	Fingerprint Fingerprint `json:"-"`
-	Service     string
-	Crashes     []Crash `json:"Ends"`
+	// Service is the request's service.
+	Service string
+	// Crashes has at most maxCrashes crashes, in no particular order.
+	Crashes []Crash `json:"Ends"`
 }
 
 // DecodeRecord decodes a record from its key, which is the fingerprint, and its JSON value. The error wraps
--- a/poison/witness.go
+++ b/poison/witness.go
@@ -39,11 +39,14 @@
 // UnansweredAttempt is an attempt to send a request to an upstream that got no successful answer: its connection ended,
 // or this host abandoned it. The upstream may have crashed while running it, or may be running it still.
 type UnansweredAttempt struct {
+	// Fingerprint is the request's, and CallerFingerprints are its caller's.
 	Fingerprint        Fingerprint
 	CallerFingerprints []CallerFingerprint
 	// RequestID is the ID of the caller's attempt, for logs.
-	RequestID   string
-	Service     string
+	RequestID string
+	// Service is the request's service.
+	Service string
+	// Incarnation and Address are those of the upstream to which the request was sent.
 	Incarnation Incarnation
 	Address     string
 	// SentAt is when the request was sent, and EndedAt when its connection ended or it was abandoned.
