--- a/trial/adversary.go
+++ b/trial/adversary.go
@@ -75,6 +75,7 @@
 	}
 }
 
+// changeTimeouts changes the service's timeout at random times, to at least minTimeout and less than maxTimeout.
 func (adversary *Adversary) changeTimeouts(traffic *Traffic) {
 	adversary.world.Schedule(adversary.world.Now()+traffic.randomDuration(2*adversary.MaxFaultDuration), func() {
 		timeout := minTimeout + traffic.randomDuration(maxTimeout-minTimeout)
@@ -105,7 +106,7 @@
 	return time.Duration(random.Int63n(int64(5 * time.Millisecond))), false
 }
 
-// Stop stops injecting faults and losing or delaying messages. Faults in progress end after their own duration.
+// Stop stops injecting faults, and losing or delaying messages at random. Faults in progress end after their own duration.
 func (adversary *Adversary) Stop() {
 	adversary.stopped = true
 	adversary.LossRate = 0
--- a/trial/world.go
+++ b/trial/world.go
@@ -27,16 +27,20 @@
 
 // Options configures a World.
 type Options struct {
-	Seed       int64
-	Hosts      int
-	Upstreams  int
-	Zones      int
+	// Seed seeds the random sources of the world and of its traffic.
+	Seed int64
+	// Hosts, Upstreams and Zones are the numbers at the start of the run; hosts and upstreams are spread over the zones.
+	Hosts     int
+	Upstreams int
+	Zones     int
+	// Partitions is the service's number of partitions.
 	Partitions int
 	// Latency is the transit time of a message.
 	Latency time.Duration
 	// MaxClockDrift is the largest deviation of a clock's rate from true time, as a fraction.
 	MaxClockDrift float64
-	LeaseLength   time.Duration
+	// LeaseLength is the service's lease duration.
+	LeaseLength time.Duration
 	// NoFences means that upstreams do not check the fences of grants.
 	NoFences bool
 	// Disabled is the safeguard to disable, if any.
@@ -63,16 +67,22 @@
 
 // World is the state of one run.
 type World struct {
-	Options   Options
-	Random    *rand.Rand
-	Settings  *cherrykeel.Service
+	Options Options
+	// Random is the random source of the world and its adversary.
+	Random *rand.Rand
+	// Settings has the service's current settings; hosts read changes of the timeout later.
+	Settings *cherrykeel.Service
+	// Hosts and Upstreams contain dead ones too.
 	Hosts     []*Host
 	Upstreams []*Upstream
-	Network   Network
+	// Network is called for each message; by default, it neither delays nor loses any.
+	Network Network
 	// LogUnavailable makes every append to the log and every read of it fail.
 	LogUnavailable bool
-	Demand         cherrykeel.Demand
-	Placer         cherrykeel.Placer
+	// Demand is the demand that every keeper sees.
+	Demand cherrykeel.Demand
+	// Placer is used by the keepers of hosts that are added later.
+	Placer cherrykeel.Placer
 	// Steps counts the events so far. Check is called after each of them.
 	Steps      int
 	Check      func(world *World)
@@ -87,6 +97,7 @@
 type Process struct {
 	Name string
 	Zone string
+	// Dead means that the process has ended; its pending events are dropped.
 	Dead bool
 	// SuspendedUntil is the time until which the process is suspended. Its events before that are deferred.
 	SuspendedUntil time.Duration
@@ -97,12 +108,14 @@
 // Host is an entry host, as far as it takes part in ownership.
 type Host struct {
 	Process
+	// Leaving means that the host is shutting down gracefully.
 	Leaving bool
 	// LogUnreachable makes the log unreachable for this host alone.
 	LogUnreachable bool
 	Keeper         *keeper.Keeper
 	Witness        *lease.Witness
-	State          *fold.State
+	// State is folded from the records of the log that the host has read.
+	State *fold.State
 	// View is the host's lease on sending requests, which is used if upstreams check no fences.
 	View *views.View
 	// timeout is the service's timeout that the host has read.
@@ -116,7 +129,8 @@
 // Upstream is a server that owns keys.
 type Upstream struct {
 	Process
-	diedAt    time.Duration
+	diedAt time.Duration
+	// Ownership has the keys that the current process was granted.
 	Ownership *fakes.Ownership
 	// Draining means that the upstream gets no new keys.
 	Draining bool
