--- a/deny/list.go
+++ b/deny/list.go
@@ -13,48 +13,49 @@
 	"cherrykeel/poison"
 )
 
-// Evidence is what showed that an upstream's process had ended.
+// Evidence is how a host detected that an upstream's process had ended, as logged.
 type Evidence string
 
-// The kinds of evidence, as they stand in logs.
+// The kinds of evidence.
 const (
-	// ConnectionRefused means that a connection to its address was refused.
+	// ConnectionRefused means that a connection to the upstream's address was refused.
 	ConnectionRefused Evidence = "connection refused"
-	// EntryGone means that its entry was gone, or another process had its address.
+	// EntryGone means that the upstream's entry was removed, or that another process had its address.
 	EntryGone Evidence = "entry gone"
 )
 
-// Settings is what a List needs of its host; what is nil is not asked or told.
+// Settings holds what a List needs of its host. Callbacks may be nil.
 type Settings struct {
 	Clock  cherrykeel.Clock
 	Logger *zap.Logger
-	// IsConnectionRefused asks for a connection to an address and reports whether it was refused.
+	// IsConnectionRefused opens a connection to an address and reports whether it was refused.
 	IsConnectionRefused func(address string) bool
-	// HasAnnouncedShutdown reports whether an upstream's life had said that it would end.
-	HasAnnouncedShutdown func(life poison.Incarnation) bool
-	// Announce passes on to the other hosts what this host has seen itself, and Keep writes it where hosts find it
-	// that start later, from so many ends on.
-	Announce          func(record poison.Record)
+	// HasAnnouncedShutdown reports whether an incarnation had announced its graceful shutdown before it ended.
+	HasAnnouncedShutdown func(incarnation poison.Incarnation) bool
+	// Announce sends what this host has observed itself to the other hosts.
+	Announce func(record poison.Record)
+	// Store stores a record where hosts that start later read it. It is called for records with at least
+	// MinCrashesToStore crashes.
 	Store             func(record poison.Record)
 	MinCrashesToStore int
 }
 
-// List is one host's list.
+// List holds one host's suspected and denied requests, and its unanswered attempts. It is safe for concurrent use.
 type List struct {
 	Settings
-	probes *prober
+	prober *prober
 
-	mutex   sync.Mutex
-	witness poison.CrashDetector
-	table   *poison.Table
-	// broken says that the witness keeps breaks and known that the table has records, so that requests need not take
-	// the lock on usual days.
-	broken atomic.Bool
-	known  atomic.Bool
-	// changed is closed when one more request is refused.
-	changed chan struct{}
-	// refusals counts what was not sent.
-	refusals atomic.Int64
+	mutex    sync.Mutex
+	detector poison.CrashDetector
+	table    *poison.Table
+	// hasPending is set while the detector holds attempts, and hasRecords while the table has records. With neither, as
+	// is usual, requests need not acquire the mutex.
+	hasPending atomic.Bool
+	hasRecords atomic.Bool
+	// denialAdded is closed and replaced when a denial is added or widened.
+	denialAdded chan struct{}
+	// refusalCount counts how often a denied request was not sent.
+	refusalCount atomic.Int64
 }
 
 // New returns an empty list.
@@ -71,142 +72,145 @@
 	if settings.Store == nil {
 		settings.Store = func(poison.Record) {}
 	}
-	list := &List{Settings: settings, table: poison.NewTable(), changed: make(chan struct{})}
-	list.probes = newProber(list.ask)
+	list := &List{Settings: settings, table: poison.NewTable(), denialAdded: make(chan struct{})}
+	list.prober = newProber(list.probe)
 	return list
 }
 
-// IsEmpty reports whether nothing is known of any request.
+// IsEmpty reports whether there is no record of any request.
 func (list *List) IsEmpty() bool {
-	return !list.known.Load()
+	return !list.hasRecords.Load()
 }
 
-// concerns reports whether anything is known of requests for a target.
-func (list *List) concerns(target poison.Target) bool {
+// hasTarget reports whether there is a record of any request for a target.
+func (list *List) hasTarget(target poison.Target) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.table.HasTarget(target)
 }
 
-func (list *List) refused(identity poison.Fingerprint, marks []poison.CallerFingerprint) (time.Duration, bool) {
+// denied returns for how much longer a request is denied to a caller, and whether it is.
+func (list *List) denied(fingerprint poison.Fingerprint, callers []poison.CallerFingerprint) (time.Duration, bool) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	if !list.table.IsDenied(identity, marks...) {
+	if !list.table.IsDenied(fingerprint, callers...) {
 		return 0, false
 	}
-	list.refusals.Add(1)
-	left := time.Duration(list.table.ExpiresAt(identity)-list.now()) * time.Millisecond
-	return max(0, left), true
+	list.refusalCount.Add(1)
+	remaining := time.Duration(list.table.ExpiresAt(fingerprint)-list.unixMillis()) * time.Millisecond
+	return max(0, remaining), true
 }
 
-func (list *List) suspected(identity poison.Fingerprint, marks []poison.CallerFingerprint) bool {
+func (list *List) isSuspected(fingerprint poison.Fingerprint, callers []poison.CallerFingerprint) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	return list.table.IsSuspected(identity, marks...)
+	return list.table.IsSuspected(fingerprint, callers...)
 }
 
-// DenialAdded returns a channel that is closed when one more request is refused.
+// DenialAdded returns a channel that is closed the next time that a request is denied to more callers than before.
 func (list *List) DenialAdded() <-chan struct{} {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	return list.changed
+	return list.denialAdded
 }
 
-// Records returns all that is known, for a host that knows nothing yet.
+// Records returns all records, for a host that has none yet.
 func (list *List) Records() []poison.Record {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.table.Records()
 }
 
-// Find returns what is known of a request.
-func (list *List) Find(identity poison.Fingerprint) (poison.Record, bool) {
+// Find returns a request's record, and whether there is one.
+func (list *List) Find(fingerprint poison.Fingerprint) (poison.Record, bool) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	return list.table.Find(identity)
+	return list.table.Find(fingerprint)
 }
 
-// UpdateMetrics shows in a host's metrics how many requests are denied and suspected, and how often one was refused.
+// UpdateMetrics sets the gauges of denied and suspected requests, and of how often a denied request was not sent.
 func (list *List) UpdateMetrics(scope tally.Scope) {
 	list.mutex.Lock()
-	refused, known := list.table.Counts()
+	denied, total := list.table.Counts()
 	list.mutex.Unlock()
-	scope.Gauge("denied_requests").Update(float64(refused))
-	scope.Gauge("suspected_requests").Update(float64(known - refused))
-	scope.Gauge("denied_refusals").Update(float64(list.refusals.Load()))
+	scope.Gauge("denied_requests").Update(float64(denied))
+	scope.Gauge("suspected_requests").Update(float64(total - denied))
+	scope.Gauge("denied_refusals").Update(float64(list.refusalCount.Load()))
 }
 
-// RemoveExpired drops what is too old, and returns what it dropped.
+// RemoveExpired removes expired records and returns their fingerprints.
 func (list *List) RemoveExpired() []poison.Fingerprint {
 	if list.IsEmpty() {
 		return nil
 	}
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	dropped := list.table.RemoveExpired(list.now())
-	list.noteCounts()
-	return dropped
+	removed := list.table.RemoveExpired(list.unixMillis())
+	list.updateHasRecords()
+	return removed
 }
 
-// noteCounts keeps known right; List.mutex is held.
-func (list *List) noteCounts() {
-	_, known := list.table.Counts()
-	list.known.Store(known > 0)
+// updateHasRecords updates hasRecords from the table; the caller holds List.mutex.
+func (list *List) updateHasRecords() {
+	_, total := list.table.Counts()
+	list.hasRecords.Store(total > 0)
 }
 
-// now is the time of day by which ends are told, in Unix milliseconds.
-func (list *List) now() int64 {
+// unixMillis returns the wall-clock time, in Unix milliseconds, by which crashes are recorded.
+func (list *List) unixMillis() int64 {
 	return list.Clock.Wall().UnixMilli()
 }
 
-// Merge takes what another host has seen.
+// Merge merges a record received from another host.
 func (list *List) Merge(record poison.Record) {
 	list.mutex.Lock()
 	before := list.table.DenialScope(record.Fingerprint)
-	merged, news := list.table.Merge(record, list.now())
-	if news {
-		list.changedOne(record.Fingerprint, before)
+	merged, changed := list.table.Merge(record, list.unixMillis())
+	if changed {
+		list.signalIfWider(record.Fingerprint, before)
 	}
 	list.mutex.Unlock()
-	if news {
-		list.logChange(merged, before)
+	if changed {
+		list.logScopeChange(merged, before)
 	}
 }
 
-// MergeStored takes the newest record that is kept of a request. Of two hosts that write at the same moment the later
-// one's record stands, without what only the other has seen; whoever has seen it writes all that is known again.
-// Hosts that start later would know too little, and send the request on once more often for each end that they lack.
-func (list *List) MergeStored(kept poison.Record) {
-	list.Merge(kept)
+// MergeStored merges the latest stored record of a request. If two hosts store records at the same time, the later
+// one replaces the earlier one and lacks what only the other host observed. So a host that has observed something of the
+// request itself stores the merged record again if the stored one is incomplete. Otherwise, hosts that start later would
+// send the request once more for each crash that is missing.
+func (list *List) MergeStored(stored poison.Record) {
+	list.Merge(stored)
 	list.mutex.Lock()
-	known, exists := list.table.Find(kept.Fingerprint)
-	lacks := exists && list.table.IsObservedLocally(kept.Fingerprint) && kept.NeedsMerge(known)
+	merged, exists := list.table.Find(stored.Fingerprint)
+	incomplete := exists && list.table.IsObservedLocally(stored.Fingerprint) && stored.NeedsMerge(merged)
 	list.mutex.Unlock()
-	if lacks {
-		list.Store(known)
+	if incomplete {
+		list.Store(merged)
 	}
 }
 
-// changedOne wakes those that wait if a request is refused that was not; List.mutex is held.
-func (list *List) changedOne(identity poison.Fingerprint, before poison.DenialScope) {
-	list.noteCounts()
-	if list.table.DenialScope(identity).IsWiderThan(before) {
-		close(list.changed)
-		list.changed = make(chan struct{})
+// signalIfWider closes denialAdded if a request is denied to more callers than before; the caller holds List.mutex.
+func (list *List) signalIfWider(fingerprint poison.Fingerprint, before poison.DenialScope) {
+	list.updateHasRecords()
+	if list.table.DenialScope(fingerprint).IsWiderThan(before) {
+		close(list.denialAdded)
+		list.denialAdded = make(chan struct{})
 	}
 }
 
-func (list *List) logChange(record poison.Record, before poison.DenialScope) {
+// logScopeChange logs a request's denial or the end of it, if its scope has changed.
+func (list *List) logScopeChange(record poison.Record, before poison.DenialScope) {
 	list.mutex.Lock()
-	extent := list.table.DenialScope(record.Fingerprint)
+	scope := list.table.DenialScope(record.Fingerprint)
 	list.mutex.Unlock()
-	if extent == before {
+	if scope == before {
 		return
 	}
 	event := events.RequestCleared
-	if extent.IsWiderThan(before) {
+	if scope.IsWiderThan(before) {
 		event = events.RequestDenied
 	}
 	events.Log(list.Logger, event,
-		zap.Stringer("Identity", record.Fingerprint), zap.Bool("All", extent.AllCallers), zap.Int("Callers", extent.CallerCount), zap.String("Service", record.Service), zap.Any("Ends", record.Crashes))
+		zap.Stringer("Identity", record.Fingerprint), zap.Bool("All", scope.AllCallers), zap.Int("Callers", scope.CallerCount), zap.String("Service", record.Service), zap.Any("Ends", record.Crashes))
 }
--- a/deny/prober.go
+++ b/deny/prober.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// prober asks addresses at a bounded pace, each by one goroutine at a time.
+// prober probes addresses at a limited rate for each address.
 type prober struct {
-	ask   func(address string)
+	probe func(address string)
 	mutex sync.Mutex
-	// next is when an address may be asked again; those whose time has passed are dropped.
-	next map[string]time.Time
+	// nextProbe has the time from which an address may be probed again; entries in the past are removed.
+	nextProbe map[string]time.Time
 }
 
-func newProber(ask func(address string)) *prober {
-	return &prober{ask: ask, next: map[string]time.Time{}}
+func newProber(probe func(address string)) *prober {
+	return &prober{probe: probe, nextProbe: map[string]time.Time{}}
 }
 
-// soon has an address asked after a moment, unless that is about to happen.
-func (prober *prober) soon(address string) {
+// schedule schedules a probe of an address after probeDelay, and at least probeInterval after the previous one. It does
+// nothing if a probe is scheduled already.
+func (prober *prober) schedule(address string) {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
 	now := time.Now()
-	for other, next := range prober.next {
+	for other, next := range prober.nextProbe {
 		if now.After(next) {
-			delete(prober.next, other)
+			delete(prober.nextProbe, other)
 		}
 	}
-	at := now.Add(probeAfter)
-	next, asked := prober.next[address]
-	if asked && next.Sub(now) > probeEvery {
-		// The last probe that was asked for has not begun yet.
+	probeAt := now.Add(probeDelay)
+	next, probed := prober.nextProbe[address]
+	if probed && next.Sub(now) > probeInterval {
+		// The latest scheduled probe has not started yet.
 		return
 	}
-	if asked && next.After(at) {
-		at = next
+	if probed && next.After(probeAt) {
+		probeAt = next
 	}
-	prober.next[address] = at.Add(probeEvery)
-	time.AfterFunc(at.Sub(now), func() { prober.ask(address) })
+	prober.nextProbe[address] = probeAt.Add(probeInterval)
+	time.AfterFunc(probeAt.Sub(now), func() { prober.probe(address) })
 }
--- a/trial/host.go
+++ b/trial/host.go
@@ -11,13 +11,13 @@
 	"cherrykeel/lease"
 )
 
-// orderTimeout is after how long an order without an answer counts as failed.
+// orderTimeout is the time after which an order without an answer counts as failed.
 const orderTimeout = 270 * time.Millisecond
 
-// noticed is how long hosts take to agree, by their own traffic, that an upstream is down.
-const noticed = 1500 * time.Millisecond
+// detectionTime is how long hosts take to agree, from their own traffic, that an upstream is down.
+const detectionTime = 1500 * time.Millisecond
 
-// Kill ends a process for good.
+// Kill ends a process at once. It stays dead, unless it is an upstream that RestartUpstream restarts.
 func (world *World) Kill(process *Process) {
 	process.Dead = true
 	for _, host := range world.Hosts {
@@ -27,74 +27,77 @@
 	}
 	for _, upstream := range world.Upstreams {
 		if &upstream.Process == process {
-			upstream.failedAt = world.now
+			upstream.diedAt = world.now
 		}
 	}
 }
 
-// RestartUpstream brings an upstream back as a new process that owns nothing.
+// RestartUpstream starts an upstream again as a new process that owns nothing.
 func (world *World) RestartUpstream(upstream *Upstream) {
 	upstream.Dead = false
-	// The new process's clock starts over.
-	upstream.offset = time.Second - time.Duration(float64(world.now)*upstream.rate)
+	// The new process's clock starts at one second.
+	upstream.clockOffset = time.Second - time.Duration(float64(world.now)*upstream.clockRate)
 	upstream.Ownership = fakes.NewOwnership(upstream.Name+" "+strconv.Itoa(world.Steps), Service)
 }
 
-// StartShutdown begins a host's planned stop; it dies once it keeps nothing.
+// StartShutdown starts a host's graceful shutdown. The host ends once it is no longer the keeper.
 func (world *World) StartShutdown(host *Host) {
 	host.Leaving = true
-	host.leftAt = world.now
-	world.awaitHandover(host)
+	host.shutdownAt = world.now
+	world.killAfterHandover(host)
 }
 
-func (world *World) awaitHandover(host *Host) {
-	world.at(&host.Process, tickPause, func() {
+// killAfterHandover kills a host once it is no longer the keeper.
+func (world *World) killAfterHandover(host *Host) {
+	world.scheduleOn(&host.Process, tickInterval, func() {
 		if host.Keeper.HoldsRole() {
-			world.awaitHandover(host)
+			world.killAfterHandover(host)
 			return
 		}
 		world.Kill(&host.Process)
 	})
 }
 
-func (world *World) tick(host *Host) {
-	world.at(&host.Process, tickPause, func() {
-		world.decide(host)
-		world.tick(host)
+// scheduleTick runs a host's keeper every tickInterval.
+func (world *World) scheduleTick(host *Host) {
+	world.scheduleOn(&host.Process, tickInterval, func() {
+		world.runKeeper(host)
+		world.scheduleTick(host)
 	})
 }
 
-func (world *World) decide(host *Host) {
-	input := world.input(host)
+// runKeeper runs one step of a host's keeper and carries out its actions.
+func (world *World) runKeeper(host *Host) {
+	input := world.keeperInput(host)
 	host.Witness.RecordRunning(input.Now)
 	actions := host.Keeper.Tick(input)
 	for _, order := range actions.Orders {
-		world.order(host, order)
+		world.sendOrder(host, order)
 	}
 	for _, name := range actions.RequestConfirmation {
-		world.confirm(host, name, input.Block.Term)
+		world.requestConfirmation(host, name, input.Block.Term)
 	}
-	for _, teaching := range actions.TermNotices {
-		world.teach(host, teaching)
+	for _, notice := range actions.TermNotices {
+		world.sendTermNotice(host, notice)
 	}
 	for _, name := range actions.RequestSilence {
-		world.askSilence(host, name, input.Block.LeaseLength)
+		world.requestSilence(host, name, input.Block.LeaseLength)
 	}
 	if actions.Claim != nil {
-		record := world.record(host)
+		record := world.newRecord(host)
 		record.Claim = actions.Claim
-		host.claims[record.ID] = true
-		world.append(host, record)
+		host.claimIDs[record.ID] = true
+		world.appendToLog(host, record)
 	}
 	if actions.Assign != nil {
-		record := world.record(host)
+		record := world.newRecord(host)
 		record.Assign = actions.Assign
-		world.append(host, record)
+		world.appendToLog(host, record)
 	}
 }
 
-// settings returns the service's settings as a host has read them.
-func (world *World) settings(host *Host) *cherrykeel.Service {
+// settingsOf returns the service's settings with the timeout that a host has read.
+func (world *World) settingsOf(host *Host) *cherrykeel.Service {
 	if host.timeout == world.Settings.Timeout {
 		return world.Settings
 	}
@@ -103,55 +106,57 @@
 	return &read
 }
 
-// SetTimeout changes the setting; each host reads that within a time, later if it is cut from the log.
-func (world *World) SetTimeout(timeout time.Duration, within func(host *Host) time.Duration) {
+// SetTimeout changes the service's timeout. Each host reads the change after a delay, or later if the log is unreachable.
+func (world *World) SetTimeout(timeout time.Duration, delay func(host *Host) time.Duration) {
 	world.Settings.Timeout = timeout
 	for _, host := range world.Hosts {
-		world.readTimeout(host, timeout, within(host))
+		world.scheduleTimeoutRead(host, timeout, delay(host))
 	}
 }
 
-func (world *World) readTimeout(host *Host, timeout, after time.Duration) {
-	world.at(&host.Process, after, func() {
+func (world *World) scheduleTimeoutRead(host *Host, timeout, delay time.Duration) {
+	world.scheduleOn(&host.Process, delay, func() {
 		if host.LogUnreachable || world.LogUnavailable {
-			world.readTimeout(host, timeout, listLag)
+			world.scheduleTimeoutRead(host, timeout, listDelay)
 			return
 		}
 		host.timeout = timeout
 	})
 }
 
-func (world *World) input(host *Host) keeper.Input {
+// keeperInput returns what a host's keeper can observe now. Changes to other hosts are seen after listDelay, and the
+// failure of an upstream after detectionTime.
+func (world *World) keeperInput(host *Host) keeper.Input {
 	input := keeper.Input{
 		Now:          world.local(&host.Process),
 		Block:        host.State.Ownership[Service],
-		Service:      world.settings(host),
+		Service:      world.settingsOf(host),
 		RemovedHosts: map[string]bool{},
 		Leaving:      host.Leaving,
 		Draining:     map[string]bool{},
 		Unreachable:  map[string]bool{},
 		Demand:       world.Demand,
 	}
-	if host.claims[input.Block.ClaimID] {
+	if host.claimIDs[input.Block.ClaimID] {
 		input.ClaimedTerm = input.Block.Term
 	}
 	for _, other := range world.Hosts {
 		switch {
-		case other.Dead && world.now-other.diedAt > listLag:
-			input.RemovedHosts[other.Name] = world.now-other.diedAt > 10*time.Second+listLag
+		case other.Dead && world.now-other.diedAt > listDelay:
+			input.RemovedHosts[other.Name] = world.now-other.diedAt > 10*time.Second+listDelay
 		default:
-			leaving := other.Leaving && (other == host || world.now-other.leftAt > listLag)
+			leaving := other.Leaving && (other == host || world.now-other.shutdownAt > listDelay)
 			input.Hosts = append(input.Hosts, keeper.Host{Name: other.Name, Zone: other.Zone, Leaving: leaving})
 		}
 	}
 	for _, upstream := range world.Upstreams {
 		input.Draining[upstream.Name] = upstream.Draining
-		input.Unreachable[upstream.Name] = upstream.Dead && world.now-upstream.failedAt > noticed
+		input.Unreachable[upstream.Name] = upstream.Dead && world.now-upstream.diedAt > detectionTime
 	}
 	return input
 }
 
-func (world *World) host(name string) *Host {
+func (world *World) hostByName(name string) *Host {
 	for _, host := range world.Hosts {
 		if host.Name == name {
 			return host
@@ -160,7 +165,7 @@
 	return nil
 }
 
-func (world *World) upstream(name string) *Upstream {
+func (world *World) upstreamByName(name string) *Upstream {
 	for _, upstream := range world.Upstreams {
 		if upstream.Name == name {
 			return upstream
@@ -169,26 +174,27 @@
 	return nil
 }
 
-func (world *World) order(host *Host, order lease.Order) {
-	world.at(&host.Process, orderTimeout, func() { host.Keeper.RecordFailure(order) })
-	lessee, take := world.lessee(order)
+// sendOrder sends a keeper's order to its lessee, and the answer back.
+func (world *World) sendOrder(host *Host, order lease.Order) {
+	world.scheduleOn(&host.Process, orderTimeout, func() { host.Keeper.RecordFailure(order) })
+	lessee, apply := world.lessee(order)
 	if lessee == nil {
 		return
 	}
 	world.send(&host.Process, lessee, func() {
-		holding := take()
+		holding := apply()
 		world.send(lessee, &host.Process, func() {
 			host.Keeper.RecordAnswer(order, holding, world.local(&host.Process))
 		})
 	})
 }
 
-// lessee returns the process that an order is for, and how that takes it.
+// lessee returns the process that an order is for, and a function that applies the order there.
 func (world *World) lessee(order lease.Order) (*Process, func() cherrykeel.Holding) {
-	if upstream := world.upstream(order.Lessee); upstream != nil {
-		return &upstream.Process, func() cherrykeel.Holding { return world.take(upstream, order) }
+	if upstream := world.upstreamByName(order.Lessee); upstream != nil {
+		return &upstream.Process, func() cherrykeel.Holding { return world.applyOrder(upstream, order) }
 	}
-	host := world.host(order.Lessee)
+	host := world.hostByName(order.Lessee)
 	if host == nil {
 		return nil, nil
 	}
@@ -200,8 +206,8 @@
 	}
 }
 
-// take gives an order to an upstream, with the safeguard in place that the options leave.
-func (world *World) take(upstream *Upstream, order lease.Order) cherrykeel.Holding {
+// applyOrder applies an order to an upstream, without the safeguard that the options disable.
+func (world *World) applyOrder(upstream *Upstream, order lease.Order) cherrykeel.Holding {
 	now := world.LocalTime(upstream)
 	if order.Query {
 		return upstream.Ownership.Holding(now)
@@ -211,17 +217,18 @@
 	case DisableDeadline:
 		grant.Until = now + world.Options.LeaseLength
 	case DisableFences:
-		held := upstream.Ownership.Holding(now)
-		if grant.Fence.Less(held.Fence) {
-			grant.Fence = held.Fence
+		current := upstream.Ownership.Holding(now)
+		if grant.Fence.Less(current.Fence) {
+			grant.Fence = current.Fence
 		}
 	}
 	return upstream.Ownership.Grant(grant, now)
 }
 
-func (world *World) confirm(host *Host, name string, term int64) {
+// requestConfirmation requests the confirmation of a term from a witness, which may be the host itself.
+func (world *World) requestConfirmation(host *Host, name string, term int64) {
 	sent := world.local(&host.Process)
-	witness := world.host(name)
+	witness := world.hostByName(name)
 	if witness == nil {
 		return
 	}
@@ -242,25 +249,27 @@
 	})
 }
 
-func (world *World) teach(host *Host, teaching keeper.TermNotice) {
-	witness := world.host(teaching.Host)
+// sendTermNotice sends a new term to a witness, which may be the host itself.
+func (world *World) sendTermNotice(host *Host, notice keeper.TermNotice) {
+	witness := world.hostByName(notice.Host)
 	if witness == nil {
 		return
 	}
-	learned := func() { host.Keeper.RecordTermLearned(teaching, world.local(&host.Process)) }
+	onLearned := func() { host.Keeper.RecordTermLearned(notice, world.local(&host.Process)) }
 	if witness == host {
-		witness.Witness.RecordTerm(Service, teaching.Term)
-		learned()
+		witness.Witness.RecordTerm(Service, notice.Term)
+		onLearned()
 		return
 	}
 	world.send(&host.Process, &witness.Process, func() {
-		witness.Witness.RecordTerm(Service, teaching.Term)
-		world.send(&witness.Process, &host.Process, learned)
+		witness.Witness.RecordTerm(Service, notice.Term)
+		world.send(&witness.Process, &host.Process, onLearned)
 	})
 }
 
-func (world *World) askSilence(host *Host, name string, leaseLength time.Duration) {
-	witness := world.host(name)
+// requestSilence requests from a witness how long it has not received a confirmation request for the service.
+func (world *World) requestSilence(host *Host, name string, leaseLength time.Duration) {
+	witness := world.hostByName(name)
 	if witness == nil {
 		return
 	}
@@ -272,13 +281,13 @@
 	})
 }
 
-func (world *World) record(host *Host) fold.Record {
-	world.serial++
-	return fold.Record{Format: fold.Format, ID: strconv.Itoa(world.serial), Author: host.Name}
+func (world *World) newRecord(host *Host) fold.Record {
+	world.lastSerial++
+	return fold.Record{Format: fold.Format, ID: strconv.Itoa(world.lastSerial), Author: host.Name}
 }
 
-// append reaches the log after a while, unless the log is out by then.
-func (world *World) append(host *Host, record fold.Record) {
+// appendToLog appends a record to the log after the network's delay, unless the log is unavailable then.
+func (world *World) appendToLog(host *Host, record fold.Record) {
 	delay, lost := world.Network(host.Name, "log")
 	if lost || host.LogUnreachable {
 		return
@@ -291,27 +300,28 @@
 		if err != nil {
 			panic(err)
 		}
-		world.records = append(world.records, data)
+		world.logRecords = append(world.logRecords, data)
 	})
 }
 
-// readLog keeps a host's fold in step with the log, as far as the log answers.
-func (world *World) readLog(host *Host) {
+// scheduleLogRead has a host read the log repeatedly and apply new records, as far as the log is reachable.
+func (world *World) scheduleLogRead(host *Host) {
 	delay, lost := world.Network("log", host.Name)
-	begun := world.local(&host.Process)
-	known := len(world.records)
-	world.at(&host.Process, world.Options.Latency+delay, func() {
+	startedAt := world.local(&host.Process)
+	next := len(world.logRecords)
+	world.scheduleOn(&host.Process, world.Options.Latency+delay, func() {
 		if !lost && !world.LogUnavailable && !host.LogUnreachable {
-			world.foldUpTo(host, known)
-			host.Witness.RecordCaughtUp(begun)
+			world.foldUpTo(host, next)
+			host.Witness.RecordCaughtUp(startedAt)
 		}
-		world.readLog(host)
+		world.scheduleLogRead(host)
 	})
 }
 
-func (world *World) foldUpTo(host *Host, known int) {
-	for offset := int(host.State.Next); offset < known; offset++ {
-		_, err := host.State.Apply(int64(offset), world.records[offset])
+// foldUpTo applies the log's records before an offset to a host's state, and its term to the host's witness.
+func (world *World) foldUpTo(host *Host, next int) {
+	for offset := int(host.State.Next); offset < next; offset++ {
+		_, err := host.State.Apply(int64(offset), world.logRecords[offset])
 		if err != nil {
 			panic(err)
 		}
