--- a/fold/apply.go
+++ b/fold/apply.go
@@ -23,7 +23,7 @@
 	state.Next = offset + 1
 	if err != nil {
 		verdict := Verdict{Version: offset + 1, Reason: err.Error()}
-		state.link(verdict, data)
+		state.extendChain(verdict, data)
 		return verdict, nil
 	}
 	verdict := Verdict{ID: record.ID, Version: offset + 1}
@@ -38,15 +38,15 @@
 		verdict.Accepted = true
 		state.CheckpointAt = offset
 	case len(record.SuspectedRequests) > 0:
-		state.applyDenials(&verdict, record)
+		state.applySuspected(&verdict, record)
 	default:
 		verdict.Reason = "the record is empty"
 	}
-	state.link(verdict, data)
+	state.extendChain(verdict, data)
 	return verdict, nil
 }
 
-func (state *State) link(verdict Verdict, data []byte) {
+func (state *State) extendChain(verdict Verdict, data []byte) {
 	digest := xxhash.New()
 	_, _ = fmt.Fprintf(digest, "%d %d %t ", state.Chain, verdict.Version, verdict.Accepted)
 	_, _ = digest.Write(data)
@@ -94,31 +94,31 @@
 
 func (state *State) applyClaim(verdict *Verdict, record Record) {
 	claim := *record.Claim
-	block := state.Ownership[claim.Service]
-	if block.Term != claim.Term {
-		verdict.ConflictVersion = block.Term
-		verdict.Reason = fmt.Sprintf("the term is %d, held by %s", block.Term, block.Keeper)
+	ownership := state.Ownership[claim.Service]
+	if ownership.Term != claim.Term {
+		verdict.ConflictVersion = ownership.Term
+		verdict.Reason = fmt.Sprintf("the term is %d, held by %s", ownership.Term, ownership.Keeper)
 		return
 	}
-	if block.Term != 0 {
-		replaced := EarlierTerm{Term: block.Term, LeaseLength: block.LeaseLength, Timeout: block.Timeout, Witnesses: block.Witnesses}
-		block.Earlier = append(append([]EarlierTerm(nil), block.Earlier...), replaced)
-	}
-	block.Term = verdict.Version
-	block.Keeper = record.Author
-	block.ClaimID = record.ID
-	block.LeaseLength = claim.LeaseLength
-	block.Timeout = claim.Timeout
-	block.Witnesses = claim.Witnesses
-	state.Ownership[claim.Service] = block
+	if ownership.Term != 0 {
+		replaced := EarlierTerm{Term: ownership.Term, LeaseLength: ownership.LeaseLength, Timeout: ownership.Timeout, Witnesses: ownership.Witnesses}
+		ownership.Earlier = append(append([]EarlierTerm(nil), ownership.Earlier...), replaced)
+	}
+	ownership.Term = verdict.Version
+	ownership.Keeper = record.Author
+	ownership.ClaimID = record.ID
+	ownership.LeaseLength = claim.LeaseLength
+	ownership.Timeout = claim.Timeout
+	ownership.Witnesses = claim.Witnesses
+	state.Ownership[claim.Service] = ownership
 	verdict.Accepted = true
 }
 
 func (state *State) applyAssign(verdict *Verdict, assign Assign) {
-	block := state.Ownership[assign.Service]
-	if block.Term != assign.Term || block.Sequence != assign.Base {
-		verdict.ConflictVersion = block.Term
-		verdict.Reason = fmt.Sprintf("the block is at term %d, sequence %d", block.Term, block.Sequence)
+	ownership := state.Ownership[assign.Service]
+	if ownership.Term != assign.Term || ownership.Sequence != assign.Base {
+		verdict.ConflictVersion = ownership.Term
+		verdict.Reason = fmt.Sprintf("the block is at term %d, sequence %d", ownership.Term, ownership.Sequence)
 		return
 	}
 	if assign.Partitions < 0 || assign.Partitions > maxPartitions {
@@ -126,40 +126,40 @@
 		verdict.Reason = fmt.Sprintf("%d partitions are out of range", assign.Partitions)
 		return
 	}
-	block.Sequence = verdict.Version
+	ownership.Sequence = verdict.Version
 	if assign.Settled {
-		block.Earlier = nil
+		ownership.Earlier = nil
 	}
-	block.Placement = ApplyAssign(block.Placement, assign)
-	state.Ownership[assign.Service] = block
+	ownership.Placement = ApplyAssign(ownership.Placement, assign)
+	state.Ownership[assign.Service] = ownership
 	verdict.Accepted = true
 }
 
-// applyDenials merges what hosts have seen. How old a request's ends are is counted from the record's own time, so that
+// applySuspected merges what hosts have seen. How old a request's ends are is counted from the record's own time, so that
 // every host folds the same.
-func (state *State) applyDenials(verdict *Verdict, record Record) {
-	for _, denial := range record.SuspectedRequests {
-		identity, err := poison.ParseFingerprint(denial.Fingerprint)
+func (state *State) applySuspected(verdict *Verdict, record Record) {
+	for _, suspected := range record.SuspectedRequests {
+		fingerprint, err := poison.ParseFingerprint(suspected.Fingerprint)
 		if err != nil {
 			verdict.Reason = err.Error()
 			return
 		}
-		told := denial.Request
-		told.Fingerprint = identity
-		state.SuspectedRequests = poison.MergeRecord(state.SuspectedRequests, told, record.Time.UnixMilli())
+		request := suspected.Request
+		request.Fingerprint = fingerprint
+		state.SuspectedRequests = poison.MergeRecord(state.SuspectedRequests, request, record.Time.UnixMilli())
 	}
 	state.SuspectedVersion = verdict.Version
 	verdict.Accepted = true
 }
 
 // ApplyAssign returns the placement that an assignment makes of the last one.
-func ApplyAssign(last cherrykeel.Placement, assign Assign) cherrykeel.Placement {
+func ApplyAssign(previous cherrykeel.Placement, assign Assign) cherrykeel.Placement {
 	next := cherrykeel.Placement{
-		Owners:     place(last.Owners, assign.Partitions, assign.Owners),
-		Successors: place(last.Successors, assign.Partitions, assign.Successors),
+		Owners:     movePartitions(previous.Owners, assign.Partitions, assign.Owners),
+		Successors: movePartitions(previous.Successors, assign.Partitions, assign.Successors),
 		HotKeys:    map[string]string{},
 	}
-	for key, owner := range last.HotKeys {
+	for key, owner := range previous.HotKeys {
 		next.HotKeys[key] = owner
 	}
 	for key, owner := range assign.HotKeys {
@@ -171,9 +171,9 @@
 	return next
 }
 
-func place(last []string, partitions int, moves map[string][]int) []string {
+func movePartitions(previous []string, partitions int, moves map[string][]int) []string {
 	next := make([]string, partitions)
-	copy(next, last)
+	copy(next, previous)
 	for name, list := range moves {
 		for _, partition := range list {
 			if partition >= 0 && partition < partitions {
@@ -185,20 +185,20 @@
 }
 
 // DiffPlacements returns the assignment that turns one placement into another, without term and base.
-func DiffPlacements(service string, last, next cherrykeel.Placement) Assign {
+func DiffPlacements(service string, previous, next cherrykeel.Placement) Assign {
 	assign := Assign{
 		Service:    service,
 		Partitions: len(next.Owners),
-		Owners:     moved(last.Owners, next.Owners),
-		Successors: moved(last.Successors, next.Successors),
+		Owners:     partitionMoves(previous.Owners, next.Owners),
+		Successors: partitionMoves(previous.Successors, next.Successors),
 		HotKeys:    map[string]string{},
 	}
 	for key, owner := range next.HotKeys {
-		if last.HotKeys[key] != owner {
+		if previous.HotKeys[key] != owner {
 			assign.HotKeys[key] = owner
 		}
 	}
-	for key := range last.HotKeys {
+	for key := range previous.HotKeys {
 		if _, kept := next.HotKeys[key]; !kept {
 			assign.HotKeys[key] = ""
 		}
@@ -206,10 +206,10 @@
 	return assign
 }
 
-func moved(last, next []string) map[string][]int {
+func partitionMoves(previous, next []string) map[string][]int {
 	moves := map[string][]int{}
 	for partition, name := range next {
-		if partition < len(last) && last[partition] == name {
+		if partition < len(previous) && previous[partition] == name {
 			continue
 		}
 		moves[name] = append(moves[name], partition)
--- a/fold/intents.go
+++ b/fold/intents.go
@@ -87,8 +87,8 @@
 
 // Find returns the state of a key.
 func (intents *Intents) Find(service, key string) (Intent, bool) {
-	intent, known := intents.intents[intentName{service, key}]
-	return intent, known
+	intent, exists := intents.intents[intentName{service, key}]
+	return intent, exists
 }
 
 // Len returns how many keys are known.
@@ -108,18 +108,18 @@
 		return "", errors.Wrapf(ErrFormat, "format %d", batch.Format)
 	}
 	intents.Next = offset + 1
-	intents.advance(batch.Time)
+	intents.advanceClock(batch.Time)
 	// Ends go first, so that a host may free a key and take it again in one batch.
 	for _, end := range batch.Ends {
-		intents.end(end)
+		intents.applyEnd(end)
 	}
 	for _, begin := range batch.Begins {
-		intents.begin(offset, batch, begin)
+		intents.applyBegin(offset, batch, begin)
 	}
 	return batch.ID, nil
 }
 
-func (intents *Intents) advance(now time.Time) {
+func (intents *Intents) advanceClock(now time.Time) {
 	if intents.clock.IsZero() {
 		intents.clock = now
 	}
@@ -129,18 +129,18 @@
 	if now.After(intents.clock) {
 		intents.clock = now
 	}
-	intents.expire(func(intent Intent) bool { return intents.clock.Sub(intent.Time) > intentWindow })
+	intents.removeOldest(func(intent Intent) bool { return intents.clock.Sub(intent.Time) > intentWindow })
 }
 
 // DropBefore forgets what the log's retention has dropped, since a new host would not know it either.
 func (intents *Intents) DropBefore(first int64) {
-	intents.expire(func(intent Intent) bool { return intent.offset < first })
+	intents.removeOldest(func(intent Intent) bool { return intent.offset < first })
 }
 
-func (intents *Intents) expire(old func(intent Intent) bool) {
+func (intents *Intents) removeOldest(isExpired func(intent Intent) bool) {
 	for len(intents.order) > 0 {
-		intent, known := intents.intents[intents.order[0]]
-		if known && !old(intent) {
+		intent, exists := intents.intents[intents.order[0]]
+		if exists && !isExpired(intent) {
 			return
 		}
 		delete(intents.intents, intents.order[0])
@@ -148,32 +148,32 @@
 	}
 }
 
-func (intents *Intents) begin(offset int64, batch IntentBatch, begin IntentBegin) {
-	name := intentName{begin.Service, begin.Key}
-	if _, taken := intents.intents[name]; taken {
+func (intents *Intents) applyBegin(offset int64, batch IntentBatch, begin IntentBegin) {
+	key := intentName{begin.Service, begin.Key}
+	if _, exists := intents.intents[key]; exists {
 		return
 	}
-	intents.intents[name] = Intent{
+	intents.intents[key] = Intent{
 		Digest:  begin.Digest,
 		Request: begin.Request,
 		Host:    batch.Host,
 		Time:    intents.clock,
 		offset:  offset,
 	}
-	intents.order = append(intents.order, name)
+	intents.order = append(intents.order, key)
 }
 
-func (intents *Intents) end(end IntentEnd) {
-	name := intentName{end.Service, end.Key}
-	intent, known := intents.intents[name]
-	if !known || intent.Request != end.Request {
+func (intents *Intents) applyEnd(end IntentEnd) {
+	key := intentName{end.Service, end.Key}
+	intent, exists := intents.intents[key]
+	if !exists || intent.Request != end.Request {
 		return
 	}
 	if end.NotRun {
-		delete(intents.intents, name)
+		delete(intents.intents, key)
 		return
 	}
 	intent.Status = end.Status
 	intent.Answer = end.Answer
-	intents.intents[name] = intent
+	intents.intents[key] = intent
 }
