--- a/fold/apply.go
+++ b/fold/apply.go
@@ -10,11 +10,11 @@
 	"cherrykeel/tree"
 )
 
-// maxPartitions bounds what one record can make hosts allocate.
+// maxPartitions bounds the memory that one record can make every host allocate.
 const maxPartitions = 1 << 16
 
-// Apply folds one record into the state and tells whether it was accepted.
-// A record that cannot be read is passed over, the same on every host.
+// Apply folds one record into the state and returns whether it was accepted. A malformed record is rejected, in the
+// same way on every host. For a record in a newer format, it returns an error and leaves the state unchanged.
 func (state *State) Apply(offset int64, data []byte) (Verdict, error) {
 	record, err := Decode(data)
 	if err != nil && record.Format > Format {
@@ -46,6 +46,7 @@
 	return verdict, nil
 }
 
+// extendChain adds a record and its verdict to the chain hash.
 func (state *State) extendChain(verdict Verdict, data []byte) {
 	digest := xxhash.New()
 	_, _ = fmt.Fprintf(digest, "%d %d %t ", state.Chain, verdict.Version, verdict.Accepted)
@@ -53,6 +54,7 @@
 	state.Chain = digest.Sum64()
 }
 
+// applyChange accepts a change if every edit replaces the current version of its node, and otherwise applies no edit.
 func (state *State) applyChange(verdict *Verdict, record Record) {
 	for _, edit := range record.Change.Edits {
 		current := state.Nodes[edit.Path].Version
@@ -70,6 +72,7 @@
 	verdict.Accepted = true
 }
 
+// applyEdit applies one edit to the settings and adds it to the audit trail.
 func (state *State) applyEdit(version int64, record Record, edit tree.Edit) {
 	entry := AuditEntry{
 		ID:      record.ID,
@@ -92,12 +95,14 @@
 	state.Nodes[edit.Path] = tree.Node{Path: edit.Path, Version: version, Fields: edit.Fields}
 }
 
+// applyClaim accepts a claim that replaces the current term. The replaced term is kept in Earlier, since its leases may
+// still be valid.
 func (state *State) applyClaim(verdict *Verdict, record Record) {
 	claim := *record.Claim
 	ownership := state.Ownership[claim.Service]
 	if ownership.Term != claim.Term {
 		verdict.ConflictVersion = ownership.Term
-		verdict.Reason = fmt.Sprintf("the term is %d, held by %s", ownership.Term, ownership.Keeper)
+		verdict.Reason = fmt.Sprintf("the current term is %d, held by %s", ownership.Term, ownership.Keeper)
 		return
 	}
 	if ownership.Term != 0 {
@@ -114,15 +119,16 @@
 	verdict.Accepted = true
 }
 
+// applyAssign accepts an assignment of the current term that replaces the last accepted one.
 func (state *State) applyAssign(verdict *Verdict, assign Assign) {
 	ownership := state.Ownership[assign.Service]
 	if ownership.Term != assign.Term || ownership.Sequence != assign.Base {
 		verdict.ConflictVersion = ownership.Term
-		verdict.Reason = fmt.Sprintf("the block is at term %d, sequence %d", ownership.Term, ownership.Sequence)
+		verdict.Reason = fmt.Sprintf("the service is at term %d, sequence %d", ownership.Term, ownership.Sequence)
 		return
 	}
 	if assign.Partitions < 0 || assign.Partitions > maxPartitions {
-		// Every host reads this record; a count that cannot be allocated would stop them all, at every start.
+		// Every host folds this record: a count too large to allocate would crash all of them, again at each start.
 		verdict.Reason = fmt.Sprintf("%d partitions are out of range", assign.Partitions)
 		return
 	}
@@ -135,8 +141,8 @@
 	verdict.Accepted = true
 }
 
-// applySuspected merges what hosts have seen. How old a request's ends are is counted from the record's own time, so that
-// every host folds the same.
+// applySuspected merges reports of suspected requests. The age of a crash is computed from the record's own time, so
+// that every host gets the same state.
 func (state *State) applySuspected(verdict *Verdict, record Record) {
 	for _, suspected := range record.SuspectedRequests {
 		fingerprint, err := poison.ParseFingerprint(suspected.Fingerprint)
@@ -152,7 +158,7 @@
 	verdict.Accepted = true
 }
 
-// ApplyAssign returns the placement that an assignment makes of the last one.
+// ApplyAssign returns the placement that results from applying an assignment to the previous placement.
 func ApplyAssign(previous cherrykeel.Placement, assign Assign) cherrykeel.Placement {
 	next := cherrykeel.Placement{
 		Owners:     movePartitions(previous.Owners, assign.Partitions, assign.Owners),
@@ -171,6 +177,8 @@
 	return next
 }
 
+// movePartitions returns a copy of the previous names, resized to the number of partitions, with the moves applied.
+// Moves of partitions out of range are ignored.
 func movePartitions(previous []string, partitions int, moves map[string][]int) []string {
 	next := make([]string, partitions)
 	copy(next, previous)
@@ -184,7 +192,7 @@
 	return next
 }
 
-// DiffPlacements returns the assignment that turns one placement into another, without term and base.
+// DiffPlacements returns the assignment that turns one placement into another; its Term and Base are not set.
 func DiffPlacements(service string, previous, next cherrykeel.Placement) Assign {
 	assign := Assign{
 		Service:    service,
@@ -206,6 +214,7 @@
 	return assign
 }
 
+// partitionMoves returns, by name, the partitions whose name differs from the previous one.
 func partitionMoves(previous, next []string) map[string][]int {
 	moves := map[string][]int{}
 	for partition, name := range next {
--- a/fold/doc.go
+++ b/fold/doc.go
@@ -1,5 +1,5 @@
-// Package fold turns the records of the platform's log into the state that all
-// hosts share. It is pure: the same records give the same state, whatever the
-// program version that wrote them, because it judges records only by the
-// versions they replace and never by the meaning of the settings they carry.
+// Package fold computes the state that all hosts share from the records of the platform's log.
+//
+// It is pure: the same records give the same state on every host, whatever program version wrote them. A record is
+// accepted or rejected only by the versions that it replaces, never by the meaning of the settings that it carries.
 package fold
--- a/fold/intents.go
+++ b/fold/intents.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// intentWindow is how long a repeated Idempotency-Key is recognized, if the log's retention is not shorter.
+	// intentWindow is how long a repeated Idempotency-Key is recognized, unless the log's retention is shorter.
 	intentWindow = 24 * time.Hour
-	// maxClockStep bounds how far one record's time can move the table's, so that one host's
-	// wrong clock cannot end the window of everybody's keys.
+	// maxClockStep bounds how far the time of one record can advance the table's clock, so that a host with a wrong clock
+	// cannot expire the keys of all hosts at once.
 	maxClockStep = 10 * time.Minute
 )
 
-// IntentBatch is one record of the stream of intents; several requests share it.
+// IntentBatch is one record of the stream of intents. It carries the begins and ends of several requests of one host.
 type IntentBatch struct {
 	Format int
 	ID     string
@@ -25,30 +25,30 @@
 	Ends   []IntentEnd   `json:",omitempty"`
 }
 
-// IntentBegin says that a request is about to be sent to an upstream.
+// IntentBegin announces that a request is about to be sent to an upstream.
 type IntentBegin struct {
 	Service string
 	// Key is the caller's Idempotency-Key.
 	Key string
-	// Digest tells one request from another that uses the same key by mistake.
+	// Digest is a hash of the request; it detects a key that is reused for a different request.
 	Digest string
-	// Request is the id of the request that asks.
+	// Request is the request's id.
 	Request string
 }
 
-// IntentEnd says how a request ended that has an intent.
+// IntentEnd reports how a request that has an intent ended.
 type IntentEnd struct {
 	Service string
 	Key     string
 	Request string
-	// NotRun frees the key: no upstream acted and none will.
+	// NotRun frees the key: no upstream ran the request, and none will.
 	NotRun bool `json:",omitempty"`
-	// Answer is what the caller got, if it was small enough to keep.
+	// Answer is the answer that the caller got, if it was small enough to store.
 	Answer *IntentAnswer `json:",omitempty"`
 	Status int           `json:",omitempty"`
 }
 
-// IntentAnswer is an answer that a repeat is given again.
+// IntentAnswer is a stored answer that repeats of the request get.
 type IntentAnswer struct {
 	ContentType string
 	Body        []byte
@@ -60,7 +60,7 @@
 	Request string
 	Host    string
 	Time    time.Time
-	// Status is 0 while the request has not been answered, as far as the log says.
+	// Status is the HTTP status of the answer, or 0 while the log holds no end of the request.
 	Status int
 	Answer *IntentAnswer
 	offset int64
@@ -71,32 +71,34 @@
 	key     string
 }
 
-// Intents is the fold of the stream of intents. It is not safe for use by several goroutines.
+// Intents is the state folded from the stream of intents, by service and key. It is not safe for concurrent use.
 type Intents struct {
+	// Next is the offset of the first record that has not been applied.
 	Next    int64
 	clock   time.Time
 	intents map[intentName]Intent
-	// order lists the names by age, for expiry.
+	// order lists the keys from the oldest to the newest intent, for expiry.
 	order []intentName
 }
 
-// NewIntents returns a table that has read nothing.
+// NewIntents returns an empty table.
 func NewIntents() *Intents {
 	return &Intents{intents: map[intentName]Intent{}}
 }
 
-// Find returns the state of a key.
+// Find returns the state of a key and whether the key is in use.
 func (intents *Intents) Find(service, key string) (Intent, bool) {
 	intent, exists := intents.intents[intentName{service, key}]
 	return intent, exists
 }
 
-// Len returns how many keys are known.
+// Len returns the number of keys in use.
 func (intents *Intents) Len() int {
 	return len(intents.intents)
 }
 
-// Apply folds one record and returns the batch's id. Of several intents with one key the first in the log wins.
+// Apply folds one record and returns the batch's id. If several intents have the same key, the first in the log wins. A
+// malformed record is skipped and its id is empty; the error is ErrFormat for a record in a newer format.
 func (intents *Intents) Apply(offset int64, data []byte) (string, error) {
 	var batch IntentBatch
 	err := json.Unmarshal(data, &batch)
@@ -109,7 +111,7 @@
 	}
 	intents.Next = offset + 1
 	intents.advanceClock(batch.Time)
-	// Ends go first, so that a host may free a key and take it again in one batch.
+	// Ends are applied first, so that a host can free a key and use it again in the same batch.
 	for _, end := range batch.Ends {
 		intents.applyEnd(end)
 	}
@@ -119,6 +121,7 @@
 	return batch.ID, nil
 }
 
+// advanceClock moves the table's clock to a record's time, which never turns it back, and removes expired intents.
 func (intents *Intents) advanceClock(now time.Time) {
 	if intents.clock.IsZero() {
 		intents.clock = now
@@ -132,11 +135,13 @@
 	intents.removeOldest(func(intent Intent) bool { return intents.clock.Sub(intent.Time) > intentWindow })
 }
 
-// DropBefore forgets what the log's retention has dropped, since a new host would not know it either.
+// DropBefore removes the intents from offsets below first. The log no longer holds them, so a host that starts now does
+// not have them either.
 func (intents *Intents) DropBefore(first int64) {
 	intents.removeOldest(func(intent Intent) bool { return intent.offset < first })
 }
 
+// removeOldest removes intents from the oldest on, up to the first that is not expired.
 func (intents *Intents) removeOldest(isExpired func(intent Intent) bool) {
 	for len(intents.order) > 0 {
 		intent, exists := intents.intents[intents.order[0]]
--- a/fold/record.go
+++ b/fold/record.go
@@ -10,16 +10,16 @@
 	"cherrykeel/tree"
 )
 
-// Format is the newest record format that this program understands.
+// Format is the newest record format that this program can read.
 const Format = 1
 
-// ErrFormat means that a record was written in a format that this program does not know.
-var ErrFormat = errors.New("the log holds a record in a newer format; this program must be replaced")
+// ErrFormat means that a record is in a newer format than this program can read.
+var ErrFormat = errors.New("the log holds a record in a newer format; upgrade this program")
 
-// Record is one proposal in the log; exactly one of its parts is set.
+// Record is one proposal in the log. Exactly one of Change, Claim, Assign, Checkpoint and SuspectedRequests is set.
 type Record struct {
 	Format int
-	// ID is unique, so that a writer that lost a reply finds its own record again.
+	// ID is unique: a writer that got no reply to its append recognizes its record by it.
 	ID string
 	// Author is the operator or the host that wrote the record.
 	Author string
@@ -32,17 +32,18 @@
 	SuspectedRequests []SuspectedRequest `json:"Denials,omitempty"`
 }
 
-// SuspectedRequest tells what its author knows of a request that was at work when upstreams ended.
+// SuspectedRequest reports a request that was running when upstreams crashed, as its author recorded it.
 type SuspectedRequest struct {
-	// Fingerprint is the request's, as poison.Identity writes it.
+	// Fingerprint is the text form of the request's poison.Fingerprint.
 	Fingerprint string `json:"Identity"`
 	Request     poison.Record
 }
 
-// Change proposes edits to the settings tree; all are accepted or none.
+// Change proposes edits to the settings tree; either all are accepted or none.
 type Change struct {
 	Reason string
-	// Base is the version of the whole tree that the author saw; edits carry the versions that decide.
+	// Base is the version of the whole tree that the author saw. Whether the change is accepted depends only on the
+	// versions in the edits.
 	Base  int64
 	Edits []tree.Edit
 }
@@ -50,51 +51,52 @@
 // Claim proposes its author as the keeper of a service.
 type Claim struct {
 	Service string
-	// Term is the term that the claim ends; it is refused if another has ended it before.
+	// Term is the term that the claim replaces; the claim is rejected if that is not the current term.
 	Term int64
-	// LeaseLength bounds the leases that the keeper will give in its term.
+	// LeaseLength is the longest lease that the keeper grants in its term.
 	LeaseLength time.Duration
-	// Timeout bounds the requests that hosts send under the term's leases, which may outlast these where
-	// upstreams check no fences; 0 where they do.
+	// Timeout bounds the requests that hosts send under the term's leases. Where upstreams check no fences, such a request
+	// may run on after its lease has ended; where they check fences, Timeout is 0.
 	Timeout time.Duration `json:",omitempty"`
-	// Witnesses are the hosts that confirm the keeper's term when the log is out.
+	// Witnesses are the hosts that confirm the keeper's term while the log is unavailable.
 	Witnesses []string
 }
 
-// Assign changes the placement of a service in its keeper's term.
+// Assign changes the placement of a service within its keeper's term.
 type Assign struct {
 	Service string
 	Term    int64
-	// Base is the block's Sequence that the record replaces.
+	// Base is the Sequence of the assignment that the record replaces.
 	Base       int64
 	Partitions int
-	// Owners and Successors map upstream names to the partitions that they get.
-	// Settled says that all leases of earlier terms have ended or are the keeper's own now.
-	Settled    bool              `json:",omitempty"`
-	Owners     map[string][]int  `json:",omitempty"`
-	Successors map[string][]int  `json:",omitempty"`
-	HotKeys    map[string]string `json:",omitempty"`
+	// Settled is true if all leases of earlier terms have ended or have become the keeper's own.
+	Settled bool `json:",omitempty"`
+	// Owners and Successors map upstream names to the partitions that the upstreams get.
+	Owners     map[string][]int `json:",omitempty"`
+	Successors map[string][]int `json:",omitempty"`
+	// HotKeys maps keys to their new owners; an empty owner removes the key's own entry.
+	HotKeys map[string]string `json:",omitempty"`
 }
 
-// Checkpoint repeats the whole state, so that older records may be dropped.
+// Checkpoint holds the whole state, so that the log can drop older records.
 type Checkpoint struct {
-	// Digest is of State as its writer folded it.
+	// Digest is the digest of State as its writer computed it.
 	Digest string
 	State  json.RawMessage
 }
 
-// Encode returns the record as the log keeps it.
+// Encode returns the record as it is stored in the log.
 func Encode(record Record) ([]byte, error) {
 	data, err := json.Marshal(record)
 	return data, errors.WithStack(err)
 }
 
-// Decode reads a record; ErrFormat is returned for formats of the future.
+// Decode parses a record; the error is ErrFormat for a record in a newer format.
 func Decode(data []byte) (Record, error) {
 	var record Record
 	err := json.Unmarshal(data, &record)
 	if err != nil {
-		return record, errors.Wrap(err, "not a record")
+		return record, errors.Wrap(err, "malformed record")
 	}
 	if record.Format > Format {
 		return record, errors.Wrapf(ErrFormat, "format %d", record.Format)
--- a/fold/state.go
+++ b/fold/state.go
@@ -13,14 +13,14 @@
 	"cherrykeel/tree"
 )
 
-// auditLength bounds the audit trail in the state; docs/CAPACITY.md gives its cost.
+// auditLength bounds the number of entries in the audit trail; docs/CAPACITY.md gives its cost.
 const auditLength = 500
 
-// AuditEntry is one line of the audit trail.
+// AuditEntry is one entry of the audit trail: the change of one node of the settings tree.
 type AuditEntry struct {
-	// ID is the record's.
+	// ID is the id of the record that made the change.
 	ID string
-	// Version is that of the change.
+	// Version is the version of the change.
 	Version int64
 	Author  string
 	Time    time.Time
@@ -30,25 +30,25 @@
 	After   map[string]any `json:",omitempty"`
 }
 
-// ServiceOwnership is what the log says of the ownership of one service's keys.
+// ServiceOwnership is the state of the ownership of one service's keys.
 type ServiceOwnership struct {
-	// Term is the version of the keeper's claim; 0 while nobody has claimed.
+	// Term is the version of the keeper's claim, or 0 before the first claim.
 	Term   int64
 	Keeper string
-	// ClaimID is the id of the keeper's claim, by which its process knows its own.
+	// ClaimID is the id of the keeper's claim. The process that wrote the claim recognizes its own term by it.
 	ClaimID     string
 	LeaseLength time.Duration
-	// Timeout is the claim's.
+	// Timeout is the Timeout of the claim.
 	Timeout   time.Duration `json:",omitempty"`
 	Witnesses []string
-	// Earlier lists the terms whose leases may still run; a keeper empties it when they have ended.
+	// Earlier lists the replaced terms whose leases may still be valid; the keeper clears it when they have ended.
 	Earlier []EarlierTerm `json:",omitempty"`
 	// Sequence is the version of the last accepted assignment.
 	Sequence  int64
 	Placement cherrykeel.Placement
 }
 
-// EarlierTerm is a term that has been replaced.
+// EarlierTerm is a term that a later claim has replaced.
 type EarlierTerm struct {
 	Term        int64
 	LeaseLength time.Duration
@@ -56,33 +56,34 @@
 	Witnesses   []string
 }
 
-// State is the fold of all records below Next.
+// State is the result of folding all records below Next.
 type State struct {
-	// Next is the offset of the first record that is not folded yet.
+	// Next is the offset of the first record that has not been folded.
 	Next int64
-	// Version is that of the last accepted change of settings.
+	// Version is the version of the last accepted change of settings.
 	Version   int64
 	Nodes     tree.Nodes
 	Ownership map[string]ServiceOwnership `json:"Blocks"`
 	Audit     []AuditEntry
 	// CheckpointAt is the offset of the last checkpoint.
 	CheckpointAt int64
-	// Chain is a hash over all records and verdicts; hosts that judged a record differently differ from there on.
+	// Chain is a hash over all records and verdicts. If two hosts reach different verdicts on a record, their chains
+	// differ from that record on.
 	Chain uint64
-	// SuspectedRequests are the requests that were at work when upstreams ended, by identity, and DeniedAt is the version of the
-	// last record that told of one.
+	// SuspectedRequests are the requests that were running when upstreams crashed, by fingerprint. SuspectedVersion is the
+	// version of the last record that reported any.
 	SuspectedRequests map[string]poison.Record `json:"Denied,omitempty"`
 	SuspectedVersion  int64                    `json:"DeniedAt,omitempty"`
 }
 
-// Verdict says what the fold made of a record.
+// Verdict is the result of folding one record.
 type Verdict struct {
 	ID string
 	// Version is the record's offset plus one, so that 0 can mean "none".
 	Version  int64
 	Accepted bool
 	Reason   string
-	// ConflictVersion is the version that was in force instead, for a change that lost.
+	// ConflictVersion is the version or term in force, for a record that was rejected because it replaces another one.
 	ConflictVersion int64 `json:"LostTo"`
 }
 
@@ -91,7 +92,8 @@
 	return &State{Nodes: tree.Nodes{}, Ownership: map[string]ServiceOwnership{}}
 }
 
-// Clone returns a copy whose maps may be changed; the values in them are replaced, never changed.
+// Clone returns a copy for Apply to change. The values in its maps, and SuspectedRequests as a whole, are shared with
+// the original: Apply replaces them and never changes them in place.
 func (state *State) Clone() *State {
 	clone := *state
 	clone.Nodes = make(tree.Nodes, len(state.Nodes))
@@ -106,27 +108,28 @@
 	return &clone
 }
 
-// Digest is equal on hosts that folded the same state; CheckpointAt is left out, since hosts that start late lack it.
+// Digest returns a hash of the state without CheckpointAt, equal on hosts that have folded the same records: a host
+// that started late may not have the offset of the last checkpoint.
 func (state *State) Digest() string {
 	compared := *state
 	compared.CheckpointAt = 0
 	data, err := json.Marshal(&compared)
 	if err != nil {
-		// Every value in the state came from JSON or can be written as JSON.
+		// Cannot happen: every value in the state came from JSON or can be encoded as JSON.
 		panic(err)
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64(data))
 }
 
-// Restore reads the state that a checkpoint or a peer gives and checks its digest.
+// Restore decodes the state in a checkpoint, from the log or from a peer, and checks its digest.
 func Restore(checkpoint Checkpoint) (*State, error) {
 	state := NewState()
 	err := json.Unmarshal(checkpoint.State, state)
 	if err != nil {
-		return nil, errors.Wrap(err, "checkpoint")
+		return nil, errors.Wrap(err, "malformed checkpoint")
 	}
 	if digest := state.Digest(); digest != checkpoint.Digest {
-		return nil, errors.Errorf("checkpoint has digest %s, its state %s", checkpoint.Digest, digest)
+		return nil, errors.Errorf("the checkpoint gives digest %s, but its state has %s", checkpoint.Digest, digest)
 	}
 	return state, nil
 }
