--- a/fold/fold_test.go
+++ b/fold/fold_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "fold")
 }
 
-// records draws proposals of which some fit and some have lost already.
+// records generates proposals; some replace the current version, others an outdated one.
 func records(t *rapid.T) []fold.Record {
 	var list []fold.Record
 	for i := range rapid.IntRange(1, 40).Draw(t, "count") {
@@ -51,24 +51,24 @@
 }
 
 var _ = Describe("the fold", func() {
-	It("agrees with the naive one, and comes out the same through a checkpoint at any point", func() {
+	It("matches the naive fold, and gives the same state when it is restored from a checkpoint at any offset", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			list := records(t)
-			whole := fold.NewState()
-			apply(whole, list, 0)
-			nodes, blocks := naive.Fold(list)
-			if len(nodes) != len(whole.Nodes) {
-				t.Fatalf("nodes %v, naive %v", whole.Nodes, nodes)
+			full := fold.NewState()
+			apply(full, list, 0)
+			nodes, ownership := naive.Fold(list)
+			if len(nodes) != len(full.Nodes) {
+				t.Fatalf("nodes %v, naive %v", full.Nodes, nodes)
 			}
 			for path, node := range nodes {
-				if whole.Nodes[path].Version != node.Version || !tree.EqualFields(whole.Nodes[path].Fields, node.Fields) {
-					t.Fatalf("%q is %v, naive %v", path, whole.Nodes[path], node)
+				if full.Nodes[path].Version != node.Version || !tree.EqualFields(full.Nodes[path].Fields, node.Fields) {
+					t.Fatalf("%q is %v, naive %v", path, full.Nodes[path], node)
 				}
 			}
-			for service, block := range blocks {
-				got := whole.Ownership[service]
-				if got.Term != block.Term || got.Keeper != block.Keeper || got.Sequence != block.Sequence {
-					t.Fatalf("%s is %+v, naive %+v", service, got, block)
+			for service, expected := range ownership {
+				got := full.Ownership[service]
+				if got.Term != expected.Term || got.Keeper != expected.Keeper || got.Sequence != expected.Sequence {
+					t.Fatalf("%s is %+v, naive %+v", service, got, expected)
 				}
 			}
 			cut := rapid.IntRange(0, len(list)).Draw(t, "cut")
@@ -79,13 +79,13 @@
 			restored, err := fold.Restore(checkpoint)
 			Expect(err).NotTo(HaveOccurred())
 			apply(restored, list, cut)
-			if restored.Digest() != whole.Digest() || restored.Chain != whole.Chain {
-				t.Fatalf("through a checkpoint at %d it differs", cut)
+			if restored.Digest() != full.Digest() || restored.Chain != full.Chain {
+				t.Fatalf("the state restored from a checkpoint at %d differs", cut)
 			}
 		})
 	})
 
-	It("takes one change of two that replace the same version, and names the winner", func() {
+	It("accepts the first of two changes that replace the same version, and reports the version in force", func() {
 		state := fold.NewState()
 		change := func(id string) []byte {
 			data, _ := json.Marshal(fold.Record{Format: 1, ID: id, Change: &fold.Change{Edits: []tree.Edit{{Path: "a", Fields: map[string]any{}}}}})
@@ -97,17 +97,17 @@
 		Expect(first.Accepted).To(BeTrue())
 		Expect(second.Accepted).To(BeFalse())
 		Expect(second.ConflictVersion).To(Equal(int64(1)))
-		Expect(again.Accepted).To(BeFalse(), "a record that is appended twice takes effect once")
+		Expect(again.Accepted).To(BeFalse(), "a record that was appended twice takes effect once")
 	})
 
-	It("stops at a record of a newer format instead of passing over it", func() {
+	It("stops at a record in a newer format instead of skipping it", func() {
 		state := fold.NewState()
 		_, err := state.Apply(0, []byte(`{"Format": 99, "Future": {}}`))
 		Expect(err).To(MatchError(fold.ErrFormat))
 		Expect(state.Next).To(BeZero())
 	})
 
-	It("refuses a checkpoint that was damaged", func() {
+	It("rejects a corrupt checkpoint", func() {
 		checkpoint, _ := fold.NewState().Snapshot()
 		checkpoint.State = json.RawMessage(`{"Next": 7}`)
 		_, err := fold.Restore(checkpoint)
@@ -116,12 +116,12 @@
 })
 
 var _ = Describe("intents", func() {
-	It("give a key to the first in the log, free it when the request was not run, and keep the answer otherwise", func() {
+	It("assign a key to the first request in the log, free it if the request was not run, and store the answer otherwise", func() {
 		intents := fold.NewIntents()
-		at := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
+		now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 		offset := int64(0)
-		put := func(batch fold.IntentBatch) {
-			batch.Format, batch.Time = 1, at
+		applyBatch := func(batch fold.IntentBatch) {
+			batch.Format, batch.Time = 1, now
 			data, _ := json.Marshal(batch)
 			_, err := intents.Apply(offset, data)
 			Expect(err).NotTo(HaveOccurred())
@@ -134,22 +134,22 @@
 			intent, _ := intents.Find("s", "k")
 			return intent.Request
 		}
-		put(fold.IntentBatch{Begins: []fold.IntentBegin{begin("r1"), begin("r2")}})
+		applyBatch(fold.IntentBatch{Begins: []fold.IntentBegin{begin("r1"), begin("r2")}})
 		Expect(owner()).To(Equal("r1"))
-		put(fold.IntentBatch{Ends: []fold.IntentEnd{{Service: "s", Key: "k", Request: "r2", NotRun: true}}})
-		Expect(owner()).To(Equal("r1"), "only its owner may free a key")
-		put(fold.IntentBatch{Ends: []fold.IntentEnd{{Service: "s", Key: "k", Request: "r1", NotRun: true}}, Begins: []fold.IntentBegin{begin("r3")}})
+		applyBatch(fold.IntentBatch{Ends: []fold.IntentEnd{{Service: "s", Key: "k", Request: "r2", NotRun: true}}})
+		Expect(owner()).To(Equal("r1"), "only the request that has the key may free it")
+		applyBatch(fold.IntentBatch{Ends: []fold.IntentEnd{{Service: "s", Key: "k", Request: "r1", NotRun: true}}, Begins: []fold.IntentBegin{begin("r3")}})
 		Expect(owner()).To(Equal("r3"))
-		put(fold.IntentBatch{Ends: []fold.IntentEnd{{Service: "s", Key: "k", Request: "r3", Status: 200, Answer: &fold.IntentAnswer{Body: []byte("paid")}}}})
+		applyBatch(fold.IntentBatch{Ends: []fold.IntentEnd{{Service: "s", Key: "k", Request: "r3", Status: 200, Answer: &fold.IntentAnswer{Body: []byte("paid")}}}})
 		intent, _ := intents.Find("s", "k")
 		Expect(string(intent.Answer.Body)).To(Equal("paid"))
 
-		// A host with a wrong clock cannot end the window of others' keys at once.
-		at = at.AddDate(1, 0, 0)
-		put(fold.IntentBatch{})
+		// A host with a wrong clock cannot expire the keys of other hosts at once.
+		now = now.AddDate(1, 0, 0)
+		applyBatch(fold.IntentBatch{})
 		Expect(owner()).To(Equal("r3"))
 		for range 200 {
-			put(fold.IntentBatch{})
+			applyBatch(fold.IntentBatch{})
 		}
 		Expect(intents.Len()).To(BeZero())
 	})
@@ -159,11 +159,11 @@
 	f.Add([]byte(`{"Format":1,"ID":"x","Change":{"Edits":[{"Path":"a","Fields":{}}]}}`))
 	f.Add([]byte(`{"Format":1,"Assign":{"Service":"s","Partitions":-1,"Owners":{"u":[-5,99999999]}}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		one, other := fold.NewState(), fold.NewState()
-		first, err := one.Apply(0, data)
-		second, otherErr := other.Apply(0, data)
-		if first != second || (err == nil) != (otherErr == nil) || one.Chain != other.Chain {
-			t.Fatal("two hosts differ")
+		state, otherState := fold.NewState(), fold.NewState()
+		first, err := state.Apply(0, data)
+		second, otherErr := otherState.Apply(0, data)
+		if first != second || (err == nil) != (otherErr == nil) || state.Chain != otherState.Chain {
+			t.Fatal("two hosts folded the same record differently")
 		}
 	})
 }
