--- a/follow/follower.go
+++ b/follow/follower.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	readPause      = 100 * time.Millisecond
-	outageAfter    = 1500 * time.Millisecond
-	recentRecords  = 1024
-	recentVerdicts = 4096
+	retryPause        = 100 * time.Millisecond
+	outageAfter       = 1500 * time.Millisecond
+	recentRecords     = 1024
+	maxRecentVerdicts = 4096
 )
 
 // Peers lets a follower read from other hosts what it cannot read from the log.
@@ -57,20 +57,20 @@
 
 // Follower holds the newest state and proposes records.
 type Follower struct {
-	log      cherrykeel.Log
-	peers    Peers
-	clock    cherrykeel.Clock
-	onState  func(state *fold.State)
-	onFresh  func(begun cherrykeel.Instant)
-	state    atomic.Pointer[fold.State]
-	mutex    sync.Mutex
-	status   Status
-	answered cherrykeel.Instant
-	recent   []cherrykeel.LogRecord
-	chains   map[int64]uint64
-	waiting  map[string]chan fold.Verdict
-	verdicts map[string]fold.Verdict
-	order    []string
+	log          cherrykeel.Log
+	peers        Peers
+	clock        cherrykeel.Clock
+	onState      func(state *fold.State)
+	onCaughtUp   func(readStart cherrykeel.Instant)
+	state        atomic.Pointer[fold.State]
+	mutex        sync.Mutex
+	status       Status
+	repliedAt    cherrykeel.Instant
+	recent       []cherrykeel.LogRecord
+	chains       map[int64]uint64
+	waiters      map[string]chan fold.Verdict
+	verdicts     map[string]fold.Verdict
+	verdictOrder []string
 }
 
 // Option changes a Follower under construction.
@@ -84,31 +84,31 @@
 }
 
 // OnState sets what is called, in order, with each new state; the state must not be changed.
-func OnState(call func(state *fold.State)) Option {
+func OnState(notify func(state *fold.State)) Option {
 	return func(follower *Follower) {
-		follower.onState = call
+		follower.onState = notify
 	}
 }
 
 // OnCaughtUp sets what is called when a read of the log, begun at an instant, showed that nothing is missing.
-func OnCaughtUp(call func(begun cherrykeel.Instant)) Option {
+func OnCaughtUp(notify func(readStart cherrykeel.Instant)) Option {
 	return func(follower *Follower) {
-		follower.onFresh = call
+		follower.onCaughtUp = notify
 	}
 }
 
 // New returns a follower that has read nothing yet.
 func New(log cherrykeel.Log, clock cherrykeel.Clock, options ...Option) *Follower {
 	follower := &Follower{
-		log:      log,
-		clock:    clock,
-		answered: clock.Now(),
-		onState:  func(*fold.State) {},
-		onFresh:  func(cherrykeel.Instant) {},
-		chains:   map[int64]uint64{},
-		waiting:  map[string]chan fold.Verdict{},
-		verdicts: map[string]fold.Verdict{},
-		status:   Status{Reason: "nothing has been read yet"},
+		log:        log,
+		clock:      clock,
+		repliedAt:  clock.Now(),
+		onState:    func(*fold.State) {},
+		onCaughtUp: func(cherrykeel.Instant) {},
+		chains:     map[int64]uint64{},
+		waiters:    map[string]chan fold.Verdict{},
+		verdicts:   map[string]fold.Verdict{},
+		status:     Status{Reason: "nothing has been read yet"},
 	}
 	follower.state.Store(fold.NewState())
 	for _, option := range options {
@@ -130,21 +130,21 @@
 	status := follower.status
 	status.Next = state.Next
 	status.Chain = state.Chain
-	status.SinceLogReply = follower.clock.Now().Sub(follower.answered)
+	status.SinceLogReply = follower.clock.Now().Sub(follower.repliedAt)
 	return status
 }
 
 // Run reads until the context ends.
 func (follower *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := follower.step(ctx)
+		err := follower.readOnce(ctx)
 		if err == nil {
 			continue
 		}
 		if ctx.Err() == nil {
-			follower.note(err)
+			follower.recordFailure(err)
 			follower.readFromPeers(ctx)
-			sleep(ctx, readPause)
+			sleep(ctx, retryPause)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 	}
 }
 
-func (follower *Follower) note(err error) {
+func (follower *Follower) recordFailure(err error) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	follower.status.LogUp = !errors.Is(err, cherrykeel.ErrLogUnavailable)
@@ -165,16 +165,16 @@
 	}
 }
 
-// step reads once and folds what came.
-func (follower *Follower) step(ctx context.Context) error {
-	begun := follower.clock.Now()
+// readOnce reads once and folds what came.
+func (follower *Follower) readOnce(ctx context.Context) error {
+	readStart := follower.clock.Now()
 	state := follower.State()
 	batch, err := follower.log.Read(ctx, state.Next)
 	if err != nil {
 		return err
 	}
 	if batch.First > state.Next {
-		return follower.restart(ctx, batch)
+		return follower.restartFromCheckpoint(ctx, batch)
 	}
 	if batch.Next < state.Next {
 		return errors.Errorf("the log ends at %d, before what was read up to %d", batch.Next, state.Next)
@@ -183,13 +183,13 @@
 	if err != nil {
 		return err
 	}
-	follower.answeredUpTo(batch.Next, begun)
+	follower.recordRead(batch.Next, readStart)
 	return nil
 }
 
-func (follower *Follower) answeredUpTo(next int64, begun cherrykeel.Instant) {
+func (follower *Follower) recordRead(next int64, readStart cherrykeel.Instant) {
 	follower.mutex.Lock()
-	follower.answered = follower.clock.Now()
+	follower.repliedAt = follower.clock.Now()
 	follower.status.LogUp = true
 	fresh := follower.State().Next >= next
 	if fresh {
@@ -198,7 +198,7 @@
 	}
 	follower.mutex.Unlock()
 	if fresh {
-		follower.onFresh(begun)
+		follower.onCaughtUp(readStart)
 	}
 }
 
@@ -221,16 +221,16 @@
 			return err
 		}
 		verdicts = append(verdicts, verdict)
-		follower.remember(record, next)
+		follower.recordRecent(record, next)
 	}
 	follower.state.Store(next)
 	follower.onState(next)
-	follower.wake(verdicts)
+	follower.notifyWaiters(verdicts)
 	return nil
 }
 
-// remember keeps recent records for peers that are cut off from the log, and the chain for comparison with theirs.
-func (follower *Follower) remember(record cherrykeel.LogRecord, state *fold.State) {
+// recordRecent keeps recent records for peers that are cut off from the log, and the chain for comparison with theirs.
+func (follower *Follower) recordRecent(record cherrykeel.LogRecord, state *fold.State) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	follower.recent = append(follower.recent, record)
@@ -247,6 +247,6 @@
 func (follower *Follower) HasDiverged(next int64, chain uint64) bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	own, known := follower.chains[next]
-	return known && own != chain
+	own, exists := follower.chains[next]
+	return exists && own != chain
 }
--- a/follow/propose.go
+++ b/follow/propose.go
@@ -16,8 +16,8 @@
 	if err != nil {
 		return fold.Verdict{}, err
 	}
-	verdict := follower.await(record.ID)
-	defer follower.forget(record.ID)
+	verdict := follower.addWaiter(record.ID)
+	defer follower.removeWaiter(record.ID)
 	_, appendErr := follower.log.Append(ctx, data)
 	select {
 	case found := <-verdict:
@@ -30,42 +30,42 @@
 	}
 }
 
-func (follower *Follower) await(id string) chan fold.Verdict {
+func (follower *Follower) addWaiter(id string) chan fold.Verdict {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	verdict := make(chan fold.Verdict, 1)
-	follower.waiting[id] = verdict
+	follower.waiters[id] = verdict
 	return verdict
 }
 
-func (follower *Follower) forget(id string) {
+func (follower *Follower) removeWaiter(id string) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	delete(follower.waiting, id)
+	delete(follower.waiters, id)
 }
 
-func (follower *Follower) wake(verdicts []fold.Verdict) {
+func (follower *Follower) notifyWaiters(verdicts []fold.Verdict) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	for _, verdict := range verdicts {
-		follower.keepVerdict(verdict)
-		if waiter, waits := follower.waiting[verdict.ID]; waits {
+		follower.recordVerdict(verdict)
+		if waiter, exists := follower.waiters[verdict.ID]; exists {
 			waiter <- verdict
-			delete(follower.waiting, verdict.ID)
+			delete(follower.waiters, verdict.ID)
 		}
 	}
 }
 
-// keepVerdict remembers the first verdict on an id: a record that was appended twice takes effect at most once.
-func (follower *Follower) keepVerdict(verdict fold.Verdict) {
-	if _, known := follower.verdicts[verdict.ID]; known {
+// recordVerdict remembers the first verdict on an id: a record that was appended twice takes effect at most once.
+func (follower *Follower) recordVerdict(verdict fold.Verdict) {
+	if _, exists := follower.verdicts[verdict.ID]; exists {
 		return
 	}
 	follower.verdicts[verdict.ID] = verdict
-	follower.order = append(follower.order, verdict.ID)
-	if len(follower.order) > recentVerdicts {
-		delete(follower.verdicts, follower.order[0])
-		follower.order = follower.order[1:]
+	follower.verdictOrder = append(follower.verdictOrder, verdict.ID)
+	if len(follower.verdictOrder) > maxRecentVerdicts {
+		delete(follower.verdicts, follower.verdictOrder[0])
+		follower.verdictOrder = follower.verdictOrder[1:]
 	}
 }
 
@@ -73,6 +73,6 @@
 func (follower *Follower) Verdict(id string) (fold.Verdict, bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	verdict, known := follower.verdicts[id]
-	return verdict, known
+	verdict, exists := follower.verdicts[id]
+	return verdict, exists
 }
--- a/follow/restart.go
+++ b/follow/restart.go
@@ -9,9 +9,9 @@
 	"cherrykeel/fold"
 )
 
-// restart starts over from the newest checkpoint that the log still holds.
-func (follower *Follower) restart(ctx context.Context, batch cherrykeel.LogBatch) error {
-	records, err := follower.readAll(ctx, batch)
+// restartFromCheckpoint starts over from the newest checkpoint that the log still holds.
+func (follower *Follower) restartFromCheckpoint(ctx context.Context, batch cherrykeel.LogBatch) error {
+	records, err := follower.readToEnd(ctx, batch)
 	if err != nil {
 		return err
 	}
@@ -23,11 +23,11 @@
 		// An older state than one that was in force must never be, even for a moment.
 		return errors.Wrapf(ErrLogTruncated, "the newest checkpoint is of %d, this host has read up to %d", state.Next, follower.State().Next)
 	}
-	follower.adopt(state)
+	follower.replaceState(state)
 	return follower.foldRecords(state, records)
 }
 
-func (follower *Follower) readAll(ctx context.Context, batch cherrykeel.LogBatch) ([]cherrykeel.LogRecord, error) {
+func (follower *Follower) readToEnd(ctx context.Context, batch cherrykeel.LogBatch) ([]cherrykeel.LogRecord, error) {
 	records := batch.Records
 	for len(records) > 0 && records[len(records)-1].Offset+1 < batch.Next {
 		more, err := follower.log.Read(ctx, records[len(records)-1].Offset+1)
@@ -57,8 +57,8 @@
 	return nil, errors.Wrapf(ErrLogTruncated, "the log begins at %d", first)
 }
 
-// adopt takes a state as it is, without the records that led to it.
-func (follower *Follower) adopt(state *fold.State) {
+// replaceState takes a state as it is, without the records that led to it.
+func (follower *Follower) replaceState(state *fold.State) {
 	follower.mutex.Lock()
 	follower.recent = nil
 	follower.chains = map[int64]uint64{state.Next: state.Chain}
@@ -73,25 +73,25 @@
 	if follower.peers == nil || status.LogUp || status.SinceLogReply < outageAfter {
 		return
 	}
-	relay, err := follower.peers.Fetch(ctx, status.Next, !status.CaughtUp)
+	missing, err := follower.peers.Fetch(ctx, status.Next, !status.CaughtUp)
 	if err != nil {
-		follower.noteReason(err)
+		follower.recordPeerFailure(err)
 		return
 	}
-	err = follower.takeRelay(relay)
+	err = follower.applyMissing(missing)
 	if err != nil {
-		follower.noteReason(err)
+		follower.recordPeerFailure(err)
 		return
 	}
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	if !follower.status.CaughtUp && follower.State().Next >= relay.Next {
+	if !follower.status.CaughtUp && follower.State().Next >= missing.Next {
 		follower.status.CaughtUp = true
 		follower.status.Reason = ""
 	}
 }
 
-func (follower *Follower) noteReason(err error) {
+func (follower *Follower) recordPeerFailure(err error) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	if !follower.status.CaughtUp {
@@ -99,20 +99,20 @@
 	}
 }
 
-func (follower *Follower) takeRelay(relay MissingRecords) error {
+func (follower *Follower) applyMissing(missing MissingRecords) error {
 	state := follower.State()
-	if relay.Checkpoint != nil {
-		restored, err := fold.Restore(*relay.Checkpoint)
+	if missing.Checkpoint != nil {
+		restored, err := fold.Restore(*missing.Checkpoint)
 		if err != nil {
 			return err
 		}
 		if restored.Next <= state.Next {
 			return nil
 		}
-		follower.adopt(restored)
+		follower.replaceState(restored)
 		state = restored
 	}
-	return follower.foldRecords(state, relay.Records)
+	return follower.foldRecords(state, missing.Records)
 }
 
 // RecordsFrom returns, for a peer that is cut off, what it lacks from an offset on.
@@ -121,19 +121,19 @@
 	follower.mutex.Lock()
 	recent := follower.recent
 	follower.mutex.Unlock()
-	relay := MissingRecords{Next: state.Next}
+	missing := MissingRecords{Next: state.Next}
 	if from >= state.Next {
-		return relay, nil
+		return missing, nil
 	}
 	if len(recent) == 0 || recent[0].Offset > from {
 		checkpoint, err := state.Snapshot()
-		relay.Checkpoint = &checkpoint
-		return relay, err
+		missing.Checkpoint = &checkpoint
+		return missing, err
 	}
 	for _, record := range recent {
 		if record.Offset >= from && record.Offset < state.Next {
-			relay.Records = append(relay.Records, record)
+			missing.Records = append(missing.Records, record)
 		}
 	}
-	return relay, nil
+	return missing, nil
 }
