--- a/follow/doc.go
+++ b/follow/doc.go
@@ -1,4 +1,4 @@
-// Package follow keeps a host's fold in step with the platform's log: it starts
-// from a checkpoint and the tail, or from peers while the log is out, proposes
-// records and finds out what became of them, and writes checkpoints in time.
+// Package follow keeps a host's state in step with the platform's log. A Follower starts from a checkpoint and the
+// records after it, or reads from other hosts while the log is unavailable; it proposes records, returns the verdicts on
+// them, and serves records to hosts that cannot read the log.
 package follow
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -13,49 +13,55 @@
 )
 
 var (
-	// ErrOutcomeUnknown means that a proposed record was not read back in time; it may still take effect.
-	ErrOutcomeUnknown = errors.New("the outcome of the append is not known")
-	// ErrLogTruncated means that the log's retention has overtaken this host and holds no checkpoint to start from.
-	ErrLogTruncated = errors.New("the log no longer holds what this host has not read, nor a checkpoint")
+	// ErrOutcomeUnknown means that a proposed record was not read back in time; the record may still take effect.
+	ErrOutcomeUnknown = errors.New("the outcome of the append is unknown")
+	// ErrLogTruncated means that the log's retention has removed records that this host has not read, and that the log
+	// holds no checkpoint from which the host could go on.
+	ErrLogTruncated = errors.New("the log no longer holds the records that this host needs, nor a usable checkpoint")
 )
 
 const (
-	retryPause        = 100 * time.Millisecond
-	outageAfter       = 1500 * time.Millisecond
-	recentRecords     = 1024
+	// retryPause is the pause after a failed read.
+	retryPause = 100 * time.Millisecond
+	// outageAfter is how long no read of the log has succeeded before records are requested from other hosts.
+	outageAfter = 1500 * time.Millisecond
+	// recentRecords is how many of the newest records are kept for other hosts, at least; at most, it is twice as many.
+	recentRecords = 1024
+	// maxRecentVerdicts bounds the verdicts that are kept by record id.
 	maxRecentVerdicts = 4096
 )
 
-// Peers lets a follower read from other hosts what it cannot read from the log.
+// Peers reads records from other hosts for a follower that cannot read the log.
 type Peers interface {
-	// Fetch asks peers for the records from an offset on; it needs answers from enough
-	// of them to be sure that the newest is among them if quorum is set.
+	// Fetch requests the records from an offset on. If quorum is set, it fails unless enough hosts answer for the newest
+	// record to be among their answers.
 	Fetch(ctx context.Context, from int64, quorum bool) (MissingRecords, error)
 }
 
-// MissingRecords is what a peer gives to a host that is cut off from the log.
+// MissingRecords is what a host sends to another host that cannot read the log.
 type MissingRecords struct {
-	// Checkpoint is set when the peer does not keep the records any more.
+	// Checkpoint is set if the sender no longer keeps all the requested records.
 	Checkpoint *fold.Checkpoint
 	Records    []cherrykeel.LogRecord
 	Next       int64
 }
 
-// Status says how well a follower is in step.
+// Status describes how current a follower's state is.
 type Status struct {
 	Next  int64
 	Chain uint64
-	// CaughtUp says that the state has been shown to be the newest once since the start.
+	// CaughtUp is true once the state has been confirmed to be the newest, since the start; it stays true.
 	CaughtUp bool
-	// LogUp says that the last read of the log succeeded.
+	// LogUp is false before the first read, and if the last read failed because the log was unavailable.
 	LogUp bool
-	// SinceLogReply is how long ago the log last answered.
+	// SinceLogReply is the time since the last successful read of the log, or since the start if there was none.
 	SinceLogReply time.Duration
-	// Reason says why the follower is not caught up.
+	// Reason is why the follower has not caught up, or why it can no longer read or fold records although the log is
+	// available; otherwise it is empty.
 	Reason string
 }
 
-// Follower holds the newest state and proposes records.
+// Follower folds the records of the log into the newest state and proposes records.
 type Follower struct {
 	log          cherrykeel.Log
 	peers        Peers
@@ -73,31 +79,32 @@
 	verdictOrder []string
 }
 
-// Option changes a Follower under construction.
+// Option configures a Follower.
 type Option func(*Follower)
 
-// WithPeers sets whom to ask while the log is out.
+// WithPeers sets the hosts to read from while the log is unavailable.
 func WithPeers(peers Peers) Option {
 	return func(follower *Follower) {
 		follower.peers = peers
 	}
 }
 
-// OnState sets what is called, in order, with each new state; the state must not be changed.
+// OnState sets a function that is called with each new state, in order; it must not change the state.
 func OnState(notify func(state *fold.State)) Option {
 	return func(follower *Follower) {
 		follower.onState = notify
 	}
 }
 
-// OnCaughtUp sets what is called when a read of the log, begun at an instant, showed that nothing is missing.
+// OnCaughtUp sets a function that is called after a read of the log that shows that no record is missing from the
+// state. Its argument is the instant at which the read started.
 func OnCaughtUp(notify func(readStart cherrykeel.Instant)) Option {
 	return func(follower *Follower) {
 		follower.onCaughtUp = notify
 	}
 }
 
-// New returns a follower that has read nothing yet.
+// New returns a follower with an empty state; Run reads the log.
 func New(log cherrykeel.Log, clock cherrykeel.Clock, options ...Option) *Follower {
 	follower := &Follower{
 		log:        log,
@@ -108,7 +115,7 @@
 		chains:     map[int64]uint64{},
 		waiters:    map[string]chan fold.Verdict{},
 		verdicts:   map[string]fold.Verdict{},
-		status:     Status{Reason: "nothing has been read yet"},
+		status:     Status{Reason: "the log has not been read yet"},
 	}
 	follower.state.Store(fold.NewState())
 	for _, option := range options {
@@ -122,7 +129,7 @@
 	return follower.state.Load()
 }
 
-// Status returns how well the follower is in step.
+// Status returns how current the follower's state is.
 func (follower *Follower) Status() Status {
 	state := follower.State()
 	follower.mutex.Lock()
@@ -134,7 +141,7 @@
 	return status
 }
 
-// Run reads until the context ends.
+// Run reads the log, or other hosts while the log is unavailable, until the context ends.
 func (follower *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := follower.readOnce(ctx)
@@ -156,6 +163,7 @@
 	}
 }
 
+// recordFailure records an error of reading the log or of folding its records.
 func (follower *Follower) recordFailure(err error) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -165,7 +173,7 @@
 	}
 }
 
-// readOnce reads once and folds what came.
+// readOnce reads the log once and folds the new records.
 func (follower *Follower) readOnce(ctx context.Context) error {
 	readStart := follower.clock.Now()
 	state := follower.State()
@@ -177,7 +185,7 @@
 		return follower.restartFromCheckpoint(ctx, batch)
 	}
 	if batch.Next < state.Next {
-		return errors.Errorf("the log ends at %d, before what was read up to %d", batch.Next, state.Next)
+		return errors.Errorf("the log ends at %d, but this host has read up to %d", batch.Next, state.Next)
 	}
 	err = follower.foldRecords(state, batch.Records)
 	if err != nil {
@@ -187,6 +195,7 @@
 	return nil
 }
 
+// recordRead records a successful read that started at readStart and found next to be the end of the log.
 func (follower *Follower) recordRead(next int64, readStart cherrykeel.Instant) {
 	follower.mutex.Lock()
 	follower.repliedAt = follower.clock.Now()
@@ -202,7 +211,8 @@
 	}
 }
 
-// foldRecords folds records that follow the state, publishes the new state and wakes proposers.
+// foldRecords folds records into a copy of the state, skips those that the state already has, publishes the new state
+// and notifies waiting proposers.
 func (follower *Follower) foldRecords(state *fold.State, records []cherrykeel.LogRecord) error {
 	if len(records) == 0 {
 		return nil
@@ -229,7 +239,8 @@
 	return nil
 }
 
-// recordRecent keeps recent records for peers that are cut off from the log, and the chain for comparison with theirs.
+// recordRecent keeps a record for hosts that cannot read the log, and the chain hash after it for comparison with other
+// hosts.
 func (follower *Follower) recordRecent(record cherrykeel.LogRecord, state *fold.State) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -243,7 +254,8 @@
 	}
 }
 
-// HasDiverged reports whether a peer that has folded up to next came to another state than this host.
+// HasDiverged reports whether another host, with this chain hash after folding all records below next, came to another
+// state than this host. It is false if this host does not keep its own chain hash at next.
 func (follower *Follower) HasDiverged(next int64, chain uint64) bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
--- a/follow/propose.go
+++ b/follow/propose.go
@@ -8,9 +8,9 @@
 	"cherrykeel/fold"
 )
 
-// Propose appends a record and waits for the fold's verdict on it. An append whose reply
-// is lost is settled by reading on until the record shows up; when the context ends first,
-// ErrOutcomeUnknown says that it may still take effect. The record is appended once.
+// Propose appends a record once, waits until it is read back, and returns the verdict on it. It also waits if the
+// append fails, since the append may have taken effect although its reply was lost. If the context ends first, the
+// error is ErrOutcomeUnknown: the record may still take effect.
 func (follower *Follower) Propose(ctx context.Context, record fold.Record) (fold.Verdict, error) {
 	data, err := fold.Encode(record)
 	if err != nil {
@@ -44,6 +44,7 @@
 	delete(follower.waiters, id)
 }
 
+// notifyWaiters records verdicts and passes them to the proposers that wait for them.
 func (follower *Follower) notifyWaiters(verdicts []fold.Verdict) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -56,7 +57,8 @@
 	}
 }
 
-// recordVerdict remembers the first verdict on an id: a record that was appended twice takes effect at most once.
+// recordVerdict keeps the first verdict on an id, since a record that was appended twice takes effect at most once. The
+// caller holds the mutex.
 func (follower *Follower) recordVerdict(verdict fold.Verdict) {
 	if _, exists := follower.verdicts[verdict.ID]; exists {
 		return
@@ -69,7 +71,7 @@
 	}
 }
 
-// Verdict returns what became of a record, if it has been read.
+// Verdict returns the verdict on a record, if the record has been read and is one of the most recent.
 func (follower *Follower) Verdict(id string) (fold.Verdict, bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
--- a/follow/restart.go
+++ b/follow/restart.go
@@ -9,7 +9,8 @@
 	"cherrykeel/fold"
 )
 
-// restartFromCheckpoint starts over from the newest checkpoint that the log still holds.
+// restartFromCheckpoint continues from the newest checkpoint in the log, since the log no longer holds the first record
+// that this host has not read.
 func (follower *Follower) restartFromCheckpoint(ctx context.Context, batch cherrykeel.LogBatch) error {
 	records, err := follower.readToEnd(ctx, batch)
 	if err != nil {
@@ -20,13 +21,14 @@
 		return err
 	}
 	if state.Next < follower.State().Next {
-		// An older state than one that was in force must never be, even for a moment.
-		return errors.Wrapf(ErrLogTruncated, "the newest checkpoint is of %d, this host has read up to %d", state.Next, follower.State().Next)
+		// A state older than one that was in force must never come into force again, even for a moment.
+		return errors.Wrapf(ErrLogTruncated, "the newest checkpoint covers records up to %d, this host has read up to %d", state.Next, follower.State().Next)
 	}
 	follower.replaceState(state)
 	return follower.foldRecords(state, records)
 }
 
+// readToEnd returns a batch's records together with all later ones up to the batch's Next.
 func (follower *Follower) readToEnd(ctx context.Context, batch cherrykeel.LogBatch) ([]cherrykeel.LogRecord, error) {
 	records := batch.Records
 	for len(records) > 0 && records[len(records)-1].Offset+1 < batch.Next {
@@ -42,6 +44,7 @@
 	return records, nil
 }
 
+// newestCheckpoint returns the state of the newest valid checkpoint that the log's records from first on can continue.
 func newestCheckpoint(records []cherrykeel.LogRecord, first int64) (*fold.State, error) {
 	for i := len(records) - 1; i >= 0; i-- {
 		record, err := fold.Decode(records[i].Data)
@@ -57,7 +60,7 @@
 	return nil, errors.Wrapf(ErrLogTruncated, "the log begins at %d", first)
 }
 
-// replaceState takes a state as it is, without the records that led to it.
+// replaceState publishes a state without folding the records that led to it.
 func (follower *Follower) replaceState(state *fold.State) {
 	follower.mutex.Lock()
 	follower.recent = nil
@@ -67,7 +70,7 @@
 	follower.onState(state)
 }
 
-// readFromPeers gets records relayed while the log is out of reach, for this host or for all.
+// readFromPeers reads records from other hosts while the log is unavailable to this host or to all.
 func (follower *Follower) readFromPeers(ctx context.Context) {
 	status := follower.Status()
 	if follower.peers == nil || status.LogUp || status.SinceLogReply < outageAfter {
@@ -91,14 +94,16 @@
 	}
 }
 
+// recordPeerFailure records an error of reading from other hosts.
 func (follower *Follower) recordPeerFailure(err error) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	if !follower.status.CaughtUp {
-		follower.status.Reason = "the log is out of reach, and peers: " + err.Error()
+		follower.status.Reason = "the log is unavailable, and reading from other hosts failed: " + err.Error()
 	}
 }
 
+// applyMissing applies the checkpoint, if there is one, and the records that another host has sent.
 func (follower *Follower) applyMissing(missing MissingRecords) error {
 	state := follower.State()
 	if missing.Checkpoint != nil {
@@ -115,7 +120,8 @@
 	return follower.foldRecords(state, missing.Records)
 }
 
-// RecordsFrom returns, for a peer that is cut off, what it lacks from an offset on.
+// RecordsFrom returns the records from an offset on, for a host that cannot read the log, or a checkpoint if this host
+// no longer keeps all of them.
 func (follower *Follower) RecordsFrom(from int64) (MissingRecords, error) {
 	state := follower.State()
 	follower.mutex.Lock()
