--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -22,22 +22,23 @@
 	RunSpecs(t, "follow")
 }
 
-// fakeLog keeps records in memory; lost replies take effect, refusals do not.
+// fakeLog keeps records in memory. An append whose reply is lost takes effect; an append while the log is unavailable
+// does not.
 type fakeLog struct {
-	mutex   sync.Mutex
-	records [][]byte
-	out     bool
-	lose    bool
+	mutex       sync.Mutex
+	records     [][]byte
+	unavailable bool
+	loseReplies bool
 }
 
 func (log *fakeLog) Append(_ context.Context, data []byte) (int64, error) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	if log.out {
+	if log.unavailable {
 		return 0, errors.WithStack(cherrykeel.ErrLogUnavailable)
 	}
 	log.records = append(log.records, data)
-	if log.lose {
+	if log.loseReplies {
 		return 0, errors.WithStack(cherrykeel.ErrLogUnavailable)
 	}
 	return int64(len(log.records) - 1), nil
@@ -47,7 +48,7 @@
 	time.Sleep(time.Millisecond)
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	if log.out || ctx.Err() != nil {
+	if log.unavailable || ctx.Err() != nil {
 		return cherrykeel.LogBatch{}, errors.WithStack(cherrykeel.ErrLogUnavailable)
 	}
 	batch := cherrykeel.LogBatch{Next: int64(len(log.records))}
@@ -62,7 +63,7 @@
 	return fold.Record{Format: fold.Format, ID: id, Change: &fold.Change{Edits: []tree.Edit{edit}}}
 }
 
-func running(log cherrykeel.Log) *follow.Follower {
+func startFollower(log cherrykeel.Log) *follow.Follower {
 	follower := follow.New(log, cherrykeel.SystemClock())
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
@@ -71,9 +72,9 @@
 }
 
 var _ = Describe("a follower", func() {
-	It("learns the truth of an append whose reply was lost, and of one that had no effect", func() {
-		log := &fakeLog{lose: true}
-		follower := running(log)
+	It("returns the verdict on an append whose reply was lost, and an unknown outcome for one that failed", func() {
+		log := &fakeLog{loseReplies: true}
+		follower := startFollower(log)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		verdict, err := follower.Propose(ctx, change("x", 0))
@@ -84,7 +85,7 @@
 		Expect(verdict.Accepted).To(BeFalse())
 
 		log.mutex.Lock()
-		log.out = true
+		log.unavailable = true
 		log.mutex.Unlock()
 		short, stop := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer stop()
@@ -92,9 +93,9 @@
 		Expect(err).To(MatchError(follow.ErrOutcomeUnknown))
 	})
 
-	It("finds a peer that folded the same records to another state", func() {
+	It("detects a peer that folded the same records to another state", func() {
 		log := &fakeLog{}
-		follower := running(log)
+		follower := startFollower(log)
 		_, err := follower.Propose(context.Background(), change("x", 0))
 		Expect(err).NotTo(HaveOccurred())
 		status := follower.Status()
@@ -103,18 +104,18 @@
 		Expect(follower.HasDiverged(status.Next+5, 1)).To(BeFalse(), "a peer that is ahead cannot be compared yet")
 	})
 
-	It("gives a peer that is cut off the records that it lacks, or a checkpoint when it lacks too much", func() {
+	It("returns the records that a peer lacks, without a checkpoint if it still has all of them", func() {
 		log := &fakeLog{}
-		follower := running(log)
+		follower := startFollower(log)
 		for base := range int64(3) {
 			_, err := follower.Propose(context.Background(), change(string(rune('a'+base)), base))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		relay, err := follower.RecordsFrom(1)
+		missing, err := follower.RecordsFrom(1)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(relay.Records).To(HaveLen(2))
-		Expect(relay.Checkpoint).To(BeNil())
-		Expect(relay.Next).To(Equal(int64(3)))
-		Expect(json.Valid(relay.Records[0].Data)).To(BeTrue())
+		Expect(missing.Records).To(HaveLen(2))
+		Expect(missing.Checkpoint).To(BeNil())
+		Expect(missing.Next).To(Equal(int64(3)))
+		Expect(json.Valid(missing.Records[0].Data)).To(BeTrue())
 	})
 })
