--- a/intent/guard.go
+++ b/intent/guard.go
@@ -29,11 +29,11 @@
 	maxBatch      = 256
 	readPause     = 100 * time.Millisecond
 	appendTimeout = 2 * time.Second
-	// freshAfter is how long ago the stream may have been read to its end for new intents to be taken.
-	freshAfter = 5 * time.Second
-	// forgetAfter is how long a batch that was not read back is remembered; one that shows
+	// maxReadAge is how long ago the stream may have been read to its end for new intents to be taken.
+	maxReadAge = 5 * time.Second
+	// unconfirmedTimeout is how long a batch that was not read back is remembered; one that shows
 	// up later leaves its keys taken, which is safe.
-	forgetAfter = time.Minute
+	unconfirmedTimeout = time.Minute
 )
 
 type waiter struct {
@@ -43,49 +43,49 @@
 
 // Guard writes intents to the log and knows those of all hosts.
 type Guard struct {
-	log     cherrykeel.Log
-	clock   cherrykeel.Clock
-	host    string
-	mutex   sync.Mutex
-	table   *fold.Intents
-	fresh   bool
-	freshAt cherrykeel.Instant
-	begins  []*waiter
-	ends    []fold.IntentEnd
-	// appended maps batches on their way to those who wait for them.
-	appended map[string]sent
-	// given names requests that gave up before their intents were read back.
-	given map[string]bool
+	log        cherrykeel.Log
+	clock      cherrykeel.Clock
+	host       string
+	mutex      sync.Mutex
+	table      *fold.Intents
+	caughtUp   bool
+	caughtUpAt cherrykeel.Instant
+	begins     []*waiter
+	ends       []fold.IntentEnd
+	// unconfirmed maps batches on their way to those who wait for them.
+	unconfirmed map[string]sentBatch
+	// abandoned names requests that gave up before their intents were read back.
+	abandoned map[string]bool
 	// freeing maps requests whose keys are about to be freed by this host to those keys.
-	freeing map[string]fold.IntentEnd
-	kick    chan struct{}
+	freeing        map[string]fold.IntentEnd
+	writeRequested chan struct{}
 }
 
-// sent is a batch on its way to the log.
-type sent struct {
+// sentBatch is a batch on its way to the log.
+type sentBatch struct {
 	waiters []*waiter
-	at      cherrykeel.Instant
+	sentAt  cherrykeel.Instant
 }
 
 // NewGuard returns a guard that knows nothing before Run has read the stream.
 func NewGuard(log cherrykeel.Log, clock cherrykeel.Clock, host string) *Guard {
 	return &Guard{
-		log:      log,
-		clock:    clock,
-		host:     host,
-		table:    fold.NewIntents(),
-		appended: map[string]sent{},
-		freeing:  map[string]fold.IntentEnd{},
-		given:    map[string]bool{},
-		kick:     make(chan struct{}, 1),
+		log:            log,
+		clock:          clock,
+		host:           host,
+		table:          fold.NewIntents(),
+		unconfirmed:    map[string]sentBatch{},
+		freeing:        map[string]fold.IntentEnd{},
+		abandoned:      map[string]bool{},
+		writeRequested: make(chan struct{}, 1),
 	}
 }
 
 // Run reads and writes until the context ends.
 func (guard *Guard) Run(ctx context.Context) {
-	go guard.write(ctx)
+	go guard.writeBatches(ctx)
 	for ctx.Err() == nil {
-		err := guard.read(ctx)
+		err := guard.readOnce(ctx)
 		if err != nil {
 			sleep(ctx, readPause)
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (guard *Guard) read(ctx context.Context) error {
+func (guard *Guard) readOnce(ctx context.Context) error {
 	guard.mutex.Lock()
 	next := guard.table.Next
 	guard.mutex.Unlock()
@@ -114,27 +114,27 @@
 		if err != nil {
 			return err
 		}
-		guard.wake(id)
+		guard.notifyWaiters(id)
 	}
 	guard.table.DropBefore(batch.First)
-	guard.tidy()
+	guard.removeSettled()
 	if len(batch.Records) == 0 || guard.table.Next >= batch.Next {
-		guard.fresh = true
-		guard.freshAt = guard.clock.Now()
+		guard.caughtUp = true
+		guard.caughtUpAt = guard.clock.Now()
 	}
 	return nil
 }
 
-// wake tells those whose intents have been read back, and frees the keys of those that have given up.
-func (guard *Guard) wake(id string) {
-	for _, waiter := range guard.appended[id].waiters {
+// notifyWaiters tells those whose intents have been read back, and frees the keys of those that have given up.
+func (guard *Guard) notifyWaiters(id string) {
+	for _, waiter := range guard.unconfirmed[id].waiters {
 		close(waiter.ready)
-		if guard.given[waiter.begin.Request] {
-			delete(guard.given, waiter.begin.Request)
+		if guard.abandoned[waiter.begin.Request] {
+			delete(guard.abandoned, waiter.begin.Request)
 			guard.queueEnd(fold.IntentEnd{Service: waiter.begin.Service, Key: waiter.begin.Key, Request: waiter.begin.Request, NotRun: true})
 		}
 	}
-	delete(guard.appended, id)
+	delete(guard.unconfirmed, id)
 }
 
 func (guard *Guard) queueEnd(end fold.IntentEnd) {
@@ -142,31 +142,31 @@
 	if end.NotRun {
 		guard.freeing[end.Request] = end
 	}
-	guard.signal()
+	guard.requestWrite()
 }
 
-// tidy forgets keys that have been freed, and batches that have not shown up for so long that nobody waits.
-func (guard *Guard) tidy() {
+// removeSettled forgets keys that have been freed, and batches that have not shown up for so long that nobody waits.
+func (guard *Guard) removeSettled() {
 	for request, end := range guard.freeing {
-		known, exists := guard.table.Find(end.Service, end.Key)
-		if !exists || known.Request != request {
+		current, exists := guard.table.Find(end.Service, end.Key)
+		if !exists || current.Request != request {
 			delete(guard.freeing, request)
 		}
 	}
-	for id, sent := range guard.appended {
-		if guard.clock.Now().Sub(sent.at) < forgetAfter {
+	for id, sent := range guard.unconfirmed {
+		if guard.clock.Now().Sub(sent.sentAt) < unconfirmedTimeout {
 			continue
 		}
 		for _, waiter := range sent.waiters {
-			delete(guard.given, waiter.begin.Request)
+			delete(guard.abandoned, waiter.begin.Request)
 		}
-		delete(guard.appended, id)
+		delete(guard.unconfirmed, id)
 	}
 }
 
-func (guard *Guard) signal() {
+func (guard *Guard) requestWrite() {
 	select {
-	case guard.kick <- struct{}{}:
+	case guard.writeRequested <- struct{}{}:
 	default:
 	}
 }
@@ -175,24 +175,24 @@
 // only if its own intent is the first with this key.
 func (guard *Guard) Begin(ctx context.Context, begin fold.IntentBegin) (fold.Intent, bool, error) {
 	guard.mutex.Lock()
-	if !guard.fresh || guard.clock.Now().Sub(guard.freshAt) > freshAfter {
+	if !guard.caughtUp || guard.clock.Now().Sub(guard.caughtUpAt) > maxReadAge {
 		guard.mutex.Unlock()
 		return fold.Intent{}, false, errors.WithStack(ErrNotCaughtUp)
 	}
-	known, exists := guard.table.Find(begin.Service, begin.Key)
-	_, freed := guard.freeing[known.Request]
+	current, exists := guard.table.Find(begin.Service, begin.Key)
+	_, freed := guard.freeing[current.Request]
 	if exists && !freed {
 		guard.mutex.Unlock()
-		return known, false, nil
+		return current, false, nil
 	}
 	waiter := &waiter{begin: begin, ready: make(chan struct{})}
 	guard.begins = append(guard.begins, waiter)
-	guard.signal()
+	guard.requestWrite()
 	guard.mutex.Unlock()
 	select {
 	case <-waiter.ready:
 	case <-ctx.Done():
-		return fold.Intent{}, false, guard.giveUp(waiter)
+		return fold.Intent{}, false, guard.abandon(waiter)
 	}
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
@@ -200,23 +200,23 @@
 	return intent, intent.Request == begin.Request, nil
 }
 
-// giveUp leaves a note that frees the key should the intent still turn up in the log.
-func (guard *Guard) giveUp(gone *waiter) error {
+// abandon leaves a note that frees the key should the intent still turn up in the log.
+func (guard *Guard) abandon(target *waiter) error {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	select {
-	case <-gone.ready:
-		guard.queueEnd(fold.IntentEnd{Service: gone.begin.Service, Key: gone.begin.Key, Request: gone.begin.Request, NotRun: true})
+	case <-target.ready:
+		guard.queueEnd(fold.IntentEnd{Service: target.begin.Service, Key: target.begin.Key, Request: target.begin.Request, NotRun: true})
 		return errors.WithStack(ErrNotConfirmed)
 	default:
 	}
 	for i, waiting := range guard.begins {
-		if waiting == gone {
+		if waiting == target {
 			guard.begins = append(guard.begins[:i], guard.begins[i+1:]...)
 			return errors.WithStack(ErrNotConfirmed)
 		}
 	}
-	guard.given[gone.begin.Request] = true
+	guard.abandoned[target.begin.Request] = true
 	return errors.WithStack(ErrNotConfirmed)
 }
 
@@ -234,27 +234,27 @@
 	return guard.table.Len()
 }
 
-// write appends what waits, one batch after another.
-func (guard *Guard) write(ctx context.Context) {
+// writeBatches appends what waits, one batch after another.
+func (guard *Guard) writeBatches(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
-		case <-guard.kick:
+		case <-guard.writeRequested:
 		case <-ctx.Done():
 			return
 		}
-		guard.flush(ctx)
+		guard.writeBatch(ctx)
 		sleep(ctx, appendPause)
 	}
 }
 
-func (guard *Guard) flush(ctx context.Context) {
-	batch := guard.collect()
+func (guard *Guard) writeBatch(ctx context.Context) {
+	batch := guard.nextBatch()
 	if len(batch.Begins) == 0 && len(batch.Ends) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	err := guard.append(ctx, batch)
+	err := guard.appendBatch(ctx, batch)
 	if err == nil {
 		return
 	}
@@ -264,11 +264,11 @@
 	defer guard.mutex.Unlock()
 	guard.ends = append(batch.Ends, guard.ends...)
 	if len(guard.ends) > 0 {
-		guard.signal()
+		guard.requestWrite()
 	}
 }
 
-func (guard *Guard) collect() fold.IntentBatch {
+func (guard *Guard) nextBatch() fold.IntentBatch {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	batch := fold.IntentBatch{Format: fold.Format, ID: uuid.NewString(), Host: guard.host, Time: guard.clock.Wall()}
@@ -282,15 +282,15 @@
 	batch.Ends = guard.ends[:count:count]
 	guard.ends = guard.ends[count:]
 	if len(guard.begins) > 0 || len(guard.ends) > 0 {
-		guard.signal()
+		guard.requestWrite()
 	}
 	if len(waiters) > 0 {
-		guard.appended[batch.ID] = sent{waiters: waiters, at: guard.clock.Now()}
+		guard.unconfirmed[batch.ID] = sentBatch{waiters: waiters, sentAt: guard.clock.Now()}
 	}
 	return batch
 }
 
-func (guard *Guard) append(ctx context.Context, batch fold.IntentBatch) error {
+func (guard *Guard) appendBatch(ctx context.Context, batch fold.IntentBatch) error {
 	data, err := encode(batch)
 	if err != nil {
 		return err
--- a/intent/stage.go
+++ b/intent/stage.go
@@ -17,9 +17,9 @@
 const (
 	// HeaderReplayed marks an answer that was given before to the same Idempotency-Key.
 	HeaderReplayed = "Idempotency-Replayed"
-	// maxKept is the largest answer that is kept for repeats.
-	maxKept = 4 << 10
-	maxKey  = 255
+	// maxReplayBytes is the largest answer that is kept for repeats.
+	maxReplayBytes = 4 << 10
+	maxKeyLength   = 255
 	// beginShare is the share of a request's time that the log may take to confirm its intent.
 	beginShare    = 0.5
 	retryAfterLog = 2 * time.Second
@@ -43,84 +43,84 @@
 
 // Serve implements cherrykeel.Stage.
 func (stage *stage) Serve(exchange *cherrykeel.Exchange, next cherrykeel.Next) *cherrykeel.Failure {
-	if exchange.Service.RepeatGuard != cherrykeel.RepeatGuardLog || safe(exchange.Request.Method) {
+	if exchange.Service.RepeatGuard != cherrykeel.RepeatGuardLog || isSafeMethod(exchange.Request.Method) {
 		return next(exchange)
 	}
 	begin := fold.IntentBegin{
 		Service: exchange.Service.Path,
 		Key:     exchange.IdempotencyKey,
-		Digest:  digest(exchange),
+		Digest:  requestDigest(exchange),
 		Request: exchange.ID,
 	}
-	if begin.Key == "" || len(begin.Key) > maxKey {
-		return cherrykeel.Refuse(http.StatusBadRequest, "missing-idempotency-key", "the service %s needs an Idempotency-Key of 1 to %d characters", begin.Service, maxKey)
+	if begin.Key == "" || len(begin.Key) > maxKeyLength {
+		return cherrykeel.Refuse(http.StatusBadRequest, "missing-idempotency-key", "the service %s needs an Idempotency-Key of 1 to %d characters", begin.Service, maxKeyLength)
 	}
-	known, mayRun, failure := stage.begin(exchange, begin)
+	intent, mayRun, failure := stage.recordBegin(exchange, begin)
 	if failure != nil {
 		return failure
 	}
 	if !mayRun {
-		return repeated(exchange, begin, known)
+		return answerRepeat(exchange, begin, intent)
 	}
 	failure = next(exchange)
-	stage.end(exchange, begin, failure)
+	stage.recordEnd(exchange, begin, failure)
 	return failure
 }
 
-// safe methods change nothing, so they need no guard.
-func safe(method string) bool {
+// isSafeMethod methods change nothing, so they need no guard.
+func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-func digest(exchange *cherrykeel.Exchange) string {
+func requestDigest(exchange *cherrykeel.Exchange) string {
 	hash := xxhash.New()
 	_, _ = fmt.Fprintf(hash, "%s %s\n", exchange.Request.Method, exchange.Request.URL.RequestURI())
 	_, _ = hash.Write(exchange.Body)
 	return fmt.Sprintf("%016x", hash.Sum64())
 }
 
-func (stage *stage) begin(exchange *cherrykeel.Exchange, begin fold.IntentBegin) (fold.Intent, bool, *cherrykeel.Failure) {
-	left := exchange.Deadline.Sub(stage.clock.Now())
-	limit := time.Duration(beginShare * float64(left))
+func (stage *stage) recordBegin(exchange *cherrykeel.Exchange, begin fold.IntentBegin) (fold.Intent, bool, *cherrykeel.Failure) {
+	remaining := exchange.Deadline.Sub(stage.clock.Now())
+	limit := time.Duration(beginShare * float64(remaining))
 	ctx, cancel := context.WithTimeout(exchange.Request.Context(), limit)
 	defer cancel()
-	known, mayRun, err := stage.guard.Begin(ctx, begin)
+	intent, mayRun, err := stage.guard.Begin(ctx, begin)
 	if err == nil {
-		return known, mayRun, nil
+		return intent, mayRun, nil
 	}
 	failure := cherrykeel.Refuse(http.StatusServiceUnavailable, "log-out", "the platform's log, which %s needs to keep repeats from running twice, does not answer: %v", begin.Service, err)
 	failure.RetryAfter = retryAfterLog
 	failure.Cause = err
-	return known, false, failure
+	return intent, false, failure
 }
 
-// repeated answers a request whose key has been used before.
-func repeated(exchange *cherrykeel.Exchange, begin fold.IntentBegin, known fold.Intent) *cherrykeel.Failure {
+// answerRepeat answers a request whose key has been used before.
+func answerRepeat(exchange *cherrykeel.Exchange, begin fold.IntentBegin, intent fold.Intent) *cherrykeel.Failure {
 	switch {
-	case known.Digest != begin.Digest:
+	case intent.Digest != begin.Digest:
 		return cherrykeel.Refuse(http.StatusUnprocessableEntity, "key-reused", "the Idempotency-Key was used for another request; this one was not run")
-	case known.Answer != nil:
-		replay(exchange, known)
+	case intent.Answer != nil:
+		replay(exchange, intent)
 		return nil
-	case known.Status != 0:
-		return cherrykeel.FailUnknown(http.StatusConflict, "already-answered", "a request with this Idempotency-Key was answered with status %d; its answer was too large to keep", known.Status)
+	case intent.Status != 0:
+		return cherrykeel.FailUnknown(http.StatusConflict, "already-answered", "a request with this Idempotency-Key was answered with status %d; its answer was too large to keep", intent.Status)
 	}
-	failure := cherrykeel.FailUnknown(http.StatusConflict, "already-begun", "a request with this Idempotency-Key was begun through %s at %s, and how it ended is not known here", known.Host, known.Time.Format(time.RFC3339))
+	failure := cherrykeel.FailUnknown(http.StatusConflict, "already-begun", "a request with this Idempotency-Key was begun through %s at %s, and how it ended is not known here", intent.Host, intent.Time.Format(time.RFC3339))
 	failure.RetryAfter = retryAfterRun
 	return failure
 }
 
-func replay(exchange *cherrykeel.Exchange, known fold.Intent) {
+func replay(exchange *cherrykeel.Exchange, intent fold.Intent) {
 	header := exchange.Writer.Header()
-	header.Set("Content-Type", known.Answer.ContentType)
+	header.Set("Content-Type", intent.Answer.ContentType)
 	header.Set(HeaderReplayed, "true")
 	header.Set(cherrykeel.HeaderRequest, exchange.ID)
-	exchange.Writer.WriteHeader(known.Status)
-	_, _ = exchange.Writer.Write(known.Answer.Body)
+	exchange.Writer.WriteHeader(intent.Status)
+	_, _ = exchange.Writer.Write(intent.Answer.Body)
 }
 
-// end records how the request ended; one whose outcome is unknown keeps its key for good.
-func (stage *stage) end(exchange *cherrykeel.Exchange, begin fold.IntentBegin, failure *cherrykeel.Failure) {
+// recordEnd records how the request ended; one whose outcome is unknown keeps its key for good.
+func (stage *stage) recordEnd(exchange *cherrykeel.Exchange, begin fold.IntentBegin, failure *cherrykeel.Failure) {
 	end := fold.IntentEnd{Service: begin.Service, Key: begin.Key, Request: begin.Request}
 	switch {
 	case failure != nil && failure.Outcome == cherrykeel.NotRun:
@@ -129,7 +129,7 @@
 		return
 	default:
 		end.Status = exchange.Answer.Status
-		if exchange.Answer.Whole && len(exchange.Answer.Body) <= maxKept {
+		if exchange.Answer.Whole && len(exchange.Answer.Body) <= maxReplayBytes {
 			end.Answer = &fold.IntentAnswer{ContentType: exchange.Answer.ContentType, Body: exchange.Answer.Body}
 		}
 	}
