--- a/events/events.go
+++ b/events/events.go
@@ -131,11 +131,11 @@
 	if entry == nil {
 		return
 	}
-	entry.Write(append(plain(fields), zap.Int("Event", event.Number))...)
+	entry.Write(append(withoutStacks(fields), zap.Int("Event", event.Number))...)
 }
 
-// plain turns errors into their text: with their stacks a line would have three times its length.
-func plain(fields []zap.Field) []zap.Field {
+// withoutStacks turns errors into their text: with their stacks a line would have three times its length.
+func withoutStacks(fields []zap.Field) []zap.Field {
 	for i, field := range fields {
 		err, isError := field.Interface.(error)
 		if field.Type == zapcore.ErrorType && isError {
--- a/events/sink.go
+++ b/events/sink.go
@@ -17,14 +17,14 @@
 type Sink struct {
 	lines   chan []byte
 	dropped atomic.Int64
-	ending  chan struct{}
+	closing chan struct{}
 	done    chan struct{}
 	output  io.Writer
 }
 
 // NewSink returns a sink that writes to output until Close.
 func NewSink(output io.Writer) *Sink {
-	sink := &Sink{lines: make(chan []byte, sinkLines), ending: make(chan struct{}), done: make(chan struct{}), output: output}
+	sink := &Sink{lines: make(chan []byte, sinkLines), closing: make(chan struct{}), done: make(chan struct{}), output: output}
 	go sink.run()
 	return sink
 }
@@ -47,7 +47,7 @@
 // Close writes what waits. Goroutines that outlive it may go on logging: lines is never closed, since a line written
 // then would end the process.
 func (sink *Sink) Close() {
-	close(sink.ending)
+	close(sink.closing)
 	<-sink.done
 }
 
@@ -61,26 +61,26 @@
 	for {
 		select {
 		case line := <-sink.lines:
-			sink.put(line)
-		case <-sink.ending:
-			sink.putRest()
+			sink.writeLine(line)
+		case <-sink.closing:
+			sink.writeRemaining()
 			return
 		}
 	}
 }
 
-func (sink *Sink) putRest() {
+func (sink *Sink) writeRemaining() {
 	for {
 		select {
 		case line := <-sink.lines:
-			sink.put(line)
+			sink.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-func (sink *Sink) put(line []byte) {
+func (sink *Sink) writeLine(line []byte) {
 	// Nothing is left to tell when the output itself fails.
 	_, _ = sink.output.Write(line)
 	dropped := sink.dropped.Swap(0)
@@ -91,11 +91,11 @@
 
 // NewLogger returns a logger of JSON lines in Pascal case.
 func NewLogger(output zapcore.WriteSyncer, level zapcore.Level) *zap.Logger {
-	config := zap.NewProductionEncoderConfig()
-	config.EncodeTime = zapcore.ISO8601TimeEncoder
-	config.EncodeDuration = zapcore.StringDurationEncoder
-	config.TimeKey = "Time"
-	config.LevelKey = "Level"
-	config.MessageKey = "Text"
-	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(config), output, level))
+	encoder := zap.NewProductionEncoderConfig()
+	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
+	encoder.EncodeDuration = zapcore.StringDurationEncoder
+	encoder.TimeKey = "Time"
+	encoder.LevelKey = "Level"
+	encoder.MessageKey = "Text"
+	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoder), output, level))
 }
--- a/intent/doc.go
+++ b/intent/doc.go
@@ -1,6 +1,6 @@
-// Package intent keeps repeated requests from running twice: the intent of each
-// guarded request is in the platform's log before the request is sent, several
-// intents to an append, and the first in the log wins.
+// Package intent keeps repeated requests from running twice. Before a guarded request is sent to an upstream, its intent
+// is written to the platform's log, where several intents share an append. If several intents have the same
+// Idempotency-Key, the first in the log wins.
 //
-// Lock order: Guard has one lock; nothing is called with it held that waits.
+// Lock order: Guard has one lock, and makes no call that waits while it holds it.
 package intent
--- a/intent/guard.go
+++ b/intent/guard.go
@@ -16,32 +16,34 @@
 const Stream = "intents"
 
 var (
-	// ErrNotCaughtUp means that the stream of intents has not been read to its end yet.
-	ErrNotCaughtUp = errors.New("the intents in the log have not been read yet")
-	// ErrNotConfirmed means that an intent was not read back from the log in time.
+	// ErrNotCaughtUp means that the stream of intents has not been read to its end within maxReadAge.
+	ErrNotCaughtUp = errors.New("the intents in the log have not been read to their end recently")
+	// ErrNotConfirmed means that an intent was not read back from the log before the context ended.
 	ErrNotConfirmed = errors.New("the log did not confirm the intent in time")
 )
 
 const (
-	// appendPause is the time between two appends of one host; what comes in between shares the next one.
+	// appendPause is the pause after an append; intents that arrive meanwhile share the next one.
 	appendPause = 10 * time.Millisecond
-	// maxBatch is how many begins and ends share an append at the most.
-	maxBatch      = 256
+	// maxBatch bounds the begins in one append, and also the ends.
+	maxBatch = 256
+	// readPause is the pause after a failed read.
 	readPause     = 100 * time.Millisecond
 	appendTimeout = 2 * time.Second
-	// maxReadAge is how long ago the stream may have been read to its end for new intents to be taken.
+	// maxReadAge is how long ago the stream was last read to its end, at most, for new intents to be accepted.
 	maxReadAge = 5 * time.Second
-	// unconfirmedTimeout is how long a batch that was not read back is remembered; one that shows
-	// up later leaves its keys taken, which is safe.
+	// unconfirmedTimeout is how long a batch that was not read back is kept. If the batch shows up in the log later, its
+	// keys stay in use, which is safe.
 	unconfirmedTimeout = time.Minute
 )
 
+// waiter is a request that waits until its intent is read back.
 type waiter struct {
 	begin fold.IntentBegin
 	ready chan struct{}
 }
 
-// Guard writes intents to the log and knows those of all hosts.
+// Guard writes this host's intents to the log and reads those of all hosts.
 type Guard struct {
 	log        cherrykeel.Log
 	clock      cherrykeel.Clock
@@ -52,22 +54,22 @@
 	caughtUpAt cherrykeel.Instant
 	begins     []*waiter
 	ends       []fold.IntentEnd
-	// unconfirmed maps batches on their way to those who wait for them.
+	// unconfirmed holds the batches that were not read back yet, by id.
 	unconfirmed map[string]sentBatch
-	// abandoned names requests that gave up before their intents were read back.
+	// abandoned holds the ids of requests that stopped waiting before their intents were read back.
 	abandoned map[string]bool
-	// freeing maps requests whose keys are about to be freed by this host to those keys.
+	// freeing holds the ends by which this host is about to free keys, by the id of the request that has the key.
 	freeing        map[string]fold.IntentEnd
 	writeRequested chan struct{}
 }
 
-// sentBatch is a batch on its way to the log.
+// sentBatch is a batch that was not read back yet, with the requests that wait for it.
 type sentBatch struct {
 	waiters []*waiter
 	sentAt  cherrykeel.Instant
 }
 
-// NewGuard returns a guard that knows nothing before Run has read the stream.
+// NewGuard returns a guard that accepts no intents until Run has read the stream to its end.
 func NewGuard(log cherrykeel.Log, clock cherrykeel.Clock, host string) *Guard {
 	return &Guard{
 		log:            log,
@@ -81,7 +83,7 @@
 	}
 }
 
-// Run reads and writes until the context ends.
+// Run reads and writes the stream of intents until the context ends.
 func (guard *Guard) Run(ctx context.Context) {
 	go guard.writeBatches(ctx)
 	for ctx.Err() == nil {
@@ -99,6 +101,7 @@
 	}
 }
 
+// readOnce reads the stream once and applies the new records.
 func (guard *Guard) readOnce(ctx context.Context) error {
 	guard.mutex.Lock()
 	next := guard.table.Next
@@ -125,7 +128,7 @@
 	return nil
 }
 
-// notifyWaiters tells those whose intents have been read back, and frees the keys of those that have given up.
+// notifyWaiters wakes the requests whose batch has been read back, and frees the keys of those that stopped waiting.
 func (guard *Guard) notifyWaiters(id string) {
 	for _, waiter := range guard.unconfirmed[id].waiters {
 		close(waiter.ready)
@@ -145,7 +148,8 @@
 	guard.requestWrite()
 }
 
-// removeSettled forgets keys that have been freed, and batches that have not shown up for so long that nobody waits.
+// removeSettled removes the ends whose keys are free now, and the batches that were not read back for so long that no
+// request waits for them.
 func (guard *Guard) removeSettled() {
 	for request, end := range guard.freeing {
 		current, exists := guard.table.Find(end.Service, end.Key)
@@ -171,8 +175,8 @@
 	}
 }
 
-// Begin puts an intent into the log. It returns the key's state and whether the request may be sent:
-// only if its own intent is the first with this key.
+// Begin writes an intent to the log and waits until it is read back. It returns the key's state and whether the request
+// may be sent: only if its own intent is the first with this key. The error is ErrNotCaughtUp or ErrNotConfirmed.
 func (guard *Guard) Begin(ctx context.Context, begin fold.IntentBegin) (fold.Intent, bool, error) {
 	guard.mutex.Lock()
 	if !guard.caughtUp || guard.clock.Now().Sub(guard.caughtUpAt) > maxReadAge {
@@ -200,7 +204,7 @@
 	return intent, intent.Request == begin.Request, nil
 }
 
-// abandon leaves a note that frees the key should the intent still turn up in the log.
+// abandon ends the wait for an intent, and makes sure that the key is freed if the intent is or gets into the log.
 func (guard *Guard) abandon(target *waiter) error {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
@@ -220,21 +224,21 @@
 	return errors.WithStack(ErrNotConfirmed)
 }
 
-// End puts the end of a request into the log, in the background.
+// End writes the end of a request to the log, in the background.
 func (guard *Guard) End(end fold.IntentEnd) {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	guard.queueEnd(end)
 }
 
-// Len returns how many keys are known.
+// Len returns the number of keys in use.
 func (guard *Guard) Len() int {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	return guard.table.Len()
 }
 
-// writeBatches appends what waits, one batch after another.
+// writeBatches appends the waiting begins and ends, one batch after another.
 func (guard *Guard) writeBatches(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -258,8 +262,8 @@
 	if err == nil {
 		return
 	}
-	// The append may have taken effect all the same. The ends are appended again, which does
-	// no harm; the begins are not, and their requests wait until they are read back or give up.
+	// The append may have taken effect all the same. The ends are appended again, which is harmless. The begins are not:
+	// their requests wait until the intents are read back or their contexts end.
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
 	guard.ends = append(batch.Ends, guard.ends...)
@@ -268,6 +272,7 @@
 	}
 }
 
+// nextBatch removes up to maxBatch begins and up to maxBatch ends from the queues and returns them as a batch.
 func (guard *Guard) nextBatch() fold.IntentBatch {
 	guard.mutex.Lock()
 	defer guard.mutex.Unlock()
--- a/intent/stage.go
+++ b/intent/stage.go
@@ -15,14 +15,16 @@
 )
 
 const (
-	// HeaderReplayed marks an answer that was given before to the same Idempotency-Key.
+	// HeaderReplayed marks an answer that was stored for an earlier request with the same Idempotency-Key.
 	HeaderReplayed = "Idempotency-Replayed"
 	// maxReplayBytes is the largest answer that is kept for repeats.
 	maxReplayBytes = 4 << 10
 	maxKeyLength   = 255
-	// beginShare is the share of a request's time that the log may take to confirm its intent.
-	beginShare    = 0.5
+	// beginShare is the share of a request's remaining time in which the log must confirm its intent.
+	beginShare = 0.5
+	// retryAfterLog is the Retry-After of a request that is refused because the log did not confirm its intent.
 	retryAfterLog = 2 * time.Second
+	// retryAfterRun is the Retry-After of a repeat while the result of the first request is not known.
 	retryAfterRun = time.Second
 )
 
@@ -36,7 +38,7 @@
 	clock cherrykeel.Clock
 }
 
-// NewStage returns the stage that guards services whose RepeatGuard is "log".
+// NewStage returns the stage that guards the services whose RepeatGuard is "log".
 func NewStage(guard *Guard, clock cherrykeel.Clock) cherrykeel.Stage {
 	return &stage{guard: guard, clock: clock}
 }
@@ -67,11 +69,12 @@
 	return failure
 }
 
-// isSafeMethod methods change nothing, so they need no guard.
+// isSafeMethod reports whether a method changes nothing, so that its requests need no guard.
 func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
+// requestDigest returns a hash of the request's method, URI and body.
 func requestDigest(exchange *cherrykeel.Exchange) string {
 	hash := xxhash.New()
 	_, _ = fmt.Fprintf(hash, "%s %s\n", exchange.Request.Method, exchange.Request.URL.RequestURI())
@@ -79,6 +82,7 @@
 	return fmt.Sprintf("%016x", hash.Sum64())
 }
 
+// recordBegin writes the intent to the log. It returns the key's state and whether the request may be sent.
 func (stage *stage) recordBegin(exchange *cherrykeel.Exchange, begin fold.IntentBegin) (fold.Intent, bool, *cherrykeel.Failure) {
 	remaining := exchange.Deadline.Sub(stage.clock.Now())
 	limit := time.Duration(beginShare * float64(remaining))
@@ -88,13 +92,13 @@
 	if err == nil {
 		return intent, mayRun, nil
 	}
-	failure := cherrykeel.Refuse(http.StatusServiceUnavailable, "log-out", "the platform's log, which %s needs to keep repeats from running twice, does not answer: %v", begin.Service, err)
+	failure := cherrykeel.Refuse(http.StatusServiceUnavailable, "log-out", "the service %s needs the platform's log to keep repeats from running twice, and the log did not confirm the request: %v", begin.Service, err)
 	failure.RetryAfter = retryAfterLog
 	failure.Cause = err
 	return intent, false, failure
 }
 
-// answerRepeat answers a request whose key has been used before.
+// answerRepeat answers a request whose Idempotency-Key is already in use.
 func answerRepeat(exchange *cherrykeel.Exchange, begin fold.IntentBegin, intent fold.Intent) *cherrykeel.Failure {
 	switch {
 	case intent.Digest != begin.Digest:
@@ -103,9 +107,9 @@
 		replay(exchange, intent)
 		return nil
 	case intent.Status != 0:
-		return cherrykeel.FailUnknown(http.StatusConflict, "already-answered", "a request with this Idempotency-Key was answered with status %d; its answer was too large to keep", intent.Status)
+		return cherrykeel.FailUnknown(http.StatusConflict, "already-answered", "a request with this Idempotency-Key was answered with status %d; its answer was too large to store", intent.Status)
 	}
-	failure := cherrykeel.FailUnknown(http.StatusConflict, "already-begun", "a request with this Idempotency-Key was begun through %s at %s, and how it ended is not known here", intent.Host, intent.Time.Format(time.RFC3339))
+	failure := cherrykeel.FailUnknown(http.StatusConflict, "already-begun", "a request with this Idempotency-Key was started through %s at %s; its result is not known yet", intent.Host, intent.Time.Format(time.RFC3339))
 	failure.RetryAfter = retryAfterRun
 	return failure
 }
@@ -119,7 +123,8 @@
 	_, _ = exchange.Writer.Write(intent.Answer.Body)
 }
 
-// recordEnd records how the request ended; one whose outcome is unknown keeps its key for good.
+// recordEnd writes to the log how the request ended. If its outcome is unknown, nothing is written, so that its key
+// stays in use until the intent expires.
 func (stage *stage) recordEnd(exchange *cherrykeel.Exchange, begin fold.IntentBegin, failure *cherrykeel.Failure) {
 	end := fold.IntentEnd{Service: begin.Service, Key: begin.Key, Request: begin.Request}
 	switch {
