--- a/events/doc.go
+++ b/events/doc.go
@@ -1,2 +1,3 @@
-// Package events numbers what the programs log; docs/EVENTS.md is the catalogue.
+// Package events defines the programs' log events, each with its own number, and writes them as JSON lines.
+// docs/EVENTS.md lists them.
 package events
--- a/events/events.go
+++ b/events/events.go
@@ -7,13 +7,13 @@
 
 // Event is one kind of log line.
 type Event struct {
-	// Number is stable and never used again for something else.
+	// Number never changes and is never reused for another event.
 	Number int
 	Level  zapcore.Level
 	Text   string
 }
 
-// All lists every event in order of number.
+// All lists every event.
 var All []Event
 
 func define(number int, level zapcore.Level, text string) Event {
@@ -22,7 +22,7 @@
 	return event
 }
 
-// The events of an entry host's life.
+// Events of an entry host: its start, readiness and stop.
 var (
 	HostStarted         = define(100, zap.InfoLevel, "host started")
 	HostReady           = define(101, zap.InfoLevel, "host is ready for callers")
@@ -34,7 +34,7 @@
 	HostConnsUnused     = define(107, zap.InfoLevel, "connections brought no request until the host had stopped")
 )
 
-// The events of the platform's log and list.
+// Events of the platform's log and list of hosts.
 var (
 	LogUnavailable      = define(200, zap.WarnLevel, "the platform's log does not answer")
 	LogAvailable        = define(201, zap.InfoLevel, "the platform's log answers again")
@@ -44,13 +44,13 @@
 	FoldDiverged        = define(205, zap.ErrorLevel, "this host's fold differs from a peer's")
 )
 
-// The events of settings.
+// Events of settings.
 var (
 	SettingsInForce = define(300, zap.InfoLevel, "settings are in force")
 	SettingsRefused = define(301, zap.ErrorLevel, "settings in the log cannot be used by this program")
 )
 
-// The events of ownership.
+// Events of the ownership of keys by partition.
 var (
 	TermWon             = define(400, zap.InfoLevel, "this host is now keeper")
 	TermLost            = define(401, zap.InfoLevel, "this host is no longer keeper")
@@ -62,7 +62,7 @@
 	UpstreamAvailable   = define(407, zap.InfoLevel, "upstream answers again")
 )
 
-// The events of requests.
+// Events of requests.
 var (
 	RequestFailed       = define(500, zap.WarnLevel, "request was answered by the router itself")
 	AnswerTruncated     = define(501, zap.WarnLevel, "answer broke off after its head was passed on")
@@ -80,7 +80,7 @@
 	RequestAfterClose   = define(513, zap.InfoLevel, "request came behind its connection's end, and was not taken")
 )
 
-// The events of an entry host on the platform.
+// Events of an entry host on a platform: its start and stop, its settings, the store, upstreams and other hosts.
 var (
 	EntryStarted        = define(600, zap.InfoLevel, "entry host started")
 	EntryStopping       = define(601, zap.InfoLevel, "entry host is stopping")
@@ -108,7 +108,7 @@
 	LinesDropped        = define(618, zap.WarnLevel, "log lines were dropped, since they could not be written fast enough")
 )
 
-// The events of keys' spans.
+// Events of the ownership of keys by span.
 var (
 	KeeperClaimed        = define(700, zap.InfoLevel, "this host claimed the spans")
 	SpansChanged         = define(701, zap.InfoLevel, "spans changed")
@@ -125,7 +125,7 @@
 	GrantOverdue         = define(712, zap.WarnLevel, "grant waited too long for a worker")
 )
 
-// Log writes one line for the event.
+// Log writes one line for the event if the logger writes lines of its level.
 func Log(logger *zap.Logger, event Event, fields ...zap.Field) {
 	entry := logger.Check(event.Level, event.Text)
 	if entry == nil {
@@ -134,7 +134,7 @@
 	entry.Write(append(withoutStacks(fields), zap.Int("Event", event.Number))...)
 }
 
-// withoutStacks turns errors into their text: with their stacks a line would have three times its length.
+// withoutStacks replaces errors by their texts: with stack traces, a line would be three times as long.
 func withoutStacks(fields []zap.Field) []zap.Field {
 	for i, field := range fields {
 		err, isError := field.Interface.(error)
--- a/events/sink.go
+++ b/events/sink.go
@@ -9,11 +9,11 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// sinkLines bounds the lines that wait to be written: at 400 bytes a line, 1.6 MB.
+// sinkLines bounds the lines that are queued for writing: 1.6 MB at 400 bytes per line.
 const sinkLines = 4096
 
-// Sink writes log lines from a goroutine of its own, so that a reader that stalls never holds up a
-// request. When it is full, lines are dropped and their number is written later.
+// Sink writes log lines from its own goroutine, so that a stalled reader of the output never blocks a request. While
+// its queue is full, lines are dropped; their number is written later.
 type Sink struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -29,7 +29,8 @@
 	return sink
 }
 
-// Write implements io.Writer; it never waits and never fails. After Close it writes nothing.
+// Write implements io.Writer. It queues the line or drops it, and never waits or fails. After Close, no line is
+// written.
 func (sink *Sink) Write(line []byte) (int, error) {
 	select {
 	case sink.lines <- append([]byte(nil), line...):
@@ -39,19 +40,19 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer.
+// Sync implements zapcore.WriteSyncer and does nothing; Close writes the queued lines.
 func (sink *Sink) Sync() error {
 	return nil
 }
 
-// Close writes what waits. Goroutines that outlive it may go on logging: lines is never closed, since a line written
-// then would end the process.
+// Close writes the queued lines and returns. Goroutines may still log afterwards, so the channel lines is never closed:
+// a send on a closed channel would panic and end the process.
 func (sink *Sink) Close() {
 	close(sink.closing)
 	<-sink.done
 }
 
-// Dropped returns how many lines were dropped and not reported yet.
+// Dropped returns the number of lines that were dropped and have not been reported in the output yet.
 func (sink *Sink) Dropped() int64 {
 	return sink.dropped.Load()
 }
@@ -81,7 +82,7 @@
 }
 
 func (sink *Sink) writeLine(line []byte) {
-	// Nothing is left to tell when the output itself fails.
+	// An error is ignored: if the output fails, there is nowhere to report it.
 	_, _ = sink.output.Write(line)
 	dropped := sink.dropped.Swap(0)
 	if dropped > 0 {
@@ -89,7 +90,7 @@
 	}
 }
 
-// NewLogger returns a logger of JSON lines in Pascal case.
+// NewLogger returns a logger that writes lines in JSON, with Pascal case field names, from a level on.
 func NewLogger(output zapcore.WriteSyncer, level zapcore.Level) *zap.Logger {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.ISO8601TimeEncoder
