--- a/events/sink_test.go
+++ b/events/sink_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "events")
 }
 
-// stalledOutput takes no byte until it is released.
+// stalledOutput blocks writes until it is released.
 type stalledOutput struct {
 	release chan struct{}
 	mutex   sync.Mutex
@@ -35,9 +35,9 @@
 }
 
 var _ = Describe("the log", func() {
-	// Whoever reads the log has stalled. Requests go on without waiting for it: lines beyond the buffer are
-	// dropped, and their number is written when the reader is back.
-	It("never waits for its reader, and counts what it drops", func() {
+	// Guards against requests that wait because the reader of the log has stalled: lines that exceed the queue are dropped
+	// instead, and their number is written when the reader goes on.
+	It("never waits for its reader, and counts the lines that it drops", func() {
 		output := &stalledOutput{release: make(chan struct{})}
 		sink := events.NewSink(output)
 		logger := events.NewLogger(sink, zapcore.InfoLevel)
@@ -51,8 +51,8 @@
 		Expect(strings.Count(output.buffer.String(), "\n")).To(BeNumerically("<", 4200))
 	})
 
-	// Guards against a process that ends with a panic, since a goroutine logs after the log was closed.
-	It("takes lines after its close, and writes none of them", func() {
+	// Guards against a panic, which would end the process, when a goroutine logs after the log was closed.
+	It("accepts lines after it was closed, and writes none of them", func() {
 		output := &stalledOutput{release: make(chan struct{})}
 		close(output.release)
 		sink := events.NewSink(output)
@@ -71,7 +71,7 @@
 		Expect(buffer.String()).NotTo(ContainSubstring("sink_test.go"))
 	})
 
-	It("numbers each event once", func() {
+	It("gives each event a number of its own", func() {
 		seen := map[int]bool{}
 		for _, event := range events.All {
 			Expect(seen).NotTo(HaveKey(event.Number))
