--- a/config/config.go
+++ b/config/config.go
@@ -75,7 +75,7 @@
 	decoder.DisallowUnknownFields()
 	err = decoder.Decode(&config)
 	if err != nil {
-		return config, describe(file, err)
+		return config, describeDecodeError(file, err)
 	}
 	problems := config.Check()
 	if len(problems) > 0 {
@@ -84,7 +84,7 @@
 	return config, nil
 }
 
-func describe(file string, err error) error {
+func describeDecodeError(file string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		lines := make([]string, 0, len(strict.Errors))
@@ -94,10 +94,10 @@
 		}
 		return errors.New(strings.Join(lines, "\n"))
 	}
-	var decode *toml.DecodeError
-	if errors.As(err, &decode) {
-		line, _ := decode.Position()
-		return errors.Errorf("%s:%d: %s", file, line, strings.TrimPrefix(decode.Error(), "toml: "))
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		line, _ := decodeError.Position()
+		return errors.Errorf("%s:%d: %s", file, line, strings.TrimPrefix(decodeError.Error(), "toml: "))
 	}
 	return errors.Wrap(err, file)
 }
@@ -116,8 +116,8 @@
 		addresses["AnnounceInner"] = config.AnnounceInner
 	}
 	for _, name := range []string{"Listen", "Admin", "Inner", "AnnounceInner"} {
-		address, given := addresses[name]
-		if _, err := netip.ParseAddrPort(address); given && err != nil {
+		address, exists := addresses[name]
+		if _, err := netip.ParseAddrPort(address); exists && err != nil {
 			add("%s: is %q, must be an IP and a port", name, address)
 		}
 	}
