--- a/config/config.go
+++ b/config/config.go
@@ -13,44 +13,44 @@
 	"github.com/pkg/errors"
 )
 
-// Duration is a time.Duration that TOML writes as a text such as "30s".
+// Duration is a time.Duration that a settings file gives as a text such as "30s".
 type Duration struct {
 	time.Duration
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler with time.ParseDuration.
 func (duration *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	duration.Duration = parsed
 	return err
 }
 
-// Config is the file that `cherrykeel run --config` reads; docs/SETTINGS.md describes each field.
+// Config is the settings file that `cherrykeel run --config` reads; docs/SETTINGS.md describes each field.
 type Config struct {
 	Name string
 	Zone string
-	// Listen takes callers, Admin operators, Inner other entry hosts; all are IP and port.
+	// Listen is the address for callers, Admin for operators and Inner for other entry hosts. Each is an IP and a port.
 	Listen string
 	Admin  string
 	Inner  string
-	// AnnounceInner is the address that peers are told, if it is not Inner.
+	// AnnounceInner is the address under which other hosts reach Inner, if that is not Inner itself.
 	AnnounceInner string
-	// Log and Hosts are the http URLs of the platform's log and list.
+	// Log and Hosts are the http URLs of the platform's log and list of hosts.
 	Log   string
 	Hosts string
-	// StopTimeout is the longest that a graceful stop takes.
+	// StopTimeout bounds a graceful shutdown.
 	StopTimeout Duration
-	// StopDelay is how long callers are still taken after readiness has turned off.
+	// StopDelay is how long a stopping host still accepts connections and requests after it reports that it is not ready.
 	StopDelay Duration
-	// CheckpointRecords is after how many records the fold is appended to the log again.
+	// CheckpointRecords is after how many records since the last checkpoint another one is appended to the log.
 	CheckpointRecords int
-	// MaxHeaderBytes bounds a request's head.
+	// MaxHeaderBytes bounds a request's header section.
 	MaxHeaderBytes int
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
 }
 
-// Default returns the configuration that a file's values replace.
+// Default returns the values of the fields that a settings file does not set.
 func Default() Config {
 	return Config{
 		Listen:            "127.0.0.1:8080",
@@ -64,7 +64,8 @@
 	}
 }
 
-// Load reads a file; its error names the file, the line where there is one, and the allowed values.
+// Load reads and checks a settings file. Its errors name the file, the line if it is known, and the values that are
+// allowed.
 func Load(file string) (Config, error) {
 	config := Default()
 	data, err := os.ReadFile(file)
@@ -84,6 +85,7 @@
 	return config, nil
 }
 
+// describeDecodeError adds the file's name, the line and, for an unknown field, its name to an error of the decoder.
 func describeDecodeError(file string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -102,7 +104,7 @@
 	return errors.Wrap(err, file)
 }
 
-// Check returns what is wrong with the values, one text for each field.
+// Check returns the problems of the values, each with the names of its fields.
 func (config Config) Check() []string {
 	var problems []string
 	add := func(format string, arguments ...any) {
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,2 +1,2 @@
-// Package config reads and checks the settings of one process.
+// Package config reads and checks the settings file of one host.
 package config
