--- a/wire/client.go
+++ b/wire/client.go
@@ -28,7 +28,7 @@
 
 // Call sends a message to the peer at an address and waits for its reply until the context ends.
 func (client *Client) Call(ctx context.Context, address, method string, message, reply any) error {
-	conn, err := client.conn(ctx, address)
+	conn, err := client.connTo(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -36,29 +36,29 @@
 	if err == nil {
 		return nil
 	}
-	var remote *jsonrpc2.Error
-	if !errors.As(err, &remote) && ctx.Err() == nil {
-		client.drop(address, conn)
+	var rpcError *jsonrpc2.Error
+	if !errors.As(err, &rpcError) && ctx.Err() == nil {
+		client.removeConn(address, conn)
 	}
 	return errors.Wrapf(ErrCallFailed, "%s at %s: %v", method, address, err)
 }
 
-func (client *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
+func (client *Client) connTo(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	client.mutex.Lock()
-	found, exists := client.conns[address]
+	conn, exists := client.conns[address]
 	client.mutex.Unlock()
 	if exists {
-		return found, nil
+		return conn, nil
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	socket, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(ErrCallFailed, err.Error())
 	}
-	return client.keep(address, socket), nil
+	return client.addConn(address, socket), nil
 }
 
-func (client *Client) keep(address string, socket net.Conn) *jsonrpc2.Conn {
+func (client *Client) addConn(address string, socket net.Conn) *jsonrpc2.Conn {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	if other, exists := client.conns[address]; exists {
@@ -66,18 +66,18 @@
 		return other
 	}
 	stream := jsonrpc2.NewBufferedStream(socket, jsonrpc2.VarintObjectCodec{})
-	conn := jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.HandlerWithError(refuse), quiet)
+	conn := jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.HandlerWithError(rejectCall), discardLogs)
 	client.conns[address] = conn
-	go client.watch(address, conn)
+	go client.removeOnDisconnect(address, conn)
 	return conn
 }
 
-func (client *Client) watch(address string, conn *jsonrpc2.Conn) {
+func (client *Client) removeOnDisconnect(address string, conn *jsonrpc2.Conn) {
 	<-conn.DisconnectNotify()
-	client.drop(address, conn)
+	client.removeConn(address, conn)
 }
 
-func (client *Client) drop(address string, conn *jsonrpc2.Conn) {
+func (client *Client) removeConn(address string, conn *jsonrpc2.Conn) {
 	client.mutex.Lock()
 	if client.conns[address] == conn {
 		delete(client.conns, address)
@@ -97,6 +97,6 @@
 	}
 }
 
-func refuse(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
+func rejectCall(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "peers answer, they do not ask on this connection"}
 }
--- a/wire/server.go
+++ b/wire/server.go
@@ -11,8 +11,8 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// quiet keeps the library from writing broken connections to standard error; callers see them as errors.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// discardLogs keeps the library from writing broken connections to standard error; callers see them as errors.
+var discardLogs = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
 // Method handles the calls of one method; params are its message in JSON.
 type Method func(ctx context.Context, params json.RawMessage) (any, error)
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	server := &Server{methods: methods, listener: listener, conns: map[*jsonrpc2.Conn]bool{}}
-	go server.accept()
+	go server.acceptConns()
 	return server, nil
 }
 
@@ -55,19 +55,19 @@
 	}
 }
 
-func (server *Server) accept() {
+func (server *Server) acceptConns() {
 	for {
 		socket, err := server.listener.Accept()
 		if err != nil {
 			return
 		}
-		server.serve(socket)
+		server.serveConn(socket)
 	}
 }
 
-func (server *Server) serve(socket net.Conn) {
+func (server *Server) serveConn(socket net.Conn) {
 	stream := jsonrpc2.NewBufferedStream(socket, jsonrpc2.VarintObjectCodec{})
-	conn := jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(server.handle)), quiet)
+	conn := jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(server.handle)), discardLogs)
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	if server.closed {
@@ -75,10 +75,10 @@
 		return
 	}
 	server.conns[conn] = true
-	go server.forget(conn)
+	go server.removeOnDisconnect(conn)
 }
 
-func (server *Server) forget(conn *jsonrpc2.Conn) {
+func (server *Server) removeOnDisconnect(conn *jsonrpc2.Conn) {
 	<-conn.DisconnectNotify()
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -86,8 +86,8 @@
 }
 
 func (server *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, request *jsonrpc2.Request) (any, error) {
-	method, known := server.methods[request.Method]
-	if !known {
+	method, exists := server.methods[request.Method]
+	if !exists {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: request.Method}
 	}
 	params := json.RawMessage("{}")
