--- a/wire/client.go
+++ b/wire/client.go
@@ -10,23 +10,24 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// ErrCallFailed means that a peer did not answer.
-var ErrCallFailed = errors.New("the peer did not answer")
+// ErrCallFailed means that a peer could not be reached, did not answer in time, or answered with an error.
+var ErrCallFailed = errors.New("the call to the peer failed")
 
 const dialTimeout = 300 * time.Millisecond
 
-// Client calls peers over one connection to each.
+// Client calls other hosts, its peers, over one connection to each.
 type Client struct {
 	mutex sync.Mutex
 	conns map[string]*jsonrpc2.Conn
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client that connects to a peer on the first call.
 func NewClient() *Client {
 	return &Client{conns: map[string]*jsonrpc2.Conn{}}
 }
 
-// Call sends a message to the peer at an address and waits for its reply until the context ends.
+// Call sends a message to the peer at an address and waits for its reply until the context ends. Every error is
+// ErrCallFailed.
 func (client *Client) Call(ctx context.Context, address, method string, message, reply any) error {
 	conn, err := client.connTo(ctx, address)
 	if err != nil {
@@ -58,6 +59,7 @@
 	return client.addConn(address, socket), nil
 }
 
+// addConn keeps a new connection, or closes it if another call has added one in the meantime.
 func (client *Client) addConn(address string, socket net.Conn) *jsonrpc2.Conn {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
@@ -86,7 +88,7 @@
 	_ = conn.Close()
 }
 
-// Close breaks all connections.
+// Close closes all connections; calls on them fail.
 func (client *Client) Close() {
 	client.mutex.Lock()
 	conns := client.conns
@@ -97,6 +99,7 @@
 	}
 }
 
+// rejectCall answers requests from the peer: a client's connection carries requests to the peer only.
 func rejectCall(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "peers answer, they do not ask on this connection"}
+	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this connection accepts no requests from the peer that was called"}
 }
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -24,7 +24,7 @@
 	MethodSuspectedRequests = "Requests.Denied"
 )
 
-// Hello tells a peer how its sender fares, about once a second.
+// Hello reports its sender's state to a peer, about once a second.
 type Hello struct {
 	Host    string
 	Zone    string
@@ -34,91 +34,94 @@
 	// Version is the settings version in force on the sender.
 	Version int64
 	LogUp   bool
-	// Unreachable are upstreams, as service and name, that the sender's own requests could not reach of late.
+	// Unreachable are the upstreams, as service and name, that the sender's own requests could not reach recently.
 	Unreachable []string
-	// Refusing are upstreams that told the sender that they take no new work.
+	// Refusing are the upstreams that announced to the sender that they accept no new requests.
 	Refusing []string
-	// Demands are the requests a second by service, sent to the service's keeper only.
+	// Demands are the sender's requests per second by service; each is sent to the service's keeper only.
 	Demands map[string]cherrykeel.Demand
 }
 
-// HelloReply tells the sender of a Hello about its receiver.
+// HelloReply reports to the sender of a Hello how far its receiver has folded the log.
 type HelloReply struct {
 	Host  string
 	Next  int64
 	Chain uint64
 }
 
-// Confirm asks a witness whether terms are the newest that it knows.
+// Confirm requests a witness to confirm that terms, by service, are the newest that it has recorded.
 type Confirm struct {
 	Terms map[string]int64
 }
 
-// ConfirmReply names the services whose terms are.
+// ConfirmReply names the services whose terms the witness confirms.
 type ConfirmReply struct {
 	Confirmed []string
 }
 
-// AnnounceTerm tells a witness a service's new term.
+// AnnounceTerm announces a service's new term to a witness.
 type AnnounceTerm struct {
 	Service string
 	Term    int64
 }
 
-// Silence asks a witness how long a service's keeper has not asked it.
+// Silence requests from a witness the time since a service's keeper last sent it a request.
 type Silence struct {
 	Service string
 }
 
-// SilenceReply is the answer to Silence.
+// SilenceReply is the reply to Silence.
 type SilenceReply struct {
 	Silence time.Duration
 }
 
-// Overlay carries a placement that the log does not hold yet.
+// Overlay announces a placement that is not in the log yet.
 type Overlay struct {
 	keeper.Overlay
 }
 
-// ForwardGrant asks a peer to pass a grant, or a question, on to an upstream.
+// ForwardGrant requests a peer to pass a grant on to the upstream at an address. If Query is set, the peer requests the
+// upstream's holding instead.
 type ForwardGrant struct {
 	Address string
 	Query   bool `json:"Ask"`
 	Grant   cherrykeel.Grant
 }
 
-// ViewGrant gives a host a lease on sending to upstreams that do not check fences.
+// ViewGrant grants a host a lease on sending requests to upstreams that do not check fences. If Query is set, it
+// requests the host's holding instead.
 type ViewGrant struct {
 	Query bool `json:"Ask"`
 	Grant cherrykeel.Grant
 }
 
-// Fetch asks for the log's records from an offset on.
+// Fetch requests the log's records from an offset on.
 type Fetch struct {
 	From int64
 }
 
-// FetchReply is the answer to Fetch.
+// FetchReply is the reply to Fetch.
 type FetchReply struct {
 	follow.MissingRecords
 }
 
-// Slots asks a steward for parts of upstreams' slots, by service and upstream.
+// Slots requests slots of upstreams, by service and upstream, from the host that divides them among all hosts.
 type Slots struct {
 	Host     string
 	Requests map[string]map[string]admit.SlotRequest `json:"Wants"`
 }
 
-// SlotsReply gives the parts; they may be used for Length from when they were asked for.
+// SlotsReply grants slots by service and upstream. They may be used for Length, counted from when they were requested.
 type SlotsReply struct {
 	Granted map[string]map[string]int
 	Length  time.Duration
 }
 
-// SuspectedRequests tells of requests that were at work when upstreams ended, while the log that says so is out.
+// SuspectedRequests reports requests that were running when upstreams crashed, while the log, which normally carries
+// these reports, is unavailable.
 type SuspectedRequests struct {
 	Requests []fold.SuspectedRequest `json:"Denials"`
 }
 
-// EmptyReply is the answer of methods that return nothing.
+// EmptyReply is the reply of methods that return nothing.
 type EmptyReply struct{}
--- a/wire/server.go
+++ b/wire/server.go
@@ -11,13 +11,13 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// discardLogs keeps the library from writing broken connections to standard error; callers see them as errors.
+// discardLogs keeps the library from logging broken connections to standard error; callers get them as errors.
 var discardLogs = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
-// Method handles the calls of one method; params are its message in JSON.
+// Method handles the calls of one method; params is the message in JSON, the result is the reply.
 type Method func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Server answers the calls of peers.
+// Server answers calls from other hosts.
 type Server struct {
 	methods  map[string]Method
 	listener net.Listener
@@ -42,7 +42,7 @@
 	return server.listener.Addr().String()
 }
 
-// Close stops the server and breaks its connections.
+// Close stops listening and closes all connections.
 func (server *Server) Close() {
 	_ = server.listener.Close()
 	server.mutex.Lock()
