--- a/intent/stage.go
+++ b/intent/stage.go
@@ -17,9 +17,10 @@
 const (
 	// HeaderReplayed marks an answer that was stored for an earlier request with the same Idempotency-Key.
 	HeaderReplayed = "Idempotency-Replayed"
-	// maxReplayBytes is the largest answer that is kept for repeats.
+	// maxReplayBytes is the largest body of an answer that is stored for repeats.
 	maxReplayBytes = 4 << 10
-	maxKeyLength   = 255
+	// maxKeyLength bounds an Idempotency-Key, in bytes.
+	maxKeyLength = 255
 	// beginShare is the share of a request's remaining time in which the log must confirm its intent.
 	beginShare = 0.5
 	// retryAfterLog is the Retry-After of a request that is refused because the log did not confirm its intent.
