--- a/tree/check.go
+++ b/tree/check.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	firmFile = "firm.toml"
-	teamFile = "team.toml"
-	suffix   = ".toml"
+	firmFile       = "firm.toml"
+	teamFile       = "team.toml"
+	settingsSuffix = ".toml"
 )
 
 // LoadDir reads and checks a whole tree from a directory; an InvalidError carries every problem found.
@@ -38,8 +38,8 @@
 	nodes := Nodes{}
 	var problems []Problem
 	for _, file := range list {
-		path, known := pathOf(file)
-		if !known {
+		path, valid := pathOf(file)
+		if !valid {
 			problems = append(problems, Problem{File: file, Text: "is not firm.toml, TEAM/team.toml or TEAM/SERVICE.toml"})
 			continue
 		}
@@ -63,7 +63,7 @@
 		if err != nil {
 			return err
 		}
-		if !entry.IsDir() && strings.HasSuffix(path, suffix) {
+		if !entry.IsDir() && strings.HasSuffix(path, settingsSuffix) {
 			list = append(list, path)
 		}
 		return nil
@@ -82,7 +82,7 @@
 	if name == teamFile {
 		return dir, true
 	}
-	return dir + "/" + strings.TrimSuffix(name, suffix), true
+	return dir + "/" + strings.TrimSuffix(name, settingsSuffix), true
 }
 
 func fileOf(path string) string {
@@ -92,7 +92,7 @@
 	case LevelTeam:
 		return path + "/" + teamFile
 	default:
-		return path + suffix
+		return path + settingsSuffix
 	}
 }
 
@@ -122,7 +122,7 @@
 	}
 	var problems []Problem
 	for _, name := range names {
-		if other, taken := domains[name]; taken {
+		if other, exists := domains[name]; exists {
 			problems = append(problems, Problem{File: fileOf(path), Field: "Domains", Text: fmt.Sprintf("%s belongs to %s already", name, other)})
 		}
 		domains[name] = path
@@ -159,11 +159,11 @@
 			problems = append(problems, problem("Drain", "names %q, which is not among Upstreams", name))
 		}
 	}
-	place := Parent(path) + " " + service.PathPrefix
-	if other, taken := prefixes[place]; taken {
+	prefix := Parent(path) + " " + service.PathPrefix
+	if other, exists := prefixes[prefix]; exists {
 		problems = append(problems, problem("PathPrefix", "%s belongs to %s already", service.PathPrefix, other))
 	}
-	prefixes[place] = path
+	prefixes[prefix] = path
 	return problems
 }
 
--- a/tree/errors.go
+++ b/tree/errors.go
@@ -16,14 +16,14 @@
 
 // String gives the problem in the form "file:line: field: text".
 func (problem Problem) String() string {
-	place := problem.File
+	location := problem.File
 	if problem.Line > 0 {
-		place = fmt.Sprintf("%s:%d", problem.File, problem.Line)
+		location = fmt.Sprintf("%s:%d", problem.File, problem.Line)
 	}
 	if problem.Field == "" {
-		return fmt.Sprintf("%s: %s", place, problem.Text)
+		return fmt.Sprintf("%s: %s", location, problem.Text)
 	}
-	return fmt.Sprintf("%s: %s: %s", place, problem.Field, problem.Text)
+	return fmt.Sprintf("%s: %s: %s", location, problem.Field, problem.Text)
 }
 
 // InvalidError carries every problem that a tree has.
--- a/tree/fields.go
+++ b/tree/fields.go
@@ -84,7 +84,7 @@
 	return index
 }
 
-func (field Field) allowedAt(level Level) bool {
+func (field Field) isAllowedAt(level Level) bool {
 	for _, allowed := range field.Levels {
 		if allowed == level {
 			return true
--- a/tree/node.go
+++ b/tree/node.go
@@ -40,8 +40,8 @@
 }
 
 // EqualFields reports whether two sets of fields hold the same values.
-func EqualFields(one, other map[string]any) bool {
-	return bytes.Equal(CanonicalJSON(one), CanonicalJSON(other))
+func EqualFields(first, second map[string]any) bool {
+	return bytes.Equal(CanonicalJSON(first), CanonicalJSON(second))
 }
 
 // CanonicalJSON returns fields as JSON with sorted names, the same on every host.
--- a/tree/parse.go
+++ b/tree/parse.go
@@ -31,20 +31,20 @@
 }
 
 func syntaxProblem(file string, err error) Problem {
-	var decode *toml.DecodeError
-	if errors.As(err, &decode) {
-		line, _ := decode.Position()
-		return Problem{File: file, Line: line, Text: strings.TrimPrefix(decode.Error(), "toml: ")}
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		line, _ := decodeError.Position()
+		return Problem{File: file, Line: line, Text: strings.TrimPrefix(decodeError.Error(), "toml: ")}
 	}
 	return Problem{File: file, Text: err.Error()}
 }
 
 func checkField(name string, level Level, value any) string {
-	field, known := fieldsByName[name]
-	if !known {
+	field, exists := fieldsByName[name]
+	if !exists {
 		return unknownField(name)
 	}
-	if !field.allowedAt(level) {
+	if !field.isAllowedAt(level) {
 		return fmt.Sprintf("cannot be set for a %s, only for: %s", level, levelNames(field.Levels))
 	}
 	return field.check(value)
@@ -84,7 +84,7 @@
 			continue
 		}
 		name := string(key.Node().Data)
-		if _, seen := lines[name]; !seen {
+		if _, exists := lines[name]; !exists {
 			lines[name] = parser.Shape(key.Node().Raw).Start.Line
 		}
 	}
--- a/tree/resolve.go
+++ b/tree/resolve.go
@@ -23,19 +23,19 @@
 
 // Explain returns where the value of a field comes from, for the node at path.
 func Explain(nodes Nodes, path, name string) (Source, error) {
-	field, known := fieldsByName[name]
-	if !known {
+	field, exists := fieldsByName[name]
+	if !exists {
 		return Source{}, errors.Errorf("%s: %s", name, unknownField(name))
 	}
 	if _, exists := nodes[path]; !exists {
 		return Source{}, errors.Wrap(ErrNoNode, path)
 	}
-	for at := path; ; at = Parent(at) {
-		value, set := nodes[at].Fields[name]
+	for current := path; ; current = Parent(current) {
+		value, set := nodes[current].Fields[name]
 		if set {
-			return Source{Field: name, Value: value, Path: at}, nil
+			return Source{Field: name, Value: value, Path: current}, nil
 		}
-		if at == "" {
+		if current == "" {
 			return Source{Field: name, Value: field.Default, Default: true}, nil
 		}
 	}
@@ -59,7 +59,7 @@
 
 // Resolve returns the settings in force for one service; it refuses values that it does not understand.
 func Resolve(nodes Nodes, path string) (*cherrykeel.Service, error) {
-	service := &cherrykeel.Service{Path: path, Version: newest(nodes, path)}
+	service := &cherrykeel.Service{Path: path, Version: newestVersion(nodes, path)}
 	target := reflect.ValueOf(service).Elem()
 	for _, field := range Fields {
 		source, err := Explain(nodes, path, field.Name)
@@ -77,11 +77,11 @@
 	return service, nil
 }
 
-func newest(nodes Nodes, path string) int64 {
+func newestVersion(nodes Nodes, path string) int64 {
 	version := int64(0)
-	for at := path; ; at = Parent(at) {
-		version = max(version, nodes[at].Version)
-		if at == "" {
+	for current := path; ; current = Parent(current) {
+		version = max(version, nodes[current].Version)
+		if current == "" {
 			return version
 		}
 	}
--- a/tree/value.go
+++ b/tree/value.go
@@ -39,10 +39,10 @@
 }
 
 func (field Field) wrongType(value any) string {
-	return fmt.Sprintf("is %v (%s), must be %s%s", value, typeName(value), field.Kind.article(), field.rangeText())
+	return fmt.Sprintf("is %v (%s), must be %s%s", value, typeName(value), field.Kind.withArticle(), field.rangeText())
 }
 
-func (kind Kind) article() string {
+func (kind Kind) withArticle() string {
 	if kind == KindInt {
 		return "an " + string(kind)
 	}
@@ -80,7 +80,7 @@
 }
 
 func (field Field) outOfRange(value any) string {
-	return fmt.Sprintf("is %v, must be %s%s", value, field.Kind.article(), field.rangeText())
+	return fmt.Sprintf("is %v, must be %s%s", value, field.Kind.withArticle(), field.rangeText())
 }
 
 func (field Field) checkInt(value any) string {
