--- a/tree/check.go
+++ b/tree/check.go
@@ -17,7 +17,7 @@
 	settingsSuffix = ".toml"
 )
 
-// LoadDir reads and checks a whole tree from a directory; an InvalidError carries every problem found.
+// LoadDir reads and checks a whole tree from a directory. If the tree is invalid, the error is an InvalidError.
 func LoadDir(dir string) (Nodes, error) {
 	_, err := os.Stat(dir)
 	if err != nil {
@@ -26,7 +26,8 @@
 	return LoadFS(os.DirFS(dir), dir)
 }
 
-// LoadFS reads and checks a whole tree from a file system; name stands for its root in problems.
+// LoadFS reads and checks a whole tree from a file system; name is what problems call its root. If the tree is invalid,
+// the error is an InvalidError.
 func LoadFS(files fs.FS, name string) (Nodes, error) {
 	list, err := listFiles(files)
 	if err != nil {
@@ -71,6 +72,7 @@
 	return list, errors.WithStack(err)
 }
 
+// pathOf returns the path of the node that a file holds, and false if no node is kept in a file of this name.
 func pathOf(file string) (string, bool) {
 	if file == firmFile {
 		return "", true
@@ -85,6 +87,7 @@
 	return dir + "/" + strings.TrimSuffix(name, settingsSuffix), true
 }
 
+// fileOf returns the file that holds the node at a path.
 func fileOf(path string) string {
 	switch LevelOf(path) {
 	case LevelFirm:
@@ -96,7 +99,8 @@
 	}
 }
 
-// Check returns the problems that show only when nodes are seen together.
+// Check returns the problems that the check of single fields cannot find, such as missing files and fields, and values
+// that contradict others or are used twice.
 func Check(nodes Nodes) []Problem {
 	var problems []Problem
 	if _, exists := nodes[""]; !exists {
--- a/tree/errors.go
+++ b/tree/errors.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Problem is one fault in a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	File string
 	Line int
-	// Field is empty when the fault is in the file as a whole.
+	// Field is empty if the problem concerns the whole file.
 	Field string
 	Text  string
 }
 
-// String gives the problem in the form "file:line: field: text".
+// String returns the problem in the form "file:line: field: text", without the parts that are not set.
 func (problem Problem) String() string {
 	location := problem.File
 	if problem.Line > 0 {
@@ -26,12 +26,12 @@
 	return fmt.Sprintf("%s: %s: %s", location, problem.Field, problem.Text)
 }
 
-// InvalidError carries every problem that a tree has.
+// InvalidError holds every problem that was found in a tree.
 type InvalidError struct {
 	Problems []Problem
 }
 
-// Error implements error with one line a problem.
+// Error returns the problems, one per line.
 func (invalid *InvalidError) Error() string {
 	lines := make([]string, 0, len(invalid.Problems))
 	for _, problem := range invalid.Problems {
--- a/tree/fields.go
+++ b/tree/fields.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Level is a depth of the tree.
+// Level is a level of the settings tree.
 type Level string
 
 // The levels, from the root down.
@@ -16,7 +16,7 @@
 	LevelService Level = "service"
 )
 
-// Kind is the type of a field's value in TOML.
+// Kind is the type of a field's value in TOML, as problems and the documentation call it.
 type Kind string
 
 // The kinds of fields.
@@ -30,7 +30,7 @@
 	KindServers  Kind = "list of tables"
 )
 
-// Field describes one setting; docs/SETTINGS.md is checked against this table.
+// Field describes one setting; docs/SETTINGS.md is checked against it.
 type Field struct {
 	Name    string
 	Kind    Kind
@@ -50,7 +50,7 @@
 	teamAndDown = []Level{LevelTeam, LevelService}
 )
 
-// Fields lists every setting in the order of the documentation.
+// Fields lists every setting, in the order of docs/SETTINGS.md.
 var Fields = []Field{
 	{Name: "Domains", Kind: KindTexts, Levels: onlyTeam, Doc: "Host names by which callers reach the team."},
 	{Name: "PathPrefix", Kind: KindText, Levels: onlyService, Doc: "Start of the URL path that belongs to the service; the longest match wins."},
@@ -93,7 +93,7 @@
 	return false
 }
 
-// Row returns the field's line in docs/SETTINGS.md.
+// Row returns the field's row of the table in docs/SETTINGS.md.
 func (field Field) Row() string {
 	allowed := strings.TrimPrefix(field.rangeText(), ", ")
 	if allowed == "" {
--- a/tree/node.go
+++ b/tree/node.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Node is one level's own settings, without what it inherits.
+// Node holds the fields that are set for the firm, a team or a service itself, without those that it inherits.
 type Node struct {
 	// Path is empty for the firm, "team", or "team/service".
 	Path string
-	// Version is that of the change that last set the node; 0 for one that is not published.
+	// Version is the version of the last change to the node, or 0 if the node is not published.
 	Version int64
 	Fields  map[string]any
 }
@@ -30,7 +30,7 @@
 	}
 }
 
-// Parent returns the path one level up; the firm is its own parent.
+// Parent returns the path one level up; the parent of the firm is the firm.
 func Parent(path string) string {
 	index := strings.LastIndex(path, "/")
 	if index < 0 {
@@ -39,7 +39,7 @@
 	return path[:index]
 }
 
-// EqualFields reports whether two sets of fields hold the same values.
+// EqualFields reports whether two sets of fields have the same names and values.
 func EqualFields(first, second map[string]any) bool {
 	return bytes.Equal(CanonicalJSON(first), CanonicalJSON(second))
 }
@@ -48,13 +48,13 @@
 func CanonicalJSON(fields map[string]any) []byte {
 	data, err := json.Marshal(fields)
 	if err != nil {
-		// Parse and JSON give only values that can be written back.
+		// Cannot happen: fields come from Parse or from JSON, and both yield only values that JSON can encode.
 		panic(err)
 	}
 	return data
 }
 
-// Edit is the difference between two versions of one node.
+// Edit replaces or removes one node.
 type Edit struct {
 	Path string
 	// Base is the version of the node that the edit replaces, 0 if there was none.
@@ -63,7 +63,8 @@
 	Fields  map[string]any
 }
 
-// Diff returns the edits that turn the nodes in force into the wanted ones, in order of path.
+// Diff returns the edits that turn the nodes in force into the wanted ones: first the replacements, then the removals,
+// each in order of path.
 func Diff(inForce, wanted Nodes) []Edit {
 	var edits []Edit
 	for _, path := range sortedNames(wanted) {
--- a/tree/parse.go
+++ b/tree/parse.go
@@ -10,7 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// Parse reads one file of the tree and checks every field on its own.
+// Parse reads one file of the tree and checks each of its fields. It returns no fields for a file that is not valid
+// TOML.
 func Parse(file string, level Level, data []byte) (map[string]any, []Problem) {
 	fields := map[string]any{}
 	err := toml.Unmarshal(data, &fields)
@@ -39,6 +40,7 @@
 	return Problem{File: file, Text: err.Error()}
 }
 
+// checkField returns what is wrong with a field at a level, or an empty string.
 func checkField(name string, level Level, value any) string {
 	field, exists := fieldsByName[name]
 	if !exists {
@@ -67,7 +69,7 @@
 	return strings.Join(names, ", ")
 }
 
-// lineIndex maps top-level names to the lines on which they first stand.
+// lineIndex returns the line on which each top-level name first appears.
 func lineIndex(data []byte) map[string]int {
 	lines := map[string]int{}
 	parser := unstable.Parser{}
--- a/tree/resolve.go
+++ b/tree/resolve.go
@@ -12,16 +12,17 @@
 // ErrNoNode means that a path is not in the tree.
 var ErrNoNode = errors.New("no such path in the settings tree")
 
-// Source tells which level sets a field.
+// Source is the value of a field for one node and the node that sets it.
 type Source struct {
 	Field string
 	Value any
-	// Path is where the value is set; Default is true when no level sets it.
+	// Path is the node that sets the value. If none does, Default is true.
 	Path    string
 	Default bool
 }
 
-// Explain returns where the value of a field comes from, for the node at path.
+// Explain returns the value of a field for the node at path and where it is set. The error is ErrNoNode for an unknown
+// path.
 func Explain(nodes Nodes, path, name string) (Source, error) {
 	field, exists := fieldsByName[name]
 	if !exists {
@@ -57,7 +58,7 @@
 	return services, nil
 }
 
-// Resolve returns the settings in force for one service; it refuses values that it does not understand.
+// Resolve returns the settings in force for one service, or an error if a field has an invalid value.
 func Resolve(nodes Nodes, path string) (*cherrykeel.Service, error) {
 	service := &cherrykeel.Service{Path: path, Version: newestVersion(nodes, path)}
 	target := reflect.ValueOf(service).Elem()
@@ -77,6 +78,7 @@
 	return service, nil
 }
 
+// newestVersion returns the newest version among a node and its parents.
 func newestVersion(nodes Nodes, path string) int64 {
 	version := int64(0)
 	for current := path; ; current = Parent(current) {
@@ -94,7 +96,7 @@
 	return field.check(source.Value)
 }
 
-// assign stores a value that the field's check has accepted.
+// assign sets a field of a service to a value that the field's check has accepted.
 func assign(target reflect.Value, value any) {
 	switch pointer := target.Addr().Interface().(type) {
 	case *time.Duration:
--- a/tree/value.go
+++ b/tree/value.go
@@ -15,7 +15,7 @@
 	serverName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 )
 
-// check returns what is wrong with a value for the field, or an empty string.
+// check returns what is wrong with a value of the field, or an empty string.
 func (field Field) check(value any) string {
 	switch field.Kind {
 	case KindBool:
@@ -210,7 +210,7 @@
 	return text
 }
 
-// asInt takes the integers of TOML and the numbers of JSON alike.
+// asInt accepts integers as TOML decodes them, and numbers without a fraction as JSON decodes them.
 func asInt(value any) (int, bool) {
 	switch number := value.(type) {
 	case int:
