--- a/tree/tree_test.go
+++ b/tree/tree_test.go
@@ -19,12 +19,12 @@
 	RunSpecs(t, "tree")
 }
 
-// A case is a text file in testdata/trees: files of a tree behind lines "-- NAME --".
-// Its golden file has the problems that an operator is shown.
+// Each case is a text file in testdata/trees. It holds the files of a tree, each after a line "-- NAME --". The case's
+// golden file holds the problems that are reported to an operator.
 var _ = Describe("checking a tree", func() {
 	cases, _ := filepath.Glob("testdata/trees/*.txt")
 	for _, file := range cases {
-		It("says what is wrong in "+filepath.Base(file), func() {
+		It("reports the problems in "+filepath.Base(file), func() {
 			text, err := os.ReadFile(file)
 			Expect(err).NotTo(HaveOccurred())
 			shown := "right\n"
@@ -54,7 +54,7 @@
 		"hanbit/hold": {Path: "hanbit/hold", Version: 4, Fields: map[string]any{"PathPrefix": "/hold", "Priority": int64(2)}},
 	}
 
-	It("takes each field from the nearest level that sets it", func() {
+	It("uses the value of the nearest level that sets a field", func() {
 		service, err := tree.Resolve(nodes, "hanbit/hold")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(service.Timeout.Seconds()).To(Equal(7.0))
@@ -72,7 +72,7 @@
 		Expect(err).To(MatchError(ContainSubstring("did you mean Timeout?")))
 	})
 
-	It("finds edits that turn one tree into another, and no others", func() {
+	It("returns only the edits that turn one tree into another", func() {
 		wanted := tree.Nodes{"": nodes[""], "hanbit": {Path: "hanbit", Fields: map[string]any{"Slots": int64(6)}}}
 		Expect(tree.Diff(nodes, wanted)).To(Equal([]tree.Edit{
 			{Path: "hanbit", Base: 5, Fields: map[string]any{"Slots": int64(6)}},
