--- a/fold/state.go
+++ b/fold/state.go
@@ -101,8 +101,8 @@
 		clone.Nodes[path] = node
 	}
 	clone.Ownership = make(map[string]ServiceOwnership, len(state.Ownership))
-	for service, block := range state.Ownership {
-		clone.Ownership[service] = block
+	for service, ownership := range state.Ownership {
+		clone.Ownership[service] = ownership
 	}
 	clone.Audit = append([]AuditEntry(nil), state.Audit...)
 	return &clone
