--- a/fold/intents.go
+++ b/fold/intents.go
@@ -18,7 +18,9 @@
 // IntentBatch is one record of the stream of intents. It carries the begins and ends of several requests of one host.
 type IntentBatch struct {
 	Format int
-	ID     string
+	// ID is unique: the host that wrote the batch recognizes it by its id.
+	ID string
+	// Host is the host that wrote the batch; Time is its wall clock.
 	Host   string
 	Time   time.Time
 	Begins []IntentBegin `json:",omitempty"`
@@ -45,7 +47,8 @@
 	NotRun bool `json:",omitempty"`
 	// Answer is the answer that the caller got, if it was small enough to store.
 	Answer *IntentAnswer `json:",omitempty"`
-	Status int           `json:",omitempty"`
+	// Status is the HTTP status of the answer.
+	Status int `json:",omitempty"`
 }
 
 // IntentAnswer is a stored answer that repeats of the request get.
@@ -56,6 +59,7 @@
 
 // Intent is the state of one key.
 type Intent struct {
+	// Digest, Request and Host are those of the first begin with the key; Time is the table's clock at that begin.
 	Digest  string
 	Request string
 	Host    string
@@ -66,6 +70,7 @@
 	offset int64
 }
 
+// intentName is a service and an Idempotency-Key.
 type intentName struct {
 	service string
 	key     string
@@ -153,6 +158,7 @@
 	}
 }
 
+// applyBegin adds an intent unless its key is in use.
 func (intents *Intents) applyBegin(offset int64, batch IntentBatch, begin IntentBegin) {
 	key := intentName{begin.Service, begin.Key}
 	if _, exists := intents.intents[key]; exists {
@@ -168,6 +174,7 @@
 	intents.order = append(intents.order, key)
 }
 
+// applyEnd stores the answer of the request that has the key, or frees the key. It ignores ends of other requests.
 func (intents *Intents) applyEnd(end IntentEnd) {
 	key := intentName{end.Service, end.Key}
 	intent, exists := intents.intents[key]
--- a/fold/record.go
+++ b/fold/record.go
@@ -23,7 +23,8 @@
 	ID string
 	// Author is the operator or the host that wrote the record.
 	Author string
-	Time   time.Time
+	// Time is the author's wall clock.
+	Time time.Time
 
 	Change            *Change            `json:",omitempty"`
 	Claim             *Claim             `json:",omitempty"`
@@ -36,7 +37,8 @@
 type SuspectedRequest struct {
 	// Fingerprint is the text form of the request's poison.Fingerprint.
 	Fingerprint string `json:"Identity"`
-	Request     poison.Record
+	// Request holds the crashes that the author has recorded for the request.
+	Request poison.Record
 }
 
 // Change proposes edits to the settings tree; either all are accepted or none.
@@ -67,7 +69,8 @@
 	Service string
 	Term    int64
 	// Base is the Sequence of the assignment that the record replaces.
-	Base       int64
+	Base int64
+	// Partitions is the number of the service's partitions after the assignment.
 	Partitions int
 	// Settled is true if all leases of earlier terms have ended or have become the keeper's own.
 	Settled bool `json:",omitempty"`
--- a/fold/state.go
+++ b/fold/state.go
@@ -26,8 +26,9 @@
 	Time    time.Time
 	Reason  string
 	Path    string
-	Before  map[string]any `json:",omitempty"`
-	After   map[string]any `json:",omitempty"`
+	// Before and After are the node's own fields before and after the change.
+	Before map[string]any `json:",omitempty"`
+	After  map[string]any `json:",omitempty"`
 }
 
 // ServiceOwnership is the state of the ownership of one service's keys.
@@ -61,10 +62,13 @@
 	// Next is the offset of the first record that has not been folded.
 	Next int64
 	// Version is the version of the last accepted change of settings.
-	Version   int64
-	Nodes     tree.Nodes
+	Version int64
+	// Nodes is the settings tree.
+	Nodes tree.Nodes
+	// Ownership is the ownership of keys, by the path of the service.
 	Ownership map[string]ServiceOwnership `json:"Blocks"`
-	Audit     []AuditEntry
+	// Audit is the audit trail, from the oldest entry to the newest.
+	Audit []AuditEntry
 	// CheckpointAt is the offset of the last checkpoint.
 	CheckpointAt int64
 	// Chain is a hash over all records and verdicts. If two hosts reach different verdicts on a record, their chains
@@ -82,7 +86,8 @@
 	// Version is the record's offset plus one, so that 0 can mean "none".
 	Version  int64
 	Accepted bool
-	Reason   string
+	// Reason is why the record was rejected.
+	Reason string
 	// ConflictVersion is the version or term in force, for a record that was rejected because it replaces another one.
 	ConflictVersion int64 `json:"LostTo"`
 }
