--- a/follow/follower.go
+++ b/follow/follower.go
@@ -200,13 +200,13 @@
 	follower.mutex.Lock()
 	follower.repliedAt = follower.clock.Now()
 	follower.status.LogUp = true
-	fresh := follower.State().Next >= next
-	if fresh {
+	caughtUp := follower.State().Next >= next
+	if caughtUp {
 		follower.status.CaughtUp = true
 		follower.status.Reason = ""
 	}
 	follower.mutex.Unlock()
-	if fresh {
+	if caughtUp {
 		follower.onCaughtUp(readStart)
 	}
 }
