--- a/follow/follower.go
+++ b/follow/follower.go
@@ -43,11 +43,13 @@
 	// Checkpoint is set if the sender no longer keeps all the requested records.
 	Checkpoint *fold.Checkpoint
 	Records    []cherrykeel.LogRecord
-	Next       int64
+	// Next is the offset of the first record that the sender has not folded.
+	Next int64
 }
 
 // Status describes how current a follower's state is.
 type Status struct {
+	// Next and Chain are those of the state.
 	Next  int64
 	Chain uint64
 	// CaughtUp is true once the state has been confirmed to be the newest, since the start; it stays true.
--- a/follow/propose.go
+++ b/follow/propose.go
@@ -30,6 +30,7 @@
 	}
 }
 
+// addWaiter returns a channel that receives the verdict on a record when the record is read.
 func (follower *Follower) addWaiter(id string) chan fold.Verdict {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
