--- a/intent/guard.go
+++ b/intent/guard.go
@@ -140,6 +140,7 @@
 	delete(guard.unconfirmed, id)
 }
 
+// queueEnd queues an end for the next append. The caller holds the mutex.
 func (guard *Guard) queueEnd(end fold.IntentEnd) {
 	guard.ends = append(guard.ends, end)
 	if end.NotRun {
@@ -168,6 +169,7 @@
 	}
 }
 
+// requestWrite triggers an append by writeBatches.
 func (guard *Guard) requestWrite() {
 	select {
 	case guard.writeRequested <- struct{}{}:
@@ -251,6 +253,7 @@
 	}
 }
 
+// writeBatch appends one batch of the waiting begins and ends, if there are any.
 func (guard *Guard) writeBatch(ctx context.Context) {
 	batch := guard.nextBatch()
 	if len(batch.Begins) == 0 && len(batch.Ends) == 0 {
--- a/intent/stage.go
+++ b/intent/stage.go
@@ -115,6 +115,7 @@
 	return failure
 }
 
+// replay answers a request with the stored answer of its key.
 func replay(exchange *cherrykeel.Exchange, intent fold.Intent) {
 	header := exchange.Writer.Header()
 	header.Set("Content-Type", intent.Answer.ContentType)
