--- a/tree/fields.go
+++ b/tree/fields.go
@@ -44,10 +44,10 @@
 }
 
 var (
-	everyLevel  = []Level{LevelFirm, LevelTeam, LevelService}
-	onlyTeam    = []Level{LevelTeam}
-	onlyService = []Level{LevelService}
-	teamAndDown = []Level{LevelTeam, LevelService}
+	everyLevel   = []Level{LevelFirm, LevelTeam, LevelService}
+	onlyTeam     = []Level{LevelTeam}
+	onlyService  = []Level{LevelService}
+	teamAndBelow = []Level{LevelTeam, LevelService}
 )
 
 // Fields lists every setting, in the order of docs/SETTINGS.md.
@@ -59,8 +59,8 @@
 	{Name: "Partitions", Kind: KindInt, Default: 1024, Min: 1, Max: 65536, Levels: onlyService, Doc: "Parts into which the key space is hashed; it cannot change while the service holds state."},
 	{Name: "Upstreams", Kind: KindServers, Levels: onlyService, Doc: "The servers, as tables with Name, Address (IP and port) and Zone (availability zone)."},
 	{Name: "Drain", Kind: KindTexts, Levels: onlyService, Doc: "Names of upstreams that get no new work, whatever the platform's list says."},
-	{Name: "Slots", Kind: KindInt, Unit: "requests", Default: 4, Min: 1, Max: 100000, Levels: teamAndDown, Doc: "Requests that one upstream works on at a time."},
-	{Name: "Connections", Kind: KindInt, Unit: "connections", Default: 100, Min: 1, Max: 100000, Levels: teamAndDown, Doc: "Connections that one upstream takes from all entry hosts together."},
+	{Name: "Slots", Kind: KindInt, Unit: "requests", Default: 4, Min: 1, Max: 100000, Levels: teamAndBelow, Doc: "Requests that one upstream works on at a time."},
+	{Name: "Connections", Kind: KindInt, Unit: "connections", Default: 100, Min: 1, Max: 100000, Levels: teamAndBelow, Doc: "Connections that one upstream takes from all entry hosts together."},
 	{Name: "Timeout", Kind: KindDuration, Default: 5 * time.Second, Min: 10 * time.Millisecond, Max: time.Hour, Levels: everyLevel, Doc: "Time for a request, from its arrival to the end of its answer; a caller may ask for less."},
 	{Name: "Priority", Kind: KindInt, Default: 5, Min: 1, Max: 9, Levels: everyLevel, Doc: "Who goes first when an upstream's slots are scarce; 1 is first."},
 	{Name: "Idempotent", Kind: KindText, Default: "method", Choices: []string{"method", "always", "never"}, Levels: everyLevel, Doc: "Which requests may run twice: as the HTTP method says, all, or none."},
--- a/tree/value.go
+++ b/tree/value.go
@@ -25,7 +25,7 @@
 	case KindInt:
 		return field.checkInt(value)
 	case KindNumber:
-		return field.checkShare(value)
+		return field.checkNumber(value)
 	case KindDuration:
 		return field.checkDuration(value)
 	case KindText:
@@ -94,7 +94,7 @@
 	return ""
 }
 
-func (field Field) checkShare(value any) string {
+func (field Field) checkNumber(value any) string {
 	number, ok := asFloat(value)
 	if !ok {
 		return field.wrongType(value)
