--- a/tree/fields.go
+++ b/tree/fields.go
@@ -32,15 +32,19 @@
 
 // Field describes one setting; docs/SETTINGS.md is checked against it.
 type Field struct {
-	Name    string
-	Kind    Kind
-	Unit    string
+	Name string
+	Kind Kind
+	Unit string
+	// Default is the value that holds if no level sets the field; nil if there is none.
 	Default any
-	Min     any
-	Max     any
+	// Min and Max bound a number or a duration; they are nil for other kinds.
+	Min any
+	Max any
+	// Choices lists the allowed texts; empty if the field does not list them.
 	Choices []string
-	Levels  []Level
-	Doc     string
+	// Levels lists the levels at which the field can be set.
+	Levels []Level
+	Doc    string
 }
 
 var (
@@ -84,6 +88,7 @@
 	return index
 }
 
+// isAllowedAt reports whether the field can be set at a level.
 func (field Field) isAllowedAt(level Level) bool {
 	for _, allowed := range field.Levels {
 		if allowed == level {
--- a/tree/node.go
+++ b/tree/node.go
@@ -60,7 +60,8 @@
 	// Base is the version of the node that the edit replaces, 0 if there was none.
 	Base    int64
 	Removed bool
-	Fields  map[string]any
+	// Fields are all the node's own fields after the edit.
+	Fields map[string]any
 }
 
 // Diff returns the edits that turn the nodes in force into the wanted ones: first the replacements, then the removals,
--- a/tree/resolve.go
+++ b/tree/resolve.go
@@ -89,6 +89,7 @@
 	}
 }
 
+// checkUnlessDefault checks a value that a node sets. Defaults are Go values and need no check.
 func (field Field) checkUnlessDefault(source Source) string {
 	if source.Default {
 		return ""
