--- a/events/events.go
+++ b/events/events.go
@@ -16,6 +16,7 @@
 // All lists every event.
 var All []Event
 
+// define returns a new event and adds it to All.
 func define(number int, level zapcore.Level, text string) Event {
 	event := Event{Number: number, Level: level, Text: text}
 	All = append(All, event)
--- a/events/sink.go
+++ b/events/sink.go
@@ -57,6 +57,7 @@
 	return sink.dropped.Load()
 }
 
+// run writes queued lines until Close is called and the queue is empty.
 func (sink *Sink) run() {
 	defer close(sink.done)
 	for {
@@ -81,6 +82,7 @@
 	}
 }
 
+// writeLine writes one line, and after it the number of lines dropped since the last report, if there are any.
 func (sink *Sink) writeLine(line []byte) {
 	// An error is ignored: if the output fails, there is nowhere to report it.
 	_, _ = sink.output.Write(line)
