--- a/config/config.go
+++ b/config/config.go
@@ -27,6 +27,7 @@
 
 // Config is the settings file that `cherrykeel run --config` reads; docs/SETTINGS.md describes each field.
 type Config struct {
+	// Name is the host's name, which no other host may have; Zone is its availability zone.
 	Name string
 	Zone string
 	// Listen is the address for callers, Admin for operators and Inner for other entry hosts. Each is an IP and a port.
