--- a/wire/client.go
+++ b/wire/client.go
@@ -44,6 +44,7 @@
 	return errors.Wrapf(ErrCallFailed, "%s at %s: %v", method, address, err)
 }
 
+// connTo returns the connection to an address, and opens it if there is none.
 func (client *Client) connTo(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	client.mutex.Lock()
 	conn, exists := client.conns[address]
@@ -79,6 +80,7 @@
 	client.removeConn(address, conn)
 }
 
+// removeConn closes a connection; the next call to the address opens a new one.
 func (client *Client) removeConn(address string, conn *jsonrpc2.Conn) {
 	client.mutex.Lock()
 	if client.conns[address] == conn {
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -26,14 +26,17 @@
 
 // Hello reports its sender's state to a peer, about once a second.
 type Hello struct {
-	Host    string
-	Zone    string
+	Host string
+	Zone string
+	// Leaving is true while the sender shuts down.
 	Leaving bool
-	Next    int64
-	Chain   uint64
+	// Next and Chain are those of the sender's state in package fold.
+	Next  int64
+	Chain uint64
 	// Version is the settings version in force on the sender.
 	Version int64
-	LogUp   bool
+	// LogUp is false while the log is unavailable to the sender.
+	LogUp bool
 	// Unreachable are the upstreams, as service and name, that the sender's own requests could not reach recently.
 	Unreachable []string
 	// Refusing are the upstreams that announced to the sender that they accept no new requests.
