--- a/follow/restart.go
+++ b/follow/restart.go
@@ -9,9 +9,10 @@
 	"cherrykeel/fold"
 )
 
-// restart starts over from the newest checkpoint that the log still holds.
-func (follower *Follower) restart(ctx context.Context, batch cherrykeel.LogBatch) error {
-	records, err := follower.readAll(ctx, batch)
+// restartFromCheckpoint continues from the newest checkpoint in the log, since the log no longer holds the first record
+// that this host has not read.
+func (follower *Follower) restartFromCheckpoint(ctx context.Context, batch cherrykeel.LogBatch) error {
+	records, err := follower.readToEnd(ctx, batch)
 	if err != nil {
 		return err
 	}
@@ -20,14 +21,15 @@
 		return err
 	}
 	if state.Next < follower.State().Next {
-		// An older state than one that was in force must never be, even for a moment.
-		return errors.Wrapf(ErrLogTruncated, "the newest checkpoint is of %d, this host has read up to %d", state.Next, follower.State().Next)
+		// A state older than one that was in force must never come into force again, even for a moment.
+		return errors.Wrapf(ErrLogTruncated, "the newest checkpoint covers records up to %d, this host has read up to %d", state.Next, follower.State().Next)
 	}
-	follower.adopt(state)
+	follower.replaceState(state)
 	return follower.foldRecords(state, records)
 }
 
-func (follower *Follower) readAll(ctx context.Context, batch cherrykeel.LogBatch) ([]cherrykeel.LogRecord, error) {
+// readToEnd returns a batch's records together with all later ones up to the batch's Next.
+func (follower *Follower) readToEnd(ctx context.Context, batch cherrykeel.LogBatch) ([]cherrykeel.LogRecord, error) {
 	records := batch.Records
 	for len(records) > 0 && records[len(records)-1].Offset+1 < batch.Next {
 		more, err := follower.log.Read(ctx, records[len(records)-1].Offset+1)
@@ -42,6 +44,7 @@
 	return records, nil
 }
 
+// newestCheckpoint returns the state of the newest valid checkpoint that the log's records from first on can continue.
 func newestCheckpoint(records []cherrykeel.LogRecord, first int64) (*fold.State, error) {
 	for i := len(records) - 1; i >= 0; i-- {
 		record, err := fold.Decode(records[i].Data)
@@ -57,8 +60,8 @@
 	return nil, errors.Wrapf(ErrLogTruncated, "the log begins at %d", first)
 }
 
-// adopt takes a state as it is, without the records that led to it.
-func (follower *Follower) adopt(state *fold.State) {
+// replaceState publishes a state without folding the records that led to it.
+func (follower *Follower) replaceState(state *fold.State) {
 	follower.mutex.Lock()
 	follower.recent = nil
 	follower.chains = map[int64]uint64{state.Next: state.Chain}
@@ -67,73 +70,76 @@
 	follower.onState(state)
 }
 
-// readFromPeers gets records relayed while the log is out of reach, for this host or for all.
+// readFromPeers reads records from other hosts while the log is unavailable to this host or to all.
 func (follower *Follower) readFromPeers(ctx context.Context) {
 	status := follower.Status()
 	if follower.peers == nil || status.LogUp || status.SinceLogReply < outageAfter {
 		return
 	}
-	relay, err := follower.peers.Fetch(ctx, status.Next, !status.CaughtUp)
+	missing, err := follower.peers.Fetch(ctx, status.Next, !status.CaughtUp)
 	if err != nil {
-		follower.noteReason(err)
+		follower.recordPeerFailure(err)
 		return
 	}
-	err = follower.takeRelay(relay)
+	err = follower.applyMissing(missing)
 	if err != nil {
-		follower.noteReason(err)
+		follower.recordPeerFailure(err)
 		return
 	}
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	if !follower.status.CaughtUp && follower.State().Next >= relay.Next {
+	if !follower.status.CaughtUp && follower.State().Next >= missing.Next {
 		follower.status.CaughtUp = true
 		follower.status.Reason = ""
 	}
 }
 
-func (follower *Follower) noteReason(err error) {
+// recordPeerFailure records an error of reading from other hosts.
+func (follower *Follower) recordPeerFailure(err error) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	if !follower.status.CaughtUp {
-		follower.status.Reason = "the log is out of reach, and peers: " + err.Error()
+		follower.status.Reason = "the log is unavailable, and reading from other hosts failed: " + err.Error()
 	}
 }
 
-func (follower *Follower) takeRelay(relay MissingRecords) error {
+// applyMissing applies the checkpoint, if there is one, and the records that another host has sent.
+func (follower *Follower) applyMissing(missing MissingRecords) error {
 	state := follower.State()
-	if relay.Checkpoint != nil {
-		restored, err := fold.Restore(*relay.Checkpoint)
+	if missing.Checkpoint != nil {
+		restored, err := fold.Restore(*missing.Checkpoint)
 		if err != nil {
 			return err
 		}
 		if restored.Next <= state.Next {
 			return nil
 		}
-		follower.adopt(restored)
+		follower.replaceState(restored)
 		state = restored
 	}
-	return follower.foldRecords(state, relay.Records)
+	return follower.foldRecords(state, missing.Records)
 }
 
-// RecordsFrom returns, for a peer that is cut off, what it lacks from an offset on.
+// RecordsFrom returns the records from an offset on, for a host that cannot read the log, or a checkpoint if this host
+// no longer keeps all of them.
 func (follower *Follower) RecordsFrom(from int64) (MissingRecords, error) {
 	state := follower.State()
 	follower.mutex.Lock()
 	recent := follower.recent
 	follower.mutex.Unlock()
-	relay := MissingRecords{Next: state.Next}
+	missing := MissingRecords{Next: state.Next}
 	if from >= state.Next {
-		return relay, nil
+		return missing, nil
 	}
 	if len(recent) == 0 || recent[0].Offset > from {
 		checkpoint, err := state.Snapshot()
-		relay.Checkpoint = &checkpoint
-		return relay, err
+		missing.Checkpoint = &checkpoint
+		return missing, err
 	}
 	for _, record := range recent {
 		if record.Offset >= from && record.Offset < state.Next {
-			relay.Records = append(relay.Records, record)
+			missing.Records = append(missing.Records, record)
 		}
 	}
-	return relay, nil
+	return missing, nil
 }
--- a/tree/check.go
+++ b/tree/check.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	firmFile = "firm.toml"
-	teamFile = "team.toml"
-	suffix   = ".toml"
+	firmFile       = "firm.toml"
+	teamFile       = "team.toml"
+	settingsSuffix = ".toml"
 )
 
-// LoadDir reads and checks a whole tree from a directory; an InvalidError carries every problem found.
+// LoadDir reads and checks a whole tree from a directory. If the tree is invalid, the error is an InvalidError.
 func LoadDir(dir string) (Nodes, error) {
 	_, err := os.Stat(dir)
 	if err != nil {
@@ -26,7 +26,8 @@
 	return LoadFS(os.DirFS(dir), dir)
 }
 
-// LoadFS reads and checks a whole tree from a file system; name stands for its root in problems.
+// LoadFS reads and checks a whole tree from a file system; name is what problems call its root. If the tree is invalid,
+// the error is an InvalidError.
 func LoadFS(files fs.FS, name string) (Nodes, error) {
 	list, err := listFiles(files)
 	if err != nil {
@@ -38,8 +39,8 @@
 	nodes := Nodes{}
 	var problems []Problem
 	for _, file := range list {
-		path, known := pathOf(file)
-		if !known {
+		path, valid := pathOf(file)
+		if !valid {
 			problems = append(problems, Problem{File: file, Text: "is not firm.toml, TEAM/team.toml or TEAM/SERVICE.toml"})
 			continue
 		}
@@ -63,7 +64,7 @@
 		if err != nil {
 			return err
 		}
-		if !entry.IsDir() && strings.HasSuffix(path, suffix) {
+		if !entry.IsDir() && strings.HasSuffix(path, settingsSuffix) {
 			list = append(list, path)
 		}
 		return nil
@@ -71,6 +72,7 @@
 	return list, errors.WithStack(err)
 }
 
+// pathOf returns the path of the node that a file holds, and false if no node is kept in a file of this name.
 func pathOf(file string) (string, bool) {
 	if file == firmFile {
 		return "", true
@@ -82,9 +84,10 @@
 	if name == teamFile {
 		return dir, true
 	}
-	return dir + "/" + strings.TrimSuffix(name, suffix), true
+	return dir + "/" + strings.TrimSuffix(name, settingsSuffix), true
 }
 
+// fileOf returns the file that holds the node at a path.
 func fileOf(path string) string {
 	switch LevelOf(path) {
 	case LevelFirm:
@@ -92,11 +95,12 @@
 	case LevelTeam:
 		return path + "/" + teamFile
 	default:
-		return path + suffix
+		return path + settingsSuffix
 	}
 }
 
-// Check returns the problems that show only when nodes are seen together.
+// Check returns the problems that the check of single fields cannot find, such as missing files and fields, and values
+// that contradict others or are used twice.
 func Check(nodes Nodes) []Problem {
 	var problems []Problem
 	if _, exists := nodes[""]; !exists {
@@ -122,7 +126,7 @@
 	}
 	var problems []Problem
 	for _, name := range names {
-		if other, taken := domains[name]; taken {
+		if other, exists := domains[name]; exists {
 			problems = append(problems, Problem{File: fileOf(path), Field: "Domains", Text: fmt.Sprintf("%s belongs to %s already", name, other)})
 		}
 		domains[name] = path
@@ -159,11 +163,11 @@
 			problems = append(problems, problem("Drain", "names %q, which is not among Upstreams", name))
 		}
 	}
-	place := Parent(path) + " " + service.PathPrefix
-	if other, taken := prefixes[place]; taken {
+	prefix := Parent(path) + " " + service.PathPrefix
+	if other, exists := prefixes[prefix]; exists {
 		problems = append(problems, problem("PathPrefix", "%s belongs to %s already", service.PathPrefix, other))
 	}
-	prefixes[place] = path
+	prefixes[prefix] = path
 	return problems
 }
 
--- a/tree/fields.go
+++ b/tree/fields.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Level is a depth of the tree.
+// Level is a level of the settings tree.
 type Level string
 
 // The levels, from the root down.
@@ -16,7 +16,7 @@
 	LevelService Level = "service"
 )
 
-// Kind is the type of a field's value in TOML.
+// Kind is the type of a field's value in TOML, as problems and the documentation call it.
 type Kind string
 
 // The kinds of fields.
@@ -30,27 +30,31 @@
 	KindServers  Kind = "list of tables"
 )
 
-// Field describes one setting; docs/SETTINGS.md is checked against this table.
+// Field describes one setting; docs/SETTINGS.md is checked against it.
 type Field struct {
-	Name    string
-	Kind    Kind
-	Unit    string
+	Name string
+	Kind Kind
+	Unit string
+	// Default is the value that holds if no level sets the field; nil if there is none.
 	Default any
-	Min     any
-	Max     any
+	// Min and Max bound a number or a duration; they are nil for other kinds.
+	Min any
+	Max any
+	// Choices lists the allowed texts; empty if the field does not list them.
 	Choices []string
-	Levels  []Level
-	Doc     string
+	// Levels lists the levels at which the field can be set.
+	Levels []Level
+	Doc    string
 }
 
 var (
-	everyLevel  = []Level{LevelFirm, LevelTeam, LevelService}
-	onlyTeam    = []Level{LevelTeam}
-	onlyService = []Level{LevelService}
-	teamAndDown = []Level{LevelTeam, LevelService}
+	everyLevel   = []Level{LevelFirm, LevelTeam, LevelService}
+	onlyTeam     = []Level{LevelTeam}
+	onlyService  = []Level{LevelService}
+	teamAndBelow = []Level{LevelTeam, LevelService}
 )
 
-// Fields lists every setting in the order of the documentation.
+// Fields lists every setting, in the order of docs/SETTINGS.md.
 var Fields = []Field{
 	{Name: "Domains", Kind: KindTexts, Levels: onlyTeam, Doc: "Host names by which callers reach the team."},
 	{Name: "PathPrefix", Kind: KindText, Levels: onlyService, Doc: "Start of the URL path that belongs to the service; the longest match wins."},
@@ -59,8 +63,8 @@
 	{Name: "Partitions", Kind: KindInt, Default: 1024, Min: 1, Max: 65536, Levels: onlyService, Doc: "Parts into which the key space is hashed; it cannot change while the service holds state."},
 	{Name: "Upstreams", Kind: KindServers, Levels: onlyService, Doc: "The servers, as tables with Name, Address (IP and port) and Zone (availability zone)."},
 	{Name: "Drain", Kind: KindTexts, Levels: onlyService, Doc: "Names of upstreams that get no new work, whatever the platform's list says."},
-	{Name: "Slots", Kind: KindInt, Unit: "requests", Default: 4, Min: 1, Max: 100000, Levels: teamAndDown, Doc: "Requests that one upstream works on at a time."},
-	{Name: "Connections", Kind: KindInt, Unit: "connections", Default: 100, Min: 1, Max: 100000, Levels: teamAndDown, Doc: "Connections that one upstream takes from all entry hosts together."},
+	{Name: "Slots", Kind: KindInt, Unit: "requests", Default: 4, Min: 1, Max: 100000, Levels: teamAndBelow, Doc: "Requests that one upstream works on at a time."},
+	{Name: "Connections", Kind: KindInt, Unit: "connections", Default: 100, Min: 1, Max: 100000, Levels: teamAndBelow, Doc: "Connections that one upstream takes from all entry hosts together."},
 	{Name: "Timeout", Kind: KindDuration, Default: 5 * time.Second, Min: 10 * time.Millisecond, Max: time.Hour, Levels: everyLevel, Doc: "Time for a request, from its arrival to the end of its answer; a caller may ask for less."},
 	{Name: "Priority", Kind: KindInt, Default: 5, Min: 1, Max: 9, Levels: everyLevel, Doc: "Who goes first when an upstream's slots are scarce; 1 is first."},
 	{Name: "Idempotent", Kind: KindText, Default: "method", Choices: []string{"method", "always", "never"}, Levels: everyLevel, Doc: "Which requests may run twice: as the HTTP method says, all, or none."},
@@ -84,7 +88,8 @@
 	return index
 }
 
-func (field Field) allowedAt(level Level) bool {
+// isAllowedAt reports whether the field can be set at a level.
+func (field Field) isAllowedAt(level Level) bool {
 	for _, allowed := range field.Levels {
 		if allowed == level {
 			return true
@@ -93,7 +98,7 @@
 	return false
 }
 
-// Row returns the field's line in docs/SETTINGS.md.
+// Row returns the field's row of the table in docs/SETTINGS.md.
 func (field Field) Row() string {
 	allowed := strings.TrimPrefix(field.rangeText(), ", ")
 	if allowed == "" {
--- a/tree/parse.go
+++ b/tree/parse.go
@@ -10,7 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// Parse reads one file of the tree and checks every field on its own.
+// Parse reads one file of the tree and checks each of its fields. It returns no fields for a file that is not valid
+// TOML.
 func Parse(file string, level Level, data []byte) (map[string]any, []Problem) {
 	fields := map[string]any{}
 	err := toml.Unmarshal(data, &fields)
@@ -31,20 +32,21 @@
 }
 
 func syntaxProblem(file string, err error) Problem {
-	var decode *toml.DecodeError
-	if errors.As(err, &decode) {
-		line, _ := decode.Position()
-		return Problem{File: file, Line: line, Text: strings.TrimPrefix(decode.Error(), "toml: ")}
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		line, _ := decodeError.Position()
+		return Problem{File: file, Line: line, Text: strings.TrimPrefix(decodeError.Error(), "toml: ")}
 	}
 	return Problem{File: file, Text: err.Error()}
 }
 
+// checkField returns what is wrong with a field at a level, or an empty string.
 func checkField(name string, level Level, value any) string {
-	field, known := fieldsByName[name]
-	if !known {
+	field, exists := fieldsByName[name]
+	if !exists {
 		return unknownField(name)
 	}
-	if !field.allowedAt(level) {
+	if !field.isAllowedAt(level) {
 		return fmt.Sprintf("cannot be set for a %s, only for: %s", level, levelNames(field.Levels))
 	}
 	return field.check(value)
@@ -67,7 +69,7 @@
 	return strings.Join(names, ", ")
 }
 
-// lineIndex maps top-level names to the lines on which they first stand.
+// lineIndex returns the line on which each top-level name first appears.
 func lineIndex(data []byte) map[string]int {
 	lines := map[string]int{}
 	parser := unstable.Parser{}
@@ -84,7 +86,7 @@
 			continue
 		}
 		name := string(key.Node().Data)
-		if _, seen := lines[name]; !seen {
+		if _, exists := lines[name]; !exists {
 			lines[name] = parser.Shape(key.Node().Raw).Start.Line
 		}
 	}
--- a/tree/resolve.go
+++ b/tree/resolve.go
@@ -12,30 +12,31 @@
 // ErrNoNode means that a path is not in the tree.
 var ErrNoNode = errors.New("no such path in the settings tree")
 
-// Source tells which level sets a field.
+// Source is the value of a field for one node and the node that sets it.
 type Source struct {
 	Field string
 	Value any
-	// Path is where the value is set; Default is true when no level sets it.
+	// Path is the node that sets the value. If none does, Default is true.
 	Path    string
 	Default bool
 }
 
-// Explain returns where the value of a field comes from, for the node at path.
+// Explain returns the value of a field for the node at path and where it is set. The error is ErrNoNode for an unknown
+// path.
 func Explain(nodes Nodes, path, name string) (Source, error) {
-	field, known := fieldsByName[name]
-	if !known {
+	field, exists := fieldsByName[name]
+	if !exists {
 		return Source{}, errors.Errorf("%s: %s", name, unknownField(name))
 	}
 	if _, exists := nodes[path]; !exists {
 		return Source{}, errors.Wrap(ErrNoNode, path)
 	}
-	for at := path; ; at = Parent(at) {
-		value, set := nodes[at].Fields[name]
+	for current := path; ; current = Parent(current) {
+		value, set := nodes[current].Fields[name]
 		if set {
-			return Source{Field: name, Value: value, Path: at}, nil
+			return Source{Field: name, Value: value, Path: current}, nil
 		}
-		if at == "" {
+		if current == "" {
 			return Source{Field: name, Value: field.Default, Default: true}, nil
 		}
 	}
@@ -57,9 +58,9 @@
 	return services, nil
 }
 
-// Resolve returns the settings in force for one service; it refuses values that it does not understand.
+// Resolve returns the settings in force for one service, or an error if a field has an invalid value.
 func Resolve(nodes Nodes, path string) (*cherrykeel.Service, error) {
-	service := &cherrykeel.Service{Path: path, Version: newest(nodes, path)}
+	service := &cherrykeel.Service{Path: path, Version: newestVersion(nodes, path)}
 	target := reflect.ValueOf(service).Elem()
 	for _, field := range Fields {
 		source, err := Explain(nodes, path, field.Name)
@@ -77,16 +78,18 @@
 	return service, nil
 }
 
-func newest(nodes Nodes, path string) int64 {
+// newestVersion returns the newest version among a node and its parents.
+func newestVersion(nodes Nodes, path string) int64 {
 	version := int64(0)
-	for at := path; ; at = Parent(at) {
-		version = max(version, nodes[at].Version)
-		if at == "" {
+	for current := path; ; current = Parent(current) {
+		version = max(version, nodes[current].Version)
+		if current == "" {
 			return version
 		}
 	}
 }
 
+// checkUnlessDefault checks a value that a node sets. Defaults are Go values and need no check.
 func (field Field) checkUnlessDefault(source Source) string {
 	if source.Default {
 		return ""
@@ -94,7 +97,7 @@
 	return field.check(source.Value)
 }
 
-// assign stores a value that the field's check has accepted.
+// assign sets a field of a service to a value that the field's check has accepted.
 func assign(target reflect.Value, value any) {
 	switch pointer := target.Addr().Interface().(type) {
 	case *time.Duration:
--- a/tree/value.go
+++ b/tree/value.go
@@ -15,7 +15,7 @@
 	serverName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 )
 
-// check returns what is wrong with a value for the field, or an empty string.
+// check returns what is wrong with a value of the field, or an empty string.
 func (field Field) check(value any) string {
 	switch field.Kind {
 	case KindBool:
@@ -25,7 +25,7 @@
 	case KindInt:
 		return field.checkInt(value)
 	case KindNumber:
-		return field.checkShare(value)
+		return field.checkNumber(value)
 	case KindDuration:
 		return field.checkDuration(value)
 	case KindText:
@@ -39,10 +39,10 @@
 }
 
 func (field Field) wrongType(value any) string {
-	return fmt.Sprintf("is %v (%s), must be %s%s", value, typeName(value), field.Kind.article(), field.rangeText())
+	return fmt.Sprintf("is %v (%s), must be %s%s", value, typeName(value), field.Kind.withArticle(), field.rangeText())
 }
 
-func (kind Kind) article() string {
+func (kind Kind) withArticle() string {
 	if kind == KindInt {
 		return "an " + string(kind)
 	}
@@ -80,7 +80,7 @@
 }
 
 func (field Field) outOfRange(value any) string {
-	return fmt.Sprintf("is %v, must be %s%s", value, field.Kind.article(), field.rangeText())
+	return fmt.Sprintf("is %v, must be %s%s", value, field.Kind.withArticle(), field.rangeText())
 }
 
 func (field Field) checkInt(value any) string {
@@ -94,7 +94,7 @@
 	return ""
 }
 
-func (field Field) checkShare(value any) string {
+func (field Field) checkNumber(value any) string {
 	number, ok := asFloat(value)
 	if !ok {
 		return field.wrongType(value)
@@ -210,7 +210,7 @@
 	return text
 }
 
-// asInt takes the integers of TOML and the numbers of JSON alike.
+// asInt accepts integers as TOML decodes them, and numbers without a fraction as JSON decodes them.
 func asInt(value any) (int, bool) {
 	switch number := value.(type) {
 	case int:
--- a/wire/client.go
+++ b/wire/client.go
@@ -10,25 +10,26 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// ErrCallFailed means that a peer did not answer.
-var ErrCallFailed = errors.New("the peer did not answer")
+// ErrCallFailed means that a peer could not be reached, did not answer in time, or answered with an error.
+var ErrCallFailed = errors.New("the call to the peer failed")
 
 const dialTimeout = 300 * time.Millisecond
 
-// Client calls peers over one connection to each.
+// Client calls other hosts, its peers, over one connection to each.
 type Client struct {
 	mutex sync.Mutex
 	conns map[string]*jsonrpc2.Conn
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client that connects to a peer on the first call.
 func NewClient() *Client {
 	return &Client{conns: map[string]*jsonrpc2.Conn{}}
 }
 
-// Call sends a message to the peer at an address and waits for its reply until the context ends.
+// Call sends a message to the peer at an address and waits for its reply until the context ends. Every error is
+// ErrCallFailed.
 func (client *Client) Call(ctx context.Context, address, method string, message, reply any) error {
-	conn, err := client.conn(ctx, address)
+	conn, err := client.connTo(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -36,29 +37,31 @@
 	if err == nil {
 		return nil
 	}
-	var remote *jsonrpc2.Error
-	if !errors.As(err, &remote) && ctx.Err() == nil {
-		client.drop(address, conn)
+	var rpcError *jsonrpc2.Error
+	if !errors.As(err, &rpcError) && ctx.Err() == nil {
+		client.removeConn(address, conn)
 	}
 	return errors.Wrapf(ErrCallFailed, "%s at %s: %v", method, address, err)
 }
 
-func (client *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
+// connTo returns the connection to an address, and opens it if there is none.
+func (client *Client) connTo(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	client.mutex.Lock()
-	found, exists := client.conns[address]
+	conn, exists := client.conns[address]
 	client.mutex.Unlock()
 	if exists {
-		return found, nil
+		return conn, nil
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	socket, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(ErrCallFailed, err.Error())
 	}
-	return client.keep(address, socket), nil
+	return client.addConn(address, socket), nil
 }
 
-func (client *Client) keep(address string, socket net.Conn) *jsonrpc2.Conn {
+// addConn keeps a new connection, or closes it if another call has added one in the meantime.
+func (client *Client) addConn(address string, socket net.Conn) *jsonrpc2.Conn {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	if other, exists := client.conns[address]; exists {
@@ -66,18 +69,19 @@
 		return other
 	}
 	stream := jsonrpc2.NewBufferedStream(socket, jsonrpc2.VarintObjectCodec{})
-	conn := jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.HandlerWithError(refuse), quiet)
+	conn := jsonrpc2.NewConn(context.Background(), stream, jsonrpc2.HandlerWithError(rejectCall), discardLogs)
 	client.conns[address] = conn
-	go client.watch(address, conn)
+	go client.removeOnDisconnect(address, conn)
 	return conn
 }
 
-func (client *Client) watch(address string, conn *jsonrpc2.Conn) {
+func (client *Client) removeOnDisconnect(address string, conn *jsonrpc2.Conn) {
 	<-conn.DisconnectNotify()
-	client.drop(address, conn)
+	client.removeConn(address, conn)
 }
 
-func (client *Client) drop(address string, conn *jsonrpc2.Conn) {
+// removeConn closes a connection; the next call to the address opens a new one.
+func (client *Client) removeConn(address string, conn *jsonrpc2.Conn) {
 	client.mutex.Lock()
 	if client.conns[address] == conn {
 		delete(client.conns, address)
@@ -86,7 +90,7 @@
 	_ = conn.Close()
 }
 
-// Close breaks all connections.
+// Close closes all connections; calls on them fail.
 func (client *Client) Close() {
 	client.mutex.Lock()
 	conns := client.conns
@@ -97,6 +101,7 @@
 	}
 }
 
-func refuse(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "peers answer, they do not ask on this connection"}
+// rejectCall answers requests from the peer: a client's connection carries requests to the peer only.
+func rejectCall(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
+	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this connection accepts no requests from the peer that was called"}
 }
