--- a/edge/abandon_test.go
+++ b/edge/abandon_test.go
@@ -31,8 +31,8 @@
 	// allowed is less than the service's timeout.
 	allowed = 300 * time.Millisecond
 	// connecting is how long a slow connection takes to be made.
-	connecting = time.Second
-	timeout    = 30 * time.Second
+	connecting     = time.Second
+	requestTimeout = 30 * time.Second
 )
 
 // hand is a clock that moves when it is told.
@@ -71,7 +71,7 @@
 // publish puts the service into force.
 func (world *world) publish(partitions int) {
 	world.fleet.Update(map[string]*cherrykeel.Service{service: {
-		Path: service, Keyed: true, Partitions: partitions, Slots: 4, QueueLength: 4, Timeout: timeout,
+		Path: service, Keyed: true, Partitions: partitions, Slots: 4, QueueLength: 4, Timeout: requestTimeout,
 		Upstreams: []cherrykeel.UpstreamServer{{Name: upstream, Zone: "zone"}},
 	}}, 1)
 }
@@ -106,11 +106,11 @@
 		ID:        "request",
 		Request:   httptest.NewRequest(http.MethodPost, "/", nil).WithContext(ctx),
 		Writer:    httptest.NewRecorder(),
-		Service:   &cherrykeel.Service{Path: service, Keyed: true, Timeout: timeout},
+		Service:   &cherrykeel.Service{Path: service, Keyed: true, Timeout: requestTimeout},
 		Key:       "key",
 		Partition: partition,
 		Arrived:   world.clock.Now(),
-		Deadline:  world.clock.Now().Add(timeout),
+		Deadline:  world.clock.Now().Add(requestTimeout),
 	}
 	Expect(edge.NewForward(world.fleet, sender, deny.New(deny.Settings{Clock: world.clock, Logger: zap.NewNop()}), world.clock, zap.NewNop()).Serve(exchange, nil)).NotTo(BeNil())
 }
@@ -128,9 +128,9 @@
 			return conns.Sent, errors.New("the host closed the connection")
 		})
 		Expect(world.grant(2)).To(ConsistOf(partition))
-		world.clock.advance(timeout - time.Millisecond)
+		world.clock.advance(requestTimeout - time.Millisecond)
 		Expect(world.grant(3)).To(ConsistOf(partition))
-		world.clock.advance(timeout)
+		world.clock.advance(requestTimeout)
 		Expect(world.grant(4)).To(BeEmpty())
 	})
 
@@ -181,7 +181,7 @@
 			}
 			told, err := strconv.Atoi(request.Header.Get(cherrykeel.HeaderTimeout))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(time.Duration(told) * time.Millisecond).To(BeNumerically("<=", timeout-connecting))
+			Expect(time.Duration(told) * time.Millisecond).To(BeNumerically("<=", requestTimeout-connecting))
 			return conns.Sent, errors.New("connection reset by peer")
 		})
 	})
--- a/edge/admission.go
+++ b/edge/admission.go
@@ -17,24 +17,24 @@
 )
 
 // admit waits until the request may go to an upstream, or refuses it.
-func (forward *forward) admit(ctx context.Context, pool *pool, exchange *cherrykeel.Exchange, listed *deny.Request, tried string) (*place, *cherrykeel.Failure) {
+func (forward *forward) admit(ctx context.Context, pool *pool, exchange *cherrykeel.Exchange, tracked *deny.Request, previous string) (*slot, *cherrykeel.Failure) {
 	denials := forward.denied.DenialAdded()
-	if failure := refusal(listed); failure != nil {
+	if failure := denialFailure(tracked); failure != nil {
 		return nil, failure
 	}
-	woken := make(chan bool, 1)
+	notified := make(chan bool, 1)
 	ticket := &admit.Ticket{
 		Priority: exchange.Priority,
 		Arrived:  exchange.Arrived,
 		Deadline: exchange.Deadline,
-		Notify:   func(admitted bool) { woken <- admitted },
+		Notify:   func(admitted bool) { notified <- admitted },
 	}
 	pool.mutex.Lock()
 	now := forward.clock.Now()
 	queue := pool.queueFor(exchange, now)
 	if queue == nil {
 		pool.mutex.Unlock()
-		return &place{}, nil
+		return &slot{}, nil
 	}
 	decision := queue.Submit(ticket, now)
 	wait := queue.Wait(ticket)
@@ -45,22 +45,22 @@
 	case admit.TooLate:
 		return nil, overloaded("deadline-too-near", exchange, wait)
 	case admit.Queued:
-		forward.fleet.signal()
-		waiting := &waiting{pool: pool, queue: queue, ticket: ticket, woken: woken, exchange: exchange}
-		failure := forward.await(ctx, waiting, listed, denials)
+		forward.fleet.signalSlotsNeeded()
+		waiter := &waiter{pool: pool, queue: queue, ticket: ticket, notified: notified, exchange: exchange}
+		failure := forward.awaitTurn(ctx, waiter, tracked, denials)
 		if failure != nil {
 			return nil, failure
 		}
 	}
-	return forward.take(pool, queue, exchange, tried), nil
+	return forward.acquireSlot(pool, queue, exchange, previous), nil
 }
 
-// waiting is a request in a queue.
-type waiting struct {
+// waiter is a request in a queue.
+type waiter struct {
 	pool     *pool
 	queue    *admit.Queue
 	ticket   *admit.Ticket
-	woken    chan bool
+	notified chan bool
 	exchange *cherrykeel.Exchange
 }
 
@@ -70,52 +70,52 @@
 	return failure
 }
 
-// await waits for the request's turn, unless its time passes or it becomes known to end upstreams.
-func (forward *forward) await(ctx context.Context, waiting *waiting, listed *deny.Request, denials <-chan struct{}) *cherrykeel.Failure {
+// awaitTurn waits for the request's turn, unless its time passes or it becomes known to end upstreams.
+func (forward *forward) awaitTurn(ctx context.Context, waiter *waiter, tracked *deny.Request, denials <-chan struct{}) *cherrykeel.Failure {
 	for {
 		select {
-		case admitted := <-waiting.woken:
+		case admitted := <-waiter.notified:
 			if admitted {
-				return waiting.admitted(listed)
+				return waiter.confirmAdmission(tracked)
 			}
-			return overloaded("queue-left", waiting.exchange, 0)
+			return overloaded("queue-left", waiter.exchange, 0)
 		case <-denials:
 			denials = forward.denied.DenialAdded()
-			failure := refusal(listed)
+			failure := denialFailure(tracked)
 			if failure != nil {
-				waiting.cancel()
+				waiter.cancel()
 				return failure
 			}
 		case <-ctx.Done():
-			waiting.cancel()
-			return overloaded("deadline-passed", waiting.exchange, 0)
+			waiter.cancel()
+			return overloaded("deadline-passed", waiter.exchange, 0)
 		}
 	}
 }
 
-// admitted looks once more: the request's turn may have come together with what shows that it is not to be sent.
-func (waiting *waiting) admitted(listed *deny.Request) *cherrykeel.Failure {
-	failure := refusal(listed)
+// confirmAdmission looks once more: the request's turn may have come together with what shows that it is not to be sent.
+func (waiter *waiter) confirmAdmission(tracked *deny.Request) *cherrykeel.Failure {
+	failure := denialFailure(tracked)
 	if failure != nil {
-		waiting.giveBack()
+		waiter.release()
 	}
 	return failure
 }
 
 // cancel takes the request out of its queue; admitted in the same moment, it leaves the place to the next one.
-func (waiting *waiting) cancel() {
-	waiting.pool.mutex.Lock()
-	canceled := waiting.queue.Cancel(waiting.ticket)
-	waiting.pool.mutex.Unlock()
-	if !canceled && <-waiting.woken {
-		waiting.giveBack()
+func (waiter *waiter) cancel() {
+	waiter.pool.mutex.Lock()
+	canceled := waiter.queue.Cancel(waiter.ticket)
+	waiter.pool.mutex.Unlock()
+	if !canceled && <-waiter.notified {
+		waiter.release()
 	}
 }
 
-func (waiting *waiting) giveBack() {
-	waiting.pool.mutex.Lock()
-	defer waiting.pool.mutex.Unlock()
-	waiting.queue.Done(0, waiting.pool.fleet.clock.Now())
+func (waiter *waiter) release() {
+	waiter.pool.mutex.Lock()
+	defer waiter.pool.mutex.Unlock()
+	waiter.queue.Done(0, waiter.pool.fleet.clock.Now())
 }
 
 // queueFor returns the queue that the request waits in, or nil if a keyed request has no owner to wait for.
@@ -142,30 +142,30 @@
 	return pool.upstreams[name]
 }
 
-// take gives an admitted request its upstream; the owner may have changed while it waited.
-func (forward *forward) take(pool *pool, queue *admit.Queue, exchange *cherrykeel.Exchange, tried string) *place {
+// acquireSlot gives an admitted request its upstream; the owner may have changed while it waited.
+func (forward *forward) acquireSlot(pool *pool, queue *admit.Queue, exchange *cherrykeel.Exchange, previous string) *slot {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	now := forward.clock.Now()
-	place := &place{pool: pool, queue: queue, clock: forward.clock, begun: now, deadline: exchange.Deadline}
+	slot := &slot{pool: pool, queue: queue, clock: forward.clock, acquiredAt: now, deadline: exchange.Deadline}
 	if exchange.Service.Keyed {
-		place.upstream = pool.owner(exchange, now)
+		slot.upstream = pool.owner(exchange, now)
 	} else {
-		place.upstream = pool.choose(now, tried)
+		slot.upstream = pool.choose(now, previous)
 	}
-	if place.upstream == nil || exchange.Service.Keyed && place.upstream.queue != queue {
+	if slot.upstream == nil || exchange.Service.Keyed && slot.upstream.queue != queue {
 		queue.Done(0, now)
-		place.upstream = nil
-		return place
+		slot.upstream = nil
+		return slot
 	}
 	if exchange.Service.Keyed && !pool.service.ChecksFences {
 		_, _ = pool.view.StartRequest(exchange.Partition, exchange.Key, now)
-		place.viewed = exchange
-		place.deadline = pool.view.LimitDeadline(exchange.Deadline, now)
+		slot.countedInView = exchange
+		slot.deadline = pool.view.LimitDeadline(exchange.Deadline, now)
 	}
-	place.upstream.inFlight++
-	place.upstream.health.RecordAttempt()
-	return place
+	slot.upstream.inFlight++
+	slot.upstream.health.RecordAttempt()
+	return slot
 }
 
 // copyAnswer passes the rest of a large answer on and reports the upstream's failures only.
@@ -187,9 +187,9 @@
 	}
 }
 
-func (fleet *Fleet) signal() {
+func (fleet *Fleet) signalSlotsNeeded() {
 	select {
-	case fleet.hurry <- struct{}{}:
+	case fleet.slotsNeeded <- struct{}{}:
 	default:
 	}
 }
--- a/edge/body.go
+++ b/edge/body.go
@@ -11,8 +11,8 @@
 	"cherrykeel"
 )
 
-// timeout is the service's, or the caller's if that is shorter.
-func timeout(exchange *cherrykeel.Exchange) time.Duration {
+// requestTimeout is the service's, or the caller's if that is shorter.
+func requestTimeout(exchange *cherrykeel.Exchange) time.Duration {
 	limit := exchange.Service.Timeout
 	asked, err := strconv.Atoi(exchange.Request.Header.Get(cherrykeel.HeaderTimeout))
 	if err != nil || asked <= 0 {
--- a/edge/fleet.go
+++ b/edge/fleet.go
@@ -23,18 +23,18 @@
 
 // Fleet holds what this host knows of the upstreams of every service.
 type Fleet struct {
-	zone   string
-	boot   string
-	clock  cherrykeel.Clock
-	picker cherrykeel.Picker
-	owners Owners
-	mutex  sync.RWMutex
-	pools  map[string]*pool
-	// parked are the pools of services that were removed. One that is added again goes on with its view: a new
+	zone        string
+	incarnation string
+	clock       cherrykeel.Clock
+	picker      cherrykeel.Picker
+	owners      Owners
+	mutex       sync.RWMutex
+	pools       map[string]*pool
+	// removedPools are the pools of services that were removed. One that is added again goes on with its view: a new
 	// one would say that the host has sent nothing, while upstreams work on what it sent before.
-	parked map[string]*pool
-	limit  func(address string, connections int)
-	hurry  chan struct{}
+	removedPools map[string]*pool
+	setConnLimit func(address string, connections int)
+	slotsNeeded  chan struct{}
 }
 
 // pool is one service's upstreams.
@@ -44,45 +44,45 @@
 	service   *cherrykeel.Service
 	upstreams map[string]*upstream
 	// queue admits to a service without keys as a whole.
-	queue   *admit.Queue
-	budget  *retry.Budget
-	counter *demand.Counter
-	view    *views.View
-	counted cherrykeel.Instant
+	queue        *admit.Queue
+	budget       *retry.Budget
+	counter      *demand.Counter
+	view         *views.View
+	countedSince cherrykeel.Instant
 	// usedAt is when a request last came.
-	usedAt cherrykeel.Instant
-	hosts  int
+	usedAt    cherrykeel.Instant
+	hostCount int
 }
 
 type upstream struct {
-	server   cherrykeel.UpstreamServer
-	queue    *admit.Queue
-	health   *member.Health
-	reported float64
-	inFlight int
-	// granted slots may be used until granted at the steward's word; after that, the host's even share.
-	granted      int
+	server       cherrykeel.UpstreamServer
+	queue        *admit.Queue
+	health       *member.Health
+	reportedLoad float64
+	inFlight     int
+	// grantedSlots slots may be used until granted at the steward's word; after that, the host's even share.
+	grantedSlots int
 	grantedUntil cherrykeel.Instant
 }
 
 // NewFleet returns a fleet without services; limit is told how many connections an address may have.
-func NewFleet(zone, boot string, clock cherrykeel.Clock, picker cherrykeel.Picker, owners Owners, limit func(address string, connections int)) *Fleet {
+func NewFleet(zone, incarnation string, clock cherrykeel.Clock, picker cherrykeel.Picker, owners Owners, setConnLimit func(address string, connections int)) *Fleet {
 	return &Fleet{
-		zone:   zone,
-		boot:   boot,
-		clock:  clock,
-		picker: picker,
-		owners: owners,
-		pools:  map[string]*pool{},
-		parked: map[string]*pool{},
-		limit:  limit,
-		hurry:  make(chan struct{}, 1),
+		zone:         zone,
+		incarnation:  incarnation,
+		clock:        clock,
+		picker:       picker,
+		owners:       owners,
+		pools:        map[string]*pool{},
+		removedPools: map[string]*pool{},
+		setConnLimit: setConnLimit,
+		slotsNeeded:  make(chan struct{}, 1),
 	}
 }
 
 // SlotsNeeded tells when a request waits for a slot that this host has not been given.
 func (fleet *Fleet) SlotsNeeded() chan struct{} {
-	return fleet.hurry
+	return fleet.slotsNeeded
 }
 
 // Update takes in the services in force and the number of hosts that share the upstreams.
@@ -91,40 +91,40 @@
 	defer fleet.mutex.Unlock()
 	for path, pool := range fleet.pools {
 		if services[path] == nil {
-			fleet.parked[path] = pool
+			fleet.removedPools[path] = pool
 			delete(fleet.pools, path)
 		}
 	}
 	for path, service := range services {
 		known, exists := fleet.pools[path]
 		if !exists {
-			known = fleet.unpark(service)
+			known = fleet.restoreOrNewPool(service)
 			fleet.pools[path] = known
 		}
 		known.update(service, hosts, !exists)
 	}
 }
 
-// unpark returns the pool that the service had before it was removed, or a new one.
-func (fleet *Fleet) unpark(service *cherrykeel.Service) *pool {
-	known, exists := fleet.parked[service.Path]
+// restoreOrNewPool returns the pool that the service had before it was removed, or a new one.
+func (fleet *Fleet) restoreOrNewPool(service *cherrykeel.Service) *pool {
+	known, exists := fleet.removedPools[service.Path]
 	if !exists {
 		return newPool(fleet, service)
 	}
-	delete(fleet.parked, service.Path)
+	delete(fleet.removedPools, service.Path)
 	return known
 }
 
 func newPool(fleet *Fleet, service *cherrykeel.Service) *pool {
 	return &pool{
-		fleet:     fleet,
-		service:   service,
-		upstreams: map[string]*upstream{},
-		queue:     admit.NewQueue(1, 0),
-		budget:    retry.NewBudget(),
-		counter:   demand.NewCounter(service.Partitions),
-		view:      views.New(fleet.boot, service.Path, service.Partitions),
-		counted:   fleet.clock.Now(),
+		fleet:        fleet,
+		service:      service,
+		upstreams:    map[string]*upstream{},
+		queue:        admit.NewQueue(1, 0),
+		budget:       retry.NewBudget(),
+		counter:      demand.NewCounter(service.Partitions),
+		view:         views.New(fleet.incarnation, service.Path, service.Partitions),
+		countedSince: fleet.clock.Now(),
 	}
 }
 
@@ -137,7 +137,7 @@
 		pool.view.ClearGrant(service.Partitions)
 	}
 	pool.service = service
-	pool.hosts = hosts
+	pool.hostCount = hosts
 	listed := map[string]bool{}
 	for _, server := range service.Upstreams {
 		listed[server.Name] = true
@@ -147,14 +147,14 @@
 			pool.upstreams[server.Name] = known
 		}
 		known.server = server
-		pool.fleet.limit(server.Address, max(service.Slots, service.Connections/max(1, hosts)))
+		pool.fleet.setConnLimit(server.Address, max(service.Slots, service.Connections/max(1, hosts)))
 	}
 	for name := range pool.upstreams {
 		if !listed[name] {
 			delete(pool.upstreams, name)
 		}
 	}
-	pool.resize(now)
+	pool.resizeQueues(now)
 }
 
 func (fleet *Fleet) pool(service string) *pool {
@@ -180,20 +180,20 @@
 
 func (pool *pool) demand(partitionOf func(string) int) cherrykeel.Demand {
 	now := pool.fleet.clock.Now()
-	seconds := now.Sub(pool.counted).Seconds()
-	pool.counted = now
+	seconds := now.Sub(pool.countedSince).Seconds()
+	pool.countedSince = now
 	demand := pool.counter.Report(partitionOf)
 	for partition := range demand.Partitions {
-		demand.Partitions[partition] = round(demand.Partitions[partition] / seconds)
+		demand.Partitions[partition] = roundToTenth(demand.Partitions[partition] / seconds)
 	}
 	for key := range demand.HotKeys {
-		demand.HotKeys[key] = round(demand.HotKeys[key] / seconds)
+		demand.HotKeys[key] = roundToTenth(demand.HotKeys[key] / seconds)
 	}
 	return demand
 }
 
-// round keeps one decimal, so that reports stay short.
-func round(load float64) float64 {
+// roundToTenth keeps one decimal, so that reports stay short.
+func roundToTenth(load float64) float64 {
 	return math.Round(load*10) / 10
 }
 
@@ -219,7 +219,7 @@
 }
 
 // GrantOrQueryView passes a keeper's grant, or question, to this host's view of a service.
-func (fleet *Fleet) GrantOrQueryView(ask bool, grant cherrykeel.Grant) (cherrykeel.Holding, bool) {
+func (fleet *Fleet) GrantOrQueryView(query bool, grant cherrykeel.Grant) (cherrykeel.Holding, bool) {
 	pool := fleet.pool(grant.Service)
 	if pool == nil {
 		return cherrykeel.Holding{}, false
@@ -227,7 +227,7 @@
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	now := pool.fleet.clock.Now()
-	if ask {
+	if query {
 		return pool.view.Holding(now), true
 	}
 	return pool.view.ApplyGrant(grant, now), true
@@ -236,12 +236,12 @@
 // choose returns the upstream that a request without a key goes to, or nil. If this host's
 // traffic shows all of them as failing, it passes over that: to try one is better than to refuse.
 // The one that was tried last is passed over while there are others.
-func (pool *pool) choose(now cherrykeel.Instant, tried string) *upstream {
-	choices := pool.choices(now, func(upstream *upstream) bool {
-		return upstream.health.IsUsable(now) && upstream.server.Name != tried
+func (pool *pool) choose(now cherrykeel.Instant, previous string) *upstream {
+	choices := pool.eligibleChoices(now, func(upstream *upstream) bool {
+		return upstream.health.IsUsable(now) && upstream.server.Name != previous
 	})
 	if len(choices) == 0 {
-		choices = pool.choices(now, func(upstream *upstream) bool { return !upstream.health.IsDraining(now) })
+		choices = pool.eligibleChoices(now, func(upstream *upstream) bool { return !upstream.health.IsDraining(now) })
 	}
 	index := pool.fleet.picker.Pick(pool.fleet.zone, choices, rand.Float64())
 	if index < 0 {
@@ -250,7 +250,7 @@
 	return pool.upstreams[choices[index].Name]
 }
 
-func (pool *pool) choices(now cherrykeel.Instant, usable func(upstream *upstream) bool) []cherrykeel.Choice {
+func (pool *pool) eligibleChoices(now cherrykeel.Instant, usable func(upstream *upstream) bool) []cherrykeel.Choice {
 	choices := make([]cherrykeel.Choice, 0, len(pool.upstreams))
 	for _, server := range pool.service.Upstreams {
 		upstream := pool.upstreams[server.Name]
@@ -261,8 +261,8 @@
 			Name:         server.Name,
 			Zone:         server.Zone,
 			InFlight:     upstream.inFlight,
-			Limit:        pool.limit(upstream, now),
-			ReportedLoad: upstream.reported,
+			Limit:        pool.slotLimit(upstream, now),
+			ReportedLoad: upstream.reportedLoad,
 			Weight:       upstream.health.Weight(now),
 		})
 	}
--- a/edge/forward.go
+++ b/edge/forward.go
@@ -19,8 +19,8 @@
 	"cherrykeel/retry"
 )
 
-// statusGone is written for callers that went away; nobody reads it but the log.
-const statusGone = 499
+// statusCallerGone is written for callers that went away; nobody reads it but the log.
+const statusCallerGone = 499
 
 type forward struct {
 	fleet  *Fleet
@@ -42,38 +42,38 @@
 	if pool == nil {
 		return cherrykeel.Refuse(http.StatusNotFound, "unknown-service", "the service has just been removed")
 	}
-	left := exchange.Deadline.Sub(forward.clock.Now())
-	ctx, cancel := context.WithTimeout(exchange.Request.Context(), left)
+	remaining := exchange.Deadline.Sub(forward.clock.Now())
+	ctx, cancel := context.WithTimeout(exchange.Request.Context(), remaining)
 	defer cancel()
-	pool.arrived(exchange)
-	listed := forward.denied.NewRequest(partsOf(exchange))
+	pool.recordArrival(exchange)
+	tracked := forward.denied.NewRequest(requestParts(exchange))
 	mayHaveRun := false
-	tried := ""
+	previous := ""
 	for number := 1; ; number++ {
-		result, failure := forward.admitAndAttempt(ctx, pool, exchange, listed, number, tried)
-		tried = result.tried
+		result, failure := forward.admitAndAttempt(ctx, pool, exchange, tracked, number, previous)
+		previous = result.upstreamName
 		if failure != nil {
 			return retry.FinalFailure(failure, mayHaveRun)
 		}
-		mayHaveRun = mayHaveRun || result.ending.Evidence == retry.Uncertain
-		situation := forward.situation(pool, exchange, number)
-		situation.Suspected = result.unanswered && listed.IsSuspected()
-		verdict := retry.Decide(result.ending, situation)
-		if verdict.Forward {
-			return forward.pass(exchange, result)
+		mayHaveRun = mayHaveRun || result.retryResult.Evidence == retry.Uncertain
+		conditions := forward.retryConditions(pool, exchange, number)
+		conditions.Suspected = result.unanswered && tracked.IsSuspected()
+		decision := retry.Decide(result.retryResult, conditions)
+		if decision.Forward {
+			return forward.writeAnswer(exchange, result)
 		}
-		if !verdict.Retry {
-			return retry.FinalFailure(verdict.Failure, mayHaveRun)
+		if !decision.Retry {
+			return retry.FinalFailure(decision.Failure, mayHaveRun)
 		}
 		if exchange.Request.Context().Err() != nil {
-			return retry.FinalFailure(cherrykeel.Refuse(statusGone, "caller-gone", "the caller went away"), mayHaveRun)
+			return retry.FinalFailure(cherrykeel.Refuse(statusCallerGone, "caller-gone", "the caller went away"), mayHaveRun)
 		}
-		pool.charge(verdict.Cost)
-		pause(ctx, verdict.Wait)
+		pool.chargeRetry(decision.Cost)
+		sleep(ctx, decision.Wait)
 	}
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -82,9 +82,9 @@
 	}
 }
 
-func (forward *forward) situation(pool *pool, exchange *cherrykeel.Exchange, number int) retry.Conditions {
+func (forward *forward) retryConditions(pool *pool, exchange *cherrykeel.Exchange, number int) retry.Conditions {
 	pool.mutex.Lock()
-	left := pool.budget.CanRetry()
+	remaining := pool.budget.CanRetry()
 	pool.mutex.Unlock()
 	return retry.Conditions{
 		Now:        forward.clock.Now(),
@@ -92,12 +92,12 @@
 		Attempt:    number,
 		Repeatable: exchange.Repeatable,
 		Keyed:      exchange.Service.Keyed,
-		BudgetLeft: left,
+		BudgetLeft: remaining,
 		Random:     rand.Float64(),
 	}
 }
 
-func (pool *pool) arrived(exchange *cherrykeel.Exchange) {
+func (pool *pool) recordArrival(exchange *cherrykeel.Exchange) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	pool.budget.Deposit(exchange.Service.RetryShare)
@@ -105,107 +105,107 @@
 	pool.usedAt = exchange.Arrived
 }
 
-func (pool *pool) charge(cost float64) {
+func (pool *pool) chargeRetry(cost float64) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	pool.budget.Withdraw(cost)
 }
 
 // admitAndAttempt waits for a place on an upstream and makes one attempt there.
-func (forward *forward) admitAndAttempt(ctx context.Context, pool *pool, exchange *cherrykeel.Exchange, listed *deny.Request, number int, tried string) (result, *cherrykeel.Failure) {
-	place, failure := forward.admit(ctx, pool, exchange, listed, tried)
+func (forward *forward) admitAndAttempt(ctx context.Context, pool *pool, exchange *cherrykeel.Exchange, tracked *deny.Request, number int, previous string) (result, *cherrykeel.Failure) {
+	slot, failure := forward.admit(ctx, pool, exchange, tracked, previous)
 	if failure != nil {
 		return result{}, failure
 	}
-	if place.upstream == nil {
-		ending := retry.Result{Evidence: retry.Refused, Refusal: retry.RefusedNotOwner, Detail: "no upstream can take the request now"}
-		return result{ending: ending}, nil
+	if slot.upstream == nil {
+		retryResult := retry.Result{Evidence: retry.Refused, Refusal: retry.RefusedNotOwner, Detail: "no upstream can take the request now"}
+		return result{retryResult: retryResult}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, place.deadline.Sub(place.begun))
-	result := forward.attempt(ctx, exchange, place, number)
-	result.tried = place.upstream.server.Name
+	ctx, cancel := context.WithTimeout(ctx, slot.deadline.Sub(slot.acquiredAt))
+	result := forward.attempt(ctx, exchange, slot, number)
+	result.upstreamName = slot.upstream.server.Name
 	if result.answer == nil {
-		forward.tellOfUpstream(place, exchange, listed, result)
+		forward.recordForDenial(slot, exchange, tracked, result)
 		cancel()
-		place.leave(result.finished)
+		slot.release(result.observed)
 		return result, nil
 	}
-	result.streamed = func(err error) {
-		result.own = result.answer.IsComplete()
+	result.onStreamed = func(err error) {
+		result.ownAnswer = result.answer.IsComplete()
 		result.unanswered = err != nil && ctx.Err() == nil
-		result.reset = errors.Is(err, conns.ErrReset)
-		forward.tellOfUpstream(place, exchange, listed, result)
+		result.connectionReset = errors.Is(err, conns.ErrReset)
+		forward.recordForDenial(slot, exchange, tracked, result)
 	}
 	// A large answer keeps its place until it has been passed on; pass closes it.
 	result.answer.OnClose(func() {
 		cancel()
-		result.finished.abandoned = !result.answer.IsComplete()
-		place.leave(result.finished)
+		result.observed.abandoned = !result.answer.IsComplete()
+		slot.release(result.observed)
 	})
 	return result, nil
 }
 
-// place is an admitted request's place on an upstream; upstream is nil if there is none after all.
-type place struct {
-	pool     *pool
-	queue    *admit.Queue
-	upstream *upstream
-	clock    cherrykeel.Clock
-	begun    cherrykeel.Instant
+// slot is an admitted request's place on an upstream; upstream is nil if there is none after all.
+type slot struct {
+	pool       *pool
+	queue      *admit.Queue
+	upstream   *upstream
+	clock      cherrykeel.Clock
+	acquiredAt cherrykeel.Instant
 	// deadline is the exchange's, or an earlier one that the host's lease asks for.
 	deadline cherrykeel.Instant
-	// viewed is the request that the host's view counts, or nil.
-	viewed *cherrykeel.Exchange
+	// countedInView is the request that the host's view counts, or nil.
+	countedInView *cherrykeel.Exchange
 }
 
-// ready reports whether the request may be written now, and tells the upstream what time is left. Where it checks
+// readyToSend reports whether the request may be written now, and tells the upstream what time is left. Where it checks
 // no fences, a host that was paused since it chose the upstream must not write after its lease has ended.
-func (place *place) ready(exchange *cherrykeel.Exchange, request *http.Request) bool {
-	now := place.clock.Now()
-	left := place.deadline.Sub(now)
-	request.Header.Set(cherrykeel.HeaderTimeout, strconv.FormatInt(left.Milliseconds(), 10))
-	if place.viewed == nil {
-		return left > 0
-	}
-	place.pool.mutex.Lock()
-	defer place.pool.mutex.Unlock()
-	owner, allowed := place.pool.view.Owner(exchange.Partition, exchange.Key, now)
-	return left > 0 && allowed && owner == place.upstream.server.Name
+func (slot *slot) readyToSend(exchange *cherrykeel.Exchange, request *http.Request) bool {
+	now := slot.clock.Now()
+	remaining := slot.deadline.Sub(now)
+	request.Header.Set(cherrykeel.HeaderTimeout, strconv.FormatInt(remaining.Milliseconds(), 10))
+	if slot.countedInView == nil {
+		return remaining > 0
+	}
+	slot.pool.mutex.Lock()
+	defer slot.pool.mutex.Unlock()
+	owner, allowed := slot.pool.view.Owner(exchange.Partition, exchange.Key, now)
+	return remaining > 0 && allowed && owner == slot.upstream.server.Name
 }
 
-func (place *place) leave(finished finished) {
-	pool := place.pool
+func (slot *slot) release(observed observation) {
+	pool := slot.pool
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	now := place.clock.Now()
-	place.queue.Done(now.Sub(place.begun), now)
-	if place.upstream == nil {
+	now := slot.clock.Now()
+	slot.queue.Done(now.Sub(slot.acquiredAt), now)
+	if slot.upstream == nil {
 		return
 	}
-	place.upstream.inFlight--
-	place.unview(finished.abandoned)
-	pool.note(place.upstream, finished, now)
+	slot.upstream.inFlight--
+	slot.finishInView(observed.abandoned)
+	pool.recordObservation(slot.upstream, observed, now)
 }
 
-// unview ends the count of the host's view, where the upstream checks no fences. An upstream that may not have
+// finishInView ends the count of the host's view, where the upstream checks no fences. An upstream that may not have
 // heard that nobody waits any more, as in a cut of the network, works on until the deadline that it was told.
-func (place *place) unview(abandoned bool) {
-	if place.viewed == nil {
+func (slot *slot) finishInView(abandoned bool) {
+	if slot.countedInView == nil {
 		return
 	}
-	view, upstream := place.pool.view, place.upstream.server.Name
+	view, upstream := slot.pool.view, slot.upstream.server.Name
 	if !abandoned {
-		view.FinishRequest(upstream, place.viewed.Partition, place.viewed.Key)
+		view.FinishRequest(upstream, slot.countedInView.Partition, slot.countedInView.Key)
 		return
 	}
-	told := place.deadline.Sub(place.begun)
-	view.AbandonRequest(upstream, place.viewed.Partition, place.viewed.Key, place.begun.Add(lease.MaxProcessingTime(told)))
+	timeout := slot.deadline.Sub(slot.acquiredAt)
+	view.AbandonRequest(upstream, slot.countedInView.Partition, slot.countedInView.Key, slot.acquiredAt.Add(lease.MaxProcessingTime(timeout)))
 }
 
-// pass writes the answer to the caller.
-func (forward *forward) pass(exchange *cherrykeel.Exchange, result result) *cherrykeel.Failure {
+// writeAnswer writes the answer to the caller.
+func (forward *forward) writeAnswer(exchange *cherrykeel.Exchange, result result) *cherrykeel.Failure {
 	header := exchange.Writer.Header()
-	dropHopHeaders(result.header)
+	removeHopByHopHeaders(result.header)
 	for name, values := range result.header {
 		header[name] = values
 	}
@@ -225,15 +225,15 @@
 		return nil
 	}
 	defer result.answer.Close()
-	forward.stream(exchange, result)
+	forward.streamRemainder(exchange, result)
 	return nil
 }
 
-// stream passes on what has not been read yet; when that breaks off, the caller's connection
+// streamRemainder passes on what has not been read yet; when that breaks off, the caller's connection
 // is broken too, since nothing else can tell the caller that the answer is not whole.
-func (forward *forward) stream(exchange *cherrykeel.Exchange, result result) {
+func (forward *forward) streamRemainder(exchange *cherrykeel.Exchange, result result) {
 	err := copyAnswer(exchange.Writer, result.answer)
-	result.streamed(err)
+	result.onStreamed(err)
 	if err == nil {
 		return
 	}
@@ -242,7 +242,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (forward *forward) foreign(exchange *cherrykeel.Exchange, echoed string) {
+func (forward *forward) logForeignAnswer(exchange *cherrykeel.Exchange, echoed string) {
 	events.Log(forward.logger, events.AnswerMismatched,
 		zap.String("Request", exchange.ID),
 		zap.String("Answered", echoed),
--- a/edge/identify.go
+++ b/edge/identify.go
@@ -68,14 +68,14 @@
 	exchange.Repeatable = route.IsRepeatable(service.Idempotent, request.Method)
 	exchange.IdempotencyKey = request.Header.Get(cherrykeel.HeaderIdempotencyKey)
 	exchange.Priority = route.Priority(service.Priority, request.Header.Get(cherrykeel.HeaderPriority))
-	exchange.Deadline = exchange.Arrived.Add(timeout(exchange))
-	if failure := findKey(exchange); failure != nil {
+	exchange.Deadline = exchange.Arrived.Add(requestTimeout(exchange))
+	if failure := setKey(exchange); failure != nil {
 		return failure
 	}
 	return next(exchange)
 }
 
-func findKey(exchange *cherrykeel.Exchange) *cherrykeel.Failure {
+func setKey(exchange *cherrykeel.Exchange) *cherrykeel.Failure {
 	service := exchange.Service
 	if service.KeyFrom == "" {
 		return nil
--- a/edge/meter.go
+++ b/edge/meter.go
@@ -22,15 +22,15 @@
 }
 
 type meter struct {
-	scope tally.Scope
-	clock cherrykeel.Clock
-	mutex sync.RWMutex
-	known map[string]*serviceMeter
+	scope    tally.Scope
+	clock    cherrykeel.Clock
+	mutex    sync.RWMutex
+	services map[string]*serviceMeter
 }
 
 // NewMeter returns the stage that counts and times requests by service.
 func NewMeter(scope tally.Scope, clock cherrykeel.Clock) cherrykeel.Stage {
-	return &meter{scope: scope, clock: clock, known: map[string]*serviceMeter{}}
+	return &meter{scope: scope, clock: clock, services: map[string]*serviceMeter{}}
 }
 
 // Serve implements cherrykeel.Stage.
@@ -40,7 +40,7 @@
 	if exchange.Service != nil {
 		path = exchange.Service.Path
 	}
-	service := meter.service(path)
+	service := meter.meterOf(path)
 	service.requests.Inc(1)
 	service.latency.RecordDuration(meter.clock.Now().Sub(exchange.Arrived))
 	if failure != nil {
@@ -49,9 +49,9 @@
 	return failure
 }
 
-func (meter *meter) service(path string) *serviceMeter {
+func (meter *meter) meterOf(path string) *serviceMeter {
 	meter.mutex.RLock()
-	known, exists := meter.known[path]
+	known, exists := meter.services[path]
 	meter.mutex.RUnlock()
 	if exists {
 		return known
@@ -67,6 +67,6 @@
 			cherrykeel.OutcomeUnknown: scope.Tagged(map[string]string{"outcome": "unknown"}).Counter("failures"),
 		},
 	}
-	meter.known[path] = known
+	meter.services[path] = known
 	return known
 }
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -39,7 +39,7 @@
 		clock.advance(time.Hour)
 		fleet := edge.NewFleet("zone", boot, clock, picker.NewLeastLoaded(), clock, func(string, int) {})
 		fleet.Update(map[string]*cherrykeel.Service{service: {
-			Path: service, Slots: 4, QueueLength: 4, Timeout: timeout,
+			Path: service, Slots: 4, QueueLength: 4, Timeout: requestTimeout,
 			Upstreams: []cherrykeel.UpstreamServer{{Name: "a", Address: failing, Zone: "zone"}, {Name: "b", Address: "b:1", Zone: "zone"}},
 		}}, 1)
 		asked := 0
@@ -60,9 +60,9 @@
 			})
 			exchange := &cherrykeel.Exchange{
 				ID: "request", Request: httptest.NewRequest(http.MethodPost, "/", nil).WithContext(ctx), Writer: httptest.NewRecorder(),
-				Service:  &cherrykeel.Service{Path: service, Timeout: timeout},
+				Service:  &cherrykeel.Service{Path: service, Timeout: requestTimeout},
 				Arrived:  clock.Now(),
-				Deadline: clock.Now().Add(timeout),
+				Deadline: clock.Now().Add(requestTimeout),
 			}
 			denials := deny.New(deny.Settings{Clock: clock, Logger: zap.NewNop()})
 			Expect(edge.NewForward(fleet, sender, denials, clock, zap.NewNop()).Serve(exchange, nil)).NotTo(BeNil())
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -7,24 +7,24 @@
 	"cherrykeel/admit"
 )
 
-// activeFor is how long after its last request a service's slots are still asked for.
-const activeFor = 10 * time.Second
+// slotRequestWindow is how long after its last request a service's slots are still asked for.
+const slotRequestWindow = 10 * time.Second
 
-// limit is how many requests this host may have on an upstream now: what the steward gave it,
+// slotLimit is how many requests this host may have on an upstream now: what the steward gave it,
 // or, while no steward answers, the even share, which may exceed the slots where hosts outnumber them.
-func (pool *pool) limit(upstream *upstream, now cherrykeel.Instant) int {
+func (pool *pool) slotLimit(upstream *upstream, now cherrykeel.Instant) int {
 	if now < upstream.grantedUntil {
-		return upstream.granted
+		return upstream.grantedSlots
 	}
-	return max(1, pool.service.Slots/max(1, pool.hosts))
+	return max(1, pool.service.Slots/max(1, pool.hostCount))
 }
 
-// resize brings the queues in step with the limits.
-func (pool *pool) resize(now cherrykeel.Instant) {
+// resizeQueues brings the queues in step with the limits.
+func (pool *pool) resizeQueues(now cherrykeel.Instant) {
 	total := 0
 	length := pool.service.QueueLength
 	for name, upstream := range pool.upstreams {
-		limit := pool.limit(upstream, now)
+		limit := pool.slotLimit(upstream, now)
 		upstream.queue.Resize(limit, length, now)
 		if !pool.fleet.owners.IsDraining(pool.service, name) {
 			total += limit
@@ -38,49 +38,49 @@
 	fleet.mutex.RLock()
 	defer fleet.mutex.RUnlock()
 	now := fleet.clock.Now()
-	wants := map[string]map[string]admit.SlotRequest{}
+	requests := map[string]map[string]admit.SlotRequest{}
 	for path, pool := range fleet.pools {
 		pool.mutex.Lock()
-		if pool.usedAt != 0 && now.Sub(pool.usedAt) < activeFor {
-			wants[path] = pool.wants()
+		if pool.usedAt != 0 && now.Sub(pool.usedAt) < slotRequestWindow {
+			requests[path] = pool.slotRequests()
 		}
 		pool.mutex.Unlock()
 	}
-	return wants
+	return requests
 }
 
-func (pool *pool) wants() map[string]admit.SlotRequest {
-	wants := map[string]admit.SlotRequest{}
+func (pool *pool) slotRequests() map[string]admit.SlotRequest {
+	requests := map[string]admit.SlotRequest{}
 	spread := (pool.queue.Waiting() + len(pool.upstreams) - 1) / max(1, len(pool.upstreams))
 	for name, upstream := range pool.upstreams {
-		wants[name] = admit.SlotRequest{InFlight: upstream.inFlight, Waiting: upstream.queue.Waiting()}
+		requests[name] = admit.SlotRequest{InFlight: upstream.inFlight, Waiting: upstream.queue.Waiting()}
 		if !pool.service.Keyed {
-			wants[name] = admit.SlotRequest{InFlight: upstream.inFlight, Waiting: spread}
+			requests[name] = admit.SlotRequest{InFlight: upstream.inFlight, Waiting: spread}
 		}
 	}
-	return wants
+	return requests
 }
 
 // ApplySlotGrants takes in the slots that a steward gave this host until an instant.
 func (fleet *Fleet) ApplySlotGrants(granted map[string]map[string]int, until cherrykeel.Instant) {
-	for path, parts := range granted {
+	for path, counts := range granted {
 		pool := fleet.pool(path)
 		if pool != nil {
-			pool.grant(parts, until)
+			pool.applySlotGrants(counts, until)
 		}
 	}
 }
 
-func (pool *pool) grant(parts map[string]int, until cherrykeel.Instant) {
+func (pool *pool) applySlotGrants(counts map[string]int, until cherrykeel.Instant) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	for name, count := range parts {
+	for name, count := range counts {
 		if upstream := pool.upstreams[name]; upstream != nil {
-			upstream.granted = count
+			upstream.grantedSlots = count
 			upstream.grantedUntil = until
 		}
 	}
-	pool.resize(pool.fleet.clock.Now())
+	pool.resizeQueues(pool.fleet.clock.Now())
 }
 
 // ResizeQueues brings the queues of all services in step with grants that have ended.
@@ -89,7 +89,7 @@
 	defer fleet.mutex.RUnlock()
 	for _, pool := range fleet.pools {
 		pool.mutex.Lock()
-		pool.resize(fleet.clock.Now())
+		pool.resizeQueues(fleet.clock.Now())
 		pool.mutex.Unlock()
 	}
 }
