--- a/edge/admission.go
+++ b/edge/admission.go
@@ -16,7 +16,9 @@
 	minRetryAfter = time.Second
 )
 
-// admit waits until the request may go to an upstream, or refuses it.
+// admit waits until the request gets a slot on an upstream, and fails if it is denied, its queue is full or its
+// deadline is too near. tracked is the request as the deny list tracks it. previous names the upstream of the previous
+// attempt, which is avoided while there are others.
 func (forward *forward) admit(ctx context.Context, pool *pool, exchange *cherrykeel.Exchange, tracked *deny.Request, previous string) (*slot, *cherrykeel.Failure) {
 	denials := forward.denied.DenialAdded()
 	if failure := denialFailure(tracked); failure != nil {
@@ -55,7 +57,7 @@
 	return forward.acquireSlot(pool, queue, exchange, previous), nil
 }
 
-// waiter is a request in a queue.
+// waiter is a request that waits in an admission queue. notified receives whether it was admitted.
 type waiter struct {
 	pool     *pool
 	queue    *admit.Queue
@@ -70,7 +72,8 @@
 	return failure
 }
 
-// awaitTurn waits for the request's turn, unless its time passes or it becomes known to end upstreams.
+// awaitTurn waits until the request is admitted. It fails if the queue sheds the request, its deadline passes or it
+// becomes denied meanwhile.
 func (forward *forward) awaitTurn(ctx context.Context, waiter *waiter, tracked *deny.Request, denials <-chan struct{}) *cherrykeel.Failure {
 	for {
 		select {
@@ -93,7 +96,8 @@
 	}
 }
 
-// confirmAdmission looks once more: the request's turn may have come together with what shows that it is not to be sent.
+// confirmAdmission checks once more whether the request is denied: select may take the admission although a denial
+// arrived at the same time.
 func (waiter *waiter) confirmAdmission(tracked *deny.Request) *cherrykeel.Failure {
 	failure := denialFailure(tracked)
 	if failure != nil {
@@ -102,7 +106,8 @@
 	return failure
 }
 
-// cancel takes the request out of its queue; admitted in the same moment, it leaves the place to the next one.
+// cancel removes the request from its queue. If it was admitted at the same moment, its slot is released for the next
+// request.
 func (waiter *waiter) cancel() {
 	waiter.pool.mutex.Lock()
 	canceled := waiter.queue.Cancel(waiter.ticket)
@@ -118,7 +123,8 @@
 	waiter.queue.Done(0, waiter.pool.fleet.clock.Now())
 }
 
-// queueFor returns the queue that the request waits in, or nil if a keyed request has no owner to wait for.
+// queueFor returns the queue that the request waits in: the owner's queue for a keyed request, else the service's. It
+// is nil if the key has no owner.
 func (pool *pool) queueFor(exchange *cherrykeel.Exchange, now cherrykeel.Instant) *admit.Queue {
 	if !exchange.Service.Keyed {
 		return pool.queue
@@ -130,7 +136,8 @@
 	return owner.queue
 }
 
-// owner returns the upstream that owns the request's key as far as this host knows, or nil.
+// owner returns the upstream that owns the request's key in this host's placement, or, where the upstreams check no
+// fences, in this host's lease. It is nil if there is none.
 func (pool *pool) owner(exchange *cherrykeel.Exchange, now cherrykeel.Instant) *upstream {
 	if pool.service.ChecksFences {
 		return pool.upstreams[pool.fleet.owners.Owner(pool.service.Path, exchange.Partition, exchange.Key)]
@@ -142,7 +149,8 @@
 	return pool.upstreams[name]
 }
 
-// acquireSlot gives an admitted request its upstream; the owner may have changed while it waited.
+// acquireSlot assigns an upstream to an admitted request. The slot has no upstream if the key's owner changed while the
+// request waited in the earlier owner's queue, or if no upstream is eligible.
 func (forward *forward) acquireSlot(pool *pool, queue *admit.Queue, exchange *cherrykeel.Exchange, previous string) *slot {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -168,7 +176,8 @@
 	return slot
 }
 
-// copyAnswer passes the rest of a large answer on and reports the upstream's failures only.
+// copyAnswer copies what is left of a large answer to the caller. It returns the upstream's read errors only: a failed
+// write to the caller says nothing about the upstream.
 func copyAnswer(writer io.Writer, answer io.Reader) error {
 	buffer := make([]byte, 32<<10)
 	for {
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -17,40 +17,43 @@
 	"cherrykeel/retry"
 )
 
-// Sender carries one attempt to an upstream; conns.Pool is the one in use.
+// Sender sends one attempt to an upstream; conns.Pool implements it.
 type Sender interface {
-	// SendIfReady writes a request, if it is ready when there is a connection, and reads the head of its answer.
+	// SendIfReady writes a request, unless ready reports false once there is a connection, and reads the answer's head.
 	SendIfReady(ctx context.Context, address string, request *http.Request, ready func() bool) (*conns.Answer, conns.Progress, error)
 }
 
-// maxBufferedAnswer is the largest answer that is read to its end before any of it is passed on,
-// so that the caller of a broken answer is told what is known instead of being cut off.
+// maxBufferedAnswer is the largest answer, in bytes, that is read to its end before any of it is forwarded. If such an
+// answer breaks off, the caller gets a problem report instead of a truncated answer.
 const maxBufferedAnswer = 256 << 10
 
-// result is what an attempt brought.
+// result is the result of one attempt.
 type result struct {
 	retryResult retry.Result
-	// answer is open when the answer is too large to be held.
+	// answer is set, and still open, if the answer is larger than maxBufferedAnswer; body then holds its beginning.
 	answer   *conns.Answer
 	status   int
 	header   http.Header
 	body     []byte
 	observed observation
-	// upstreamName names the upstream.
+	// upstreamName names the upstream that was tried.
 	upstreamName string
-	// unanswered says that the connection ended under the request, refused that none was to be had since nobody
-	// listens at the upstream's address, own that the answer is to this request.
+	// unanswered: the connection ended before a complete answer, and this host did not close it.
+	// connectionRefused: no connection could be made, since nothing listens at the upstream's address.
+	// ownAnswer: the upstream sent an answer to this request that did not break off.
 	unanswered        bool
 	connectionRefused bool
 	ownAnswer         bool
-	// connectionReset says that the connection was reset, not closed, and abandoned that this host closed it before an answer.
+	// connectionReset: the connection was reset, not closed.
+	// abandoned: this host closed the connection before an answer.
 	connectionReset bool
 	abandoned       bool
-	// onStreamed is told how the rest of an answer ended that is too large to be held.
+	// onStreamed is called when an answer that is larger than maxBufferedAnswer has been streamed, with the upstream's
+	// read error or nil.
 	onStreamed func(err error)
 }
 
-// hopByHopHeaders belong to one connection and are not passed on.
+// hopByHopHeaders belong to one connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -67,7 +70,8 @@
 	}
 }
 
-// outgoingRequest returns the request as the upstream gets it, but for the time that is left.
+// outgoingRequest returns the request that is sent to the upstream. The header with the remaining time is added later,
+// by slot.readyToSend.
 func outgoingRequest(exchange *cherrykeel.Exchange, attemptID string) *http.Request {
 	incoming := exchange.Request
 	header := incoming.Header.Clone()
@@ -108,7 +112,8 @@
 	var result result
 	if err != nil {
 		result = resultOfError(progress, err)
-		// An upstream that ended the connection itself works on nothing; one that this host left may.
+		// An upstream that closed the connection itself has stopped working on the request. If this host closed it, the
+		// upstream may still work on the request.
 		result.observed.abandoned = progress == conns.AnswerBegun || progress != conns.NotSent && ctx.Err() != nil
 		result.unanswered = progress.IsUnanswered() && ctx.Err() == nil
 		result.abandoned = progress.IsUnanswered() && ctx.Err() != nil
@@ -127,22 +132,22 @@
 	if progress == conns.NotSent {
 		retryResult.Evidence = retry.NeverSent
 	}
-	// A host that has used up its own connections, or its time, has learned nothing about the upstream.
+	// Running out of this host's own connections or time says nothing about the upstream's health.
 	localCause := errors.Is(err, conns.ErrConnLimit) || errors.Is(err, conns.ErrNotReady)
 	return result{retryResult: retryResult, observed: observation{reached: localCause, reportedLoad: -1}}
 }
 
-// readAnswer judges the head of an answer and reads its body, unless that is too large to hold.
+// readAnswer checks that an answer belongs to the request and reads its body, up to maxBufferedAnswer.
 func (forward *forward) readAnswer(ctx context.Context, exchange *cherrykeel.Exchange, answer *conns.Answer, attemptID string) result {
 	result := result{status: answer.Status, header: answer.Header}
 	result.observed = observation{reached: true, reportedLoad: reportedLoad(answer.Header)}
 	echoed := answer.Header.Get(cherrykeel.HeaderRequest)
 	if echoed != attemptID && (echoed != "" || exchange.Service.RequireAnswer) {
-		// The answer belongs to another request, or nothing shows that it does not;
-		// closing the connection unread keeps it from answering anybody.
+		// The answer belongs to another request, or does not show to which one. Closing the connection unread keeps the
+		// answer from reaching any caller.
 		answer.Close()
 		forward.logForeignAnswer(exchange, echoed)
-		result.retryResult = retry.Result{Evidence: retry.Uncertain, Detail: "the upstream's answer was not to this request"}
+		result.retryResult = retry.Result{Evidence: retry.Uncertain, Detail: "the upstream's answer does not belong to this request"}
 		result.observed.abandoned = true
 		return result
 	}
@@ -196,16 +201,16 @@
 	return load
 }
 
-// observation is what an attempt showed of its upstream.
+// observation is what an attempt showed about its upstream.
 type observation struct {
 	duration     time.Duration
 	reached      bool
 	draining     bool
 	shed         bool
 	reportedLoad float64
-	// callerGone says that the caller went away, which shows nothing of the upstream.
+	// callerGone: the caller went away, which says nothing about the upstream.
 	callerGone bool
-	// abandoned says that the upstream may still work on the request.
+	// abandoned: the upstream may still work on the request.
 	abandoned bool
 }
 
--- a/edge/body.go
+++ b/edge/body.go
@@ -11,7 +11,7 @@
 	"cherrykeel"
 )
 
-// requestTimeout is the service's, or the caller's if that is shorter.
+// requestTimeout returns the service's timeout, or the caller's if that is shorter.
 func requestTimeout(exchange *cherrykeel.Exchange) time.Duration {
 	limit := exchange.Service.Timeout
 	asked, err := strconv.Atoi(exchange.Request.Header.Get(cherrykeel.HeaderTimeout))
@@ -25,8 +25,8 @@
 	clock cherrykeel.Clock
 }
 
-// NewBody returns the stage that reads the whole body, so that a slow sender holds no
-// upstream's slot and a request that was not sent can be sent again.
+// NewBody returns the stage that reads the whole request body before forwarding. A caller that sends slowly then
+// occupies no upstream slot, and a failed attempt can be repeated.
 func NewBody(clock cherrykeel.Clock) cherrykeel.Stage {
 	return &body{clock: clock}
 }
@@ -53,7 +53,7 @@
 func bodyFailure(exchange *cherrykeel.Exchange, err error) *cherrykeel.Failure {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return cherrykeel.Refuse(http.StatusRequestEntityTooLarge, "body-too-large", "the body is larger than the %d bytes that %s takes", exchange.Service.MaxBodyBytes, exchange.Service.Path)
+		return cherrykeel.Refuse(http.StatusRequestEntityTooLarge, "body-too-large", "the body exceeds the %d bytes that %s allows", exchange.Service.MaxBodyBytes, exchange.Service.Path)
 	}
 	failure := cherrykeel.Refuse(http.StatusBadRequest, "body-broken", "the body could not be read: %v", err)
 	failure.Cause = err
--- a/edge/denied.go
+++ b/edge/denied.go
@@ -8,23 +8,23 @@
 	"cherrykeel/poison"
 )
 
-// requestParts are what makes a request the same one when it is sent again.
+// requestParts returns the parts of a request that identify its repeats.
 func requestParts(exchange *cherrykeel.Exchange) poison.RequestParts {
 	return deny.RequestPartsOf(exchange.Request, exchange.Request.URL.RequestURI(), exchange.Key, exchange.Body)
 }
 
-// denialFailure refuses a request under which upstreams have ended.
+// denialFailure returns the failure of a denied request, or nil if the request is not denied.
 func denialFailure(tracked *deny.Request) *cherrykeel.Failure {
 	retryAfter, refused := tracked.Denied()
 	if !refused {
 		return nil
 	}
-	failure := cherrykeel.Refuse(statusBusy, "ends-upstreams", "upstreams have ended under this request")
+	failure := cherrykeel.Refuse(statusBusy, "ends-upstreams", "upstreams crashed while they ran this request")
 	failure.RetryAfter = retryAfter
 	return failure
 }
 
-// recordForDenial says what an attempt showed of the upstream's process, and of the request.
+// recordForDenial passes to the deny list what an attempt showed about the upstream's process and about the request.
 func (forward *forward) recordForDenial(slot *slot, exchange *cherrykeel.Exchange, tracked *deny.Request, result result) {
 	server := slot.upstream.server
 	incarnation := poison.Incarnation{Upstream: exchange.Service.Path + " " + server.Name}
@@ -50,8 +50,9 @@
 	return result.ownAnswer && result.retryResult.Refusal == ""
 }
 
-// hasServerError reports whether an upstream answered a request that it ran with a failure. It may be at work on it still: one
-// that tells that the time is up ends some milliseconds later, and the request would not have been there.
+// hasServerError reports whether the upstream ran the request and answered with a server error. Such an attempt is
+// recorded as abandoned, since the upstream may still work on it: an upstream that reports that the request's time is up
+// may crash some milliseconds later, and the request would otherwise not count as running at the crash.
 func (result *result) hasServerError() bool {
 	return result.hasRun() && result.status >= http.StatusInternalServerError
 }
--- a/edge/fleet.go
+++ b/edge/fleet.go
@@ -13,15 +13,15 @@
 	"cherrykeel/views"
 )
 
-// Owners tells who owns a key of a service whose upstreams check fences.
+// Owners returns the owners of the keys of services whose upstreams check fences, and which upstreams are draining.
 type Owners interface {
-	// Owner returns the upstream that should hold the key now, or an empty string.
+	// Owner returns the name of the upstream that should own the key now, or an empty string.
 	Owner(service string, partition int, key string) string
-	// IsDraining reports whether an upstream must get no new work.
+	// IsDraining reports whether an upstream must get no new requests.
 	IsDraining(service *cherrykeel.Service, upstream string) bool
 }
 
-// Fleet holds what this host knows of the upstreams of every service.
+// Fleet holds this host's state of the upstreams of every service. It is safe for concurrent use.
 type Fleet struct {
 	zone        string
 	incarnation string
@@ -30,26 +30,27 @@
 	owners      Owners
 	mutex       sync.RWMutex
 	pools       map[string]*pool
-	// removedPools are the pools of services that were removed. One that is added again goes on with its view: a new
-	// one would say that the host has sent nothing, while upstreams work on what it sent before.
+	// removedPools are the pools of services that were removed from the settings. A service that is added again gets
+	// its pool back: a new view would report no requests in flight while upstreams still run earlier ones.
 	removedPools map[string]*pool
 	setConnLimit func(address string, connections int)
 	slotsNeeded  chan struct{}
 }
 
-// pool is one service's upstreams.
+// pool is the state of one service and its upstreams.
 type pool struct {
 	fleet     *Fleet
 	mutex     sync.Mutex
 	service   *cherrykeel.Service
 	upstreams map[string]*upstream
-	// queue admits to a service without keys as a whole.
-	queue        *admit.Queue
-	budget       *retry.Budget
-	counter      *demand.Counter
-	view         *views.View
+	// queue admits the requests of a service without keys, for all its upstreams.
+	queue   *admit.Queue
+	budget  *retry.Budget
+	counter *demand.Counter
+	view    *views.View
+	// countedSince is when the counter was last reset.
 	countedSince cherrykeel.Instant
-	// usedAt is when a request last came.
+	// usedAt is when the last request arrived.
 	usedAt    cherrykeel.Instant
 	hostCount int
 }
@@ -60,12 +61,14 @@
 	health       *member.Health
 	reportedLoad float64
 	inFlight     int
-	// grantedSlots slots may be used until granted at the steward's word; after that, the host's even share.
+	// grantedSlots is the number of slots that the slot allocator granted until grantedUntil. After that the host uses
+	// its even share.
 	grantedSlots int
 	grantedUntil cherrykeel.Instant
 }
 
-// NewFleet returns a fleet without services; limit is told how many connections an address may have.
+// NewFleet returns a fleet without services. incarnation identifies this start of the host's process; setConnLimit is
+// called with the maximum number of connections to an address.
 func NewFleet(zone, incarnation string, clock cherrykeel.Clock, picker cherrykeel.Picker, owners Owners, setConnLimit func(address string, connections int)) *Fleet {
 	return &Fleet{
 		zone:         zone,
@@ -80,12 +83,12 @@
 	}
 }
 
-// SlotsNeeded tells when a request waits for a slot that this host has not been given.
+// SlotsNeeded returns a channel that receives a value when a request starts to wait for a slot.
 func (fleet *Fleet) SlotsNeeded() chan struct{} {
 	return fleet.slotsNeeded
 }
 
-// Update takes in the services in force and the number of hosts that share the upstreams.
+// Update applies the services in force and the number of hosts that share the upstreams.
 func (fleet *Fleet) Update(services map[string]*cherrykeel.Service, hosts int) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -105,7 +108,7 @@
 	}
 }
 
-// restoreOrNewPool returns the pool that the service had before it was removed, or a new one.
+// restoreOrNewPool returns the pool that the service had before it was removed, or else a new one.
 func (fleet *Fleet) restoreOrNewPool(service *cherrykeel.Service) *pool {
 	known, exists := fleet.removedPools[service.Path]
 	if !exists {
@@ -163,7 +166,7 @@
 	return fleet.pools[service]
 }
 
-// Demands returns the requests a second of each keyed service since the last call.
+// Demands returns the requests per second of each keyed service since the previous call.
 func (fleet *Fleet) Demands(partitionOf func(service *cherrykeel.Service) func(string) int) map[string]cherrykeel.Demand {
 	fleet.mutex.RLock()
 	defer fleet.mutex.RUnlock()
@@ -192,13 +195,13 @@
 	return demand
 }
 
-// roundToTenth keeps one decimal, so that reports stay short.
+// roundToTenth rounds to one decimal, so that reports stay short.
 func roundToTenth(load float64) float64 {
 	return math.Round(load*10) / 10
 }
 
-// UnavailableUpstreams names the upstreams, as service and name, that this host's requests cannot reach,
-// and those that have told it that they take no new work.
+// UnavailableUpstreams returns the upstreams that this host's requests cannot reach, and those that refused requests
+// since they are draining, each as the service's path and the upstream's name, separated by a space.
 func (fleet *Fleet) UnavailableUpstreams() (unreachable, refusing []string) {
 	fleet.mutex.RLock()
 	defer fleet.mutex.RUnlock()
@@ -218,7 +221,8 @@
 	return unreachable, refusing
 }
 
-// GrantOrQueryView passes a keeper's grant, or question, to this host's view of a service.
+// GrantOrQueryView applies a keeper's grant to this host's lease on sending to a service, or, if query is true, only
+// reads it. It returns the resulting holding, and false if the service is unknown.
 func (fleet *Fleet) GrantOrQueryView(query bool, grant cherrykeel.Grant) (cherrykeel.Holding, bool) {
 	pool := fleet.pool(grant.Service)
 	if pool == nil {
@@ -233,9 +237,9 @@
 	return pool.view.ApplyGrant(grant, now), true
 }
 
-// choose returns the upstream that a request without a key goes to, or nil. If this host's
-// traffic shows all of them as failing, it passes over that: to try one is better than to refuse.
-// The one that was tried last is passed over while there are others.
+// choose returns the upstream for a request without a key, or nil. It skips the upstream of the previous attempt and
+// those that fail this host's requests. If that leaves none, it chooses among all that are not draining, since an
+// attempt is better than a refusal.
 func (pool *pool) choose(now cherrykeel.Instant, previous string) *upstream {
 	choices := pool.eligibleChoices(now, func(upstream *upstream) bool {
 		return upstream.health.IsUsable(now) && upstream.server.Name != previous
--- a/edge/forward.go
+++ b/edge/forward.go
@@ -19,7 +19,7 @@
 	"cherrykeel/retry"
 )
 
-// statusCallerGone is written for callers that went away; nobody reads it but the log.
+// statusCallerGone is the status for callers that went away. It is only seen in logs.
 const statusCallerGone = 499
 
 type forward struct {
@@ -30,8 +30,8 @@
 	logger *zap.Logger
 }
 
-// NewForward returns the stage that sends requests to upstreams, but for those that end them, and passes their answers
-// on.
+// NewForward returns the stage that sends requests to upstreams and their answers to the callers. It refuses requests
+// that the deny list denies.
 func NewForward(fleet *Fleet, sender Sender, denied *deny.List, clock cherrykeel.Clock, logger *zap.Logger) cherrykeel.Stage {
 	return &forward{fleet: fleet, sender: sender, denied: denied, clock: clock, logger: logger}
 }
@@ -111,14 +111,14 @@
 	pool.budget.Withdraw(cost)
 }
 
-// admitAndAttempt waits for a place on an upstream and makes one attempt there.
+// admitAndAttempt waits for a slot on an upstream and makes one attempt there.
 func (forward *forward) admitAndAttempt(ctx context.Context, pool *pool, exchange *cherrykeel.Exchange, tracked *deny.Request, number int, previous string) (result, *cherrykeel.Failure) {
 	slot, failure := forward.admit(ctx, pool, exchange, tracked, previous)
 	if failure != nil {
 		return result{}, failure
 	}
 	if slot.upstream == nil {
-		retryResult := retry.Result{Evidence: retry.Refused, Refusal: retry.RefusedNotOwner, Detail: "no upstream can take the request now"}
+		retryResult := retry.Result{Evidence: retry.Refused, Refusal: retry.RefusedNotOwner, Detail: "no upstream can accept the request now"}
 		return result{retryResult: retryResult}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, slot.deadline.Sub(slot.acquiredAt))
@@ -136,7 +136,7 @@
 		result.connectionReset = errors.Is(err, conns.ErrReset)
 		forward.recordForDenial(slot, exchange, tracked, result)
 	}
-	// A large answer keeps its place until it has been passed on; pass closes it.
+	// A large answer keeps its slot until it has been streamed; writeAnswer closes it.
 	result.answer.OnClose(func() {
 		cancel()
 		result.observed.abandoned = !result.answer.IsComplete()
@@ -145,21 +145,21 @@
 	return result, nil
 }
 
-// slot is an admitted request's place on an upstream; upstream is nil if there is none after all.
+// slot is an admitted request's slot on an upstream; upstream is nil if none was available after admission.
 type slot struct {
 	pool       *pool
 	queue      *admit.Queue
 	upstream   *upstream
 	clock      cherrykeel.Clock
 	acquiredAt cherrykeel.Instant
-	// deadline is the exchange's, or an earlier one that the host's lease asks for.
+	// deadline is the exchange's, or an earlier one that the host's lease requires.
 	deadline cherrykeel.Instant
-	// countedInView is the request that the host's view counts, or nil.
+	// countedInView is the exchange if the host's view counts it as in flight, else nil.
 	countedInView *cherrykeel.Exchange
 }
 
-// readyToSend reports whether the request may be written now, and tells the upstream what time is left. Where it checks
-// no fences, a host that was paused since it chose the upstream must not write after its lease has ended.
+// readyToSend sets the request's remaining time and reports whether the request may be written now. Where the upstream
+// checks no fences, a host that was suspended after it chose the upstream must not write once its lease has ended.
 func (slot *slot) readyToSend(exchange *cherrykeel.Exchange, request *http.Request) bool {
 	now := slot.clock.Now()
 	remaining := slot.deadline.Sub(now)
@@ -187,8 +187,9 @@
 	pool.recordObservation(slot.upstream, observed, now)
 }
 
-// finishInView ends the count of the host's view, where the upstream checks no fences. An upstream that may not have
-// heard that nobody waits any more, as in a cut of the network, works on until the deadline that it was told.
+// finishInView removes the request from the view's requests in flight, where the upstream checks no fences. An
+// abandoned request stays counted until its deadline has passed at the upstream: the upstream may not have noticed
+// that the connection was closed, for example when the network is partitioned.
 func (slot *slot) finishInView(abandoned bool) {
 	if slot.countedInView == nil {
 		return
@@ -202,7 +203,7 @@
 	view.AbandonRequest(upstream, slot.countedInView.Partition, slot.countedInView.Key, slot.acquiredAt.Add(lease.MaxProcessingTime(timeout)))
 }
 
-// writeAnswer writes the answer to the caller.
+// writeAnswer forwards the upstream's answer to the caller.
 func (forward *forward) writeAnswer(exchange *cherrykeel.Exchange, result result) *cherrykeel.Failure {
 	header := exchange.Writer.Header()
 	removeHopByHopHeaders(result.header)
@@ -210,7 +211,7 @@
 		header[name] = values
 	}
 	header.Del(cherrykeel.HeaderLoad)
-	// Only the router's own answers may speak of outcomes.
+	// Only answers that the router makes itself may carry an outcome.
 	header.Del(cherrykeel.HeaderOutcome)
 	header.Set(cherrykeel.HeaderRequest, exchange.ID)
 	exchange.Answer = &cherrykeel.Answer{
@@ -229,8 +230,8 @@
 	return nil
 }
 
-// streamRemainder passes on what has not been read yet; when that breaks off, the caller's connection
-// is broken too, since nothing else can tell the caller that the answer is not whole.
+// streamRemainder forwards what has not been read of the answer yet. If the answer breaks off, it aborts the caller's
+// connection, since nothing else can show the caller that the answer is incomplete.
 func (forward *forward) streamRemainder(exchange *cherrykeel.Exchange, result result) {
 	err := copyAnswer(exchange.Writer, result.answer)
 	result.onStreamed(err)
--- a/edge/identify.go
+++ b/edge/identify.go
@@ -10,7 +10,7 @@
 	"cherrykeel/route"
 )
 
-// Priorities of the stages; new ones fit in between.
+// Priorities of the stages; the gaps leave room for new stages.
 const (
 	PriorityIdentify    = 100
 	PriorityMatch       = 200
@@ -24,7 +24,7 @@
 	count  atomic.Uint64
 }
 
-// NewIdentify returns the stage that names each request.
+// NewIdentify returns the stage that assigns each request a unique ID.
 func NewIdentify() cherrykeel.Stage {
 	return &identify{prefix: strconv.FormatUint(rand.Uint64(), 36) + "-"}
 }
@@ -35,9 +35,9 @@
 	return next(exchange)
 }
 
-// TableSource gives the route table in force, or nil while there is none.
+// TableSource provides the route table.
 type TableSource interface {
-	// Table returns the routes in force.
+	// Table returns the route table in force, or nil while there is none.
 	Table() *route.Table
 }
 
@@ -45,7 +45,7 @@
 	tables TableSource
 }
 
-// NewMatch returns the stage that finds a request's service, key and deadline.
+// NewMatch returns the stage that sets a request's service, key, priority and deadline.
 func NewMatch(tables TableSource) cherrykeel.Stage {
 	return &match{tables: tables}
 }
@@ -59,7 +59,7 @@
 	request := exchange.Request
 	service := table.Match(request.Host, request.URL.Path)
 	if service == nil && !table.HasTeam(request.Host) {
-		return cherrykeel.Refuse(http.StatusNotFound, "unknown-team", "no team is reached by the host name %q", request.Host)
+		return cherrykeel.Refuse(http.StatusNotFound, "unknown-team", "no team has the host name %q", request.Host)
 	}
 	if service == nil {
 		return cherrykeel.Refuse(http.StatusNotFound, "unknown-service", "no service of this team has the path %q", request.URL.Path)
--- a/edge/meter.go
+++ b/edge/meter.go
@@ -9,7 +9,7 @@
 	"cherrykeel"
 )
 
-// PriorityMeter is that of the stage that counts and times requests.
+// PriorityMeter is the priority of the stage that counts and times requests.
 const PriorityMeter = 150
 
 // latencyBuckets are the bounds of the latency histogram.
@@ -28,7 +28,7 @@
 	services map[string]*serviceMeter
 }
 
-// NewMeter returns the stage that counts and times requests by service.
+// NewMeter returns the stage that counts requests and failures and times requests, per service.
 func NewMeter(scope tally.Scope, clock cherrykeel.Clock) cherrykeel.Stage {
 	return &meter{scope: scope, clock: clock, services: map[string]*serviceMeter{}}
 }
--- a/edge/problem.go
+++ b/edge/problem.go
@@ -12,13 +12,13 @@
 	"cherrykeel/events"
 )
 
-// Problem is the body of answers that the router makes itself, as RFC 9457 describes, with members of our own.
+// Problem is the body of the answers that the router makes itself: an RFC 9457 problem with additional members.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail"`
-	// Outcome is "not-run" or "unknown".
+	// Outcome is "not-run" or "unknown": whether the request is known not to have run.
 	Outcome cherrykeel.Outcome
 	Code    string
 	Request string
@@ -30,7 +30,7 @@
 	logger *zap.Logger
 }
 
-// NewResponder returns a Responder that writes problems and logs them.
+// NewResponder returns a Responder that logs failures and writes them to the caller as problems.
 func NewResponder(logger *zap.Logger) cherrykeel.Responder {
 	return &problemResponder{logger: logger}
 }
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -7,11 +7,12 @@
 	"cherrykeel/admit"
 )
 
-// slotRequestWindow is how long after its last request a service's slots are still asked for.
+// slotRequestWindow is how long after a service's last request its slots are still requested.
 const slotRequestWindow = 10 * time.Second
 
-// slotLimit is how many requests this host may have on an upstream now: what the steward gave it,
-// or, while no steward answers, the even share, which may exceed the slots where hosts outnumber them.
+// slotLimit returns how many requests this host may have on an upstream now: the slots that the allocator granted or,
+// while no allocator answers, an even share of at least one. Where there are more hosts than slots, the even shares
+// together exceed the slots.
 func (pool *pool) slotLimit(upstream *upstream, now cherrykeel.Instant) int {
 	if now < upstream.grantedUntil {
 		return upstream.grantedSlots
@@ -19,7 +20,7 @@
 	return max(1, pool.service.Slots/max(1, pool.hostCount))
 }
 
-// resizeQueues brings the queues in step with the limits.
+// resizeQueues adapts the queues to the current slot limits.
 func (pool *pool) resizeQueues(now cherrykeel.Instant) {
 	total := 0
 	length := pool.service.QueueLength
@@ -33,7 +34,8 @@
 	pool.queue.Resize(total, length*len(pool.upstreams), now)
 }
 
-// SlotRequests returns what this host asks of the slots of the services that it has used of late.
+// SlotRequests returns the slots that this host requests, by service and upstream, for the services that it used
+// recently.
 func (fleet *Fleet) SlotRequests() map[string]map[string]admit.SlotRequest {
 	fleet.mutex.RLock()
 	defer fleet.mutex.RUnlock()
@@ -61,7 +63,7 @@
 	return requests
 }
 
-// ApplySlotGrants takes in the slots that a steward gave this host until an instant.
+// ApplySlotGrants records the slots that an allocator granted this host until an instant, by service and upstream.
 func (fleet *Fleet) ApplySlotGrants(granted map[string]map[string]int, until cherrykeel.Instant) {
 	for path, counts := range granted {
 		pool := fleet.pool(path)
@@ -83,7 +85,7 @@
 	pool.resizeQueues(pool.fleet.clock.Now())
 }
 
-// ResizeQueues brings the queues of all services in step with grants that have ended.
+// ResizeQueues adapts the queues of all services to grants that have expired.
 func (fleet *Fleet) ResizeQueues() {
 	fleet.mutex.RLock()
 	defer fleet.mutex.RUnlock()
