--- a/edge/abandon_test.go
+++ b/edge/abandon_test.go
@@ -21,78 +21,79 @@
 )
 
 const (
-	service   = "test/keys"
-	boot      = "boot"
-	upstream  = "a"
-	partition = 1
-	// partitions is how many there are, and manyPartitions how many after a change.
-	partitions     = 4
-	manyPartitions = 2 * partitions
-	// allowed is less than the service's timeout.
-	allowed = 300 * time.Millisecond
-	// connecting is how long a slow connection takes to be made.
-	connecting     = time.Second
-	requestTimeout = 30 * time.Second
+	service     = "test/keys"
+	incarnation = "boot"
+	upstream    = "a"
+	partition   = 1
+	// partitions is the service's number of partitions, and partitionsAfterChange its number after a change of settings.
+	partitions            = 4
+	partitionsAfterChange = 2 * partitions
+	// leaseTimeout is the request timeout of a lease; it is less than the service's.
+	leaseTimeout = 300 * time.Millisecond
+	// connectDuration is how long a slow connection takes to be established.
+	connectDuration = time.Second
+	requestTimeout  = 30 * time.Second
 )
 
-// hand is a clock that moves when it is told.
-type hand struct{ now atomic.Int64 }
+// manualClock is a clock that only advance moves. It also implements edge.Owners for upstreams that own nothing.
+type manualClock struct{ now atomic.Int64 }
 
-func (hand *hand) Now() cherrykeel.Instant                { return cherrykeel.Instant(hand.now.Load()) }
-func (hand *hand) Wall() time.Time                        { return time.Unix(0, hand.now.Load()) }
-func (hand *hand) advance(by time.Duration)               { hand.now.Add(int64(by)) }
-func (*hand) Owner(string, int, string) string            { return "" }
-func (*hand) IsDraining(*cherrykeel.Service, string) bool { return false }
+func (clock *manualClock) Now() cherrykeel.Instant { return cherrykeel.Instant(clock.now.Load()) }
 
-// sender hands each request to a function.
-type sender func(ctx context.Context, request *http.Request) (conns.Progress, error)
+func (clock *manualClock) Wall() time.Time                       { return time.Unix(0, clock.now.Load()) }
+func (clock *manualClock) advance(by time.Duration)              { clock.now.Add(int64(by)) }
+func (*manualClock) Owner(string, int, string) string            { return "" }
+func (*manualClock) IsDraining(*cherrykeel.Service, string) bool { return false }
 
-func (sender sender) SendIfReady(ctx context.Context, _ string, request *http.Request, ready func() bool) (*conns.Answer, conns.Progress, error) {
+// senderFunc is a Sender that calls a function; the request's ready callback is in the context.
+type senderFunc func(ctx context.Context, request *http.Request) (conns.Progress, error)
+
+func (sender senderFunc) SendIfReady(ctx context.Context, _ string, request *http.Request, ready func() bool) (*conns.Answer, conns.Progress, error) {
 	ctx = context.WithValue(ctx, readyKey{}, ready)
 	progress, err := sender(ctx, request)
 	return nil, progress, err
 }
 
-// world is a host whose view gives one upstream, which checks no fences, one partition.
-type world struct {
-	clock *hand
+// testHost is a host with a lease on one partition of one upstream, which checks no fences.
+type testHost struct {
+	clock *manualClock
 	fleet *edge.Fleet
 }
 
-func newWorld() *world {
-	world := &world{clock: &hand{}}
-	world.clock.advance(time.Hour)
-	world.fleet = edge.NewFleet("zone", boot, world.clock, picker.NewLeastLoaded(), world.clock, func(string, int) {})
-	world.publish(partitions)
-	world.grant(1, partition)
-	return world
+func newTestHost() *testHost {
+	host := &testHost{clock: &manualClock{}}
+	host.clock.advance(time.Hour)
+	host.fleet = edge.NewFleet("zone", incarnation, host.clock, picker.NewLeastLoaded(), host.clock, func(string, int) {})
+	host.addService(partitions)
+	host.replaceGrant(1, partition)
+	return host
 }
 
-// publish puts the service into force.
-func (world *world) publish(partitions int) {
-	world.fleet.Update(map[string]*cherrykeel.Service{service: {
+// addService adds the service to the settings in force, or changes its number of partitions.
+func (host *testHost) addService(partitions int) {
+	host.fleet.Update(map[string]*cherrykeel.Service{service: {
 		Path: service, Keyed: true, Partitions: partitions, Slots: 4, QueueLength: 4, Timeout: requestTimeout,
 		Upstreams: []cherrykeel.UpstreamServer{{Name: upstream, Zone: "zone"}},
 	}}, 1)
 }
 
-// unpublish takes it out of the settings.
-func (world *world) unpublish() {
-	world.fleet.Update(map[string]*cherrykeel.Service{}, 1)
+// removeService removes the service from the settings in force.
+func (host *testHost) removeService() {
+	host.fleet.Update(map[string]*cherrykeel.Service{}, 1)
 }
 
 type readyKey struct{}
 
-// ready is asked by a sender that is about to write a request.
-func ready(ctx context.Context) bool { return ctx.Value(readyKey{}).(func() bool)() }
+// mayWrite calls the ready callback of the request that is about to be written.
+func mayWrite(ctx context.Context) bool { return ctx.Value(readyKey{}).(func() bool)() }
 
-// grant replaces what the host may send, and returns what it says it still holds.
-func (world *world) grant(sequence int64, partitions ...int) []int {
-	holding, known := world.fleet.GrantOrQueryView(false, cherrykeel.Grant{
+// replaceGrant replaces the partitions that the host may send to, and returns those that it reports as still held.
+func (host *testHost) replaceGrant(sequence int64, partitions ...int) []int {
+	holding, known := host.fleet.GrantOrQueryView(false, cherrykeel.Grant{
 		Service:     service,
 		Fence:       cherrykeel.Fence{Term: 1, Sequence: sequence},
-		Incarnation: boot,
-		Until:       world.clock.Now().Add(time.Hour).Sub(0),
+		Incarnation: incarnation,
+		Until:       host.clock.Now().Add(time.Hour).Sub(0),
 		Owners:      map[string][]int{upstream: partitions},
 	})
 	Expect(known).To(BeTrue())
@@ -100,8 +101,8 @@
 	return holding.Owners[upstream]
 }
 
-// send passes one request on; it fails, since the sender does.
-func (world *world) send(ctx context.Context, sender sender) {
+// send forwards one request and expects it to fail, as each senderFunc returns an error.
+func (host *testHost) send(ctx context.Context, sender senderFunc) {
 	exchange := &cherrykeel.Exchange{
 		ID:        "request",
 		Request:   httptest.NewRequest(http.MethodPost, "/", nil).WithContext(ctx),
@@ -109,124 +110,126 @@
 		Service:   &cherrykeel.Service{Path: service, Keyed: true, Timeout: requestTimeout},
 		Key:       "key",
 		Partition: partition,
-		Arrived:   world.clock.Now(),
-		Deadline:  world.clock.Now().Add(requestTimeout),
+		Arrived:   host.clock.Now(),
+		Deadline:  host.clock.Now().Add(requestTimeout),
 	}
-	Expect(edge.NewForward(world.fleet, sender, deny.New(deny.Settings{Clock: world.clock, Logger: zap.NewNop()}), world.clock, zap.NewNop()).Serve(exchange, nil)).NotTo(BeNil())
+	Expect(edge.NewForward(host.fleet, sender, deny.New(deny.Settings{Clock: host.clock, Logger: zap.NewNop()}), host.clock, zap.NewNop()).Serve(exchange, nil)).NotTo(BeNil())
 }
 
 var _ = Describe("a request to an upstream that checks no fences", func() {
-	// A caller's write and the next one run at two upstreams at once. The first caller went away while its write
-	// ran; the host closed the connection, but the network brings that to the upstream late, or never, and it
-	// works on. If the host counted the write as ended, its partition would be free for the next owner.
+	// Failure: two writes to a key run on two upstreams at once. The first caller went away and the host closed the
+	// connection, but the upstream has not noticed and still runs the write, while the partition gets its next owner.
 	It("keeps its partition until its deadline if its caller went away", func() {
-		world := newWorld()
-		ctx, leave := context.WithCancel(context.Background())
-		world.send(ctx, func(ctx context.Context, _ *http.Request) (conns.Progress, error) {
-			leave()
+		host := newTestHost()
+		ctx, cancel := context.WithCancel(context.Background())
+		host.send(ctx, func(ctx context.Context, _ *http.Request) (conns.Progress, error) {
+			cancel()
 			<-ctx.Done()
 			return conns.Sent, errors.New("the host closed the connection")
 		})
-		Expect(world.grant(2)).To(ConsistOf(partition))
-		world.clock.advance(requestTimeout - time.Millisecond)
-		Expect(world.grant(3)).To(ConsistOf(partition))
-		world.clock.advance(requestTimeout)
-		Expect(world.grant(4)).To(BeEmpty())
+		Expect(host.replaceGrant(2)).To(ConsistOf(partition))
+		host.clock.advance(requestTimeout - time.Millisecond)
+		Expect(host.replaceGrant(3)).To(ConsistOf(partition))
+		host.clock.advance(requestTimeout)
+		Expect(host.replaceGrant(4)).To(BeEmpty())
 	})
 
-	// The upstream has ended the connection itself, as a process that is gone does, so that it works on nothing;
-	// to wait for the deadline would leave the keys of a lost upstream unserved.
-	It("leaves its partition at once if the upstream ended it", func() {
-		world := newWorld()
-		world.send(context.Background(), func(context.Context, *http.Request) (conns.Progress, error) {
+	// Failure: the keys of a crashed upstream stay unserved until the deadline. An upstream that closed the connection
+	// itself, as a crash does, no longer runs the request.
+	It("releases its partition at once if the upstream closed the connection", func() {
+		host := newTestHost()
+		host.send(context.Background(), func(context.Context, *http.Request) (conns.Progress, error) {
 			return conns.Sent, errors.New("connection reset by peer")
 		})
-		Expect(world.grant(2)).To(BeEmpty())
+		Expect(host.replaceGrant(2)).To(BeEmpty())
 	})
 
-	// Operators raise the service's Timeout, and a host reads that before the keeper does. If the host told an
-	// upstream the new time and died, the keeper would pass the key on by the old one, while the request runs.
+	// Failure: a key gets its next owner while a request for it still runs. Operators raise the service's Timeout; a host
+	// reads that before the keeper does, sends a request with the new timeout and crashes. The keeper waits for the old
+	// timeout only.
 	It("gets no more time than the lease under which it is sent allows", func() {
-		world := newWorld()
-		holding, _ := world.fleet.GrantOrQueryView(false, cherrykeel.Grant{
+		host := newTestHost()
+		holding, _ := host.fleet.GrantOrQueryView(false, cherrykeel.Grant{
 			Service:     service,
 			Fence:       cherrykeel.Fence{Term: 1, Sequence: 2},
-			Incarnation: boot,
-			Until:       world.clock.Now().Add(time.Hour).Sub(0),
-			Timeout:     allowed,
+			Incarnation: incarnation,
+			Until:       host.clock.Now().Add(time.Hour).Sub(0),
+			Timeout:     leaseTimeout,
 			Partial:     true,
 		})
 		Expect(holding.Accepted).To(BeTrue())
-		world.send(context.Background(), func(ctx context.Context, request *http.Request) (conns.Progress, error) {
-			Expect(ready(ctx)).To(BeTrue())
-			told, err := strconv.Atoi(request.Header.Get(cherrykeel.HeaderTimeout))
+		host.send(context.Background(), func(ctx context.Context, request *http.Request) (conns.Progress, error) {
+			Expect(mayWrite(ctx)).To(BeTrue())
+			headerTimeout, err := strconv.Atoi(request.Header.Get(cherrykeel.HeaderTimeout))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(time.Duration(told) * time.Millisecond).To(BeNumerically("<=", allowed))
+			Expect(time.Duration(headerTimeout) * time.Millisecond).To(BeNumerically("<=", leaseTimeout))
 			<-ctx.Done()
 			return conns.Sent, ctx.Err()
 		})
-		Expect(world.grant(3)).To(ConsistOf(partition))
-		world.clock.advance(2 * allowed)
-		Expect(world.grant(4)).To(BeEmpty())
+		Expect(host.replaceGrant(3)).To(ConsistOf(partition))
+		host.clock.advance(2 * leaseTimeout)
+		Expect(host.replaceGrant(4)).To(BeEmpty())
 	})
 
-	// The keeper passes a key on when the request's deadline has passed; the upstream counts the time that it is
-	// told from the arrival. A connection that takes long to be made must not add to it.
-	It("is told what is left when the connection is there", func() {
-		world := newWorld()
-		world.send(context.Background(), func(ctx context.Context, request *http.Request) (conns.Progress, error) {
-			world.clock.advance(connecting)
-			if !ready(ctx) {
+	// Failure: a key gets its next owner while a request for it still runs. The keeper transfers the key after the
+	// request's deadline, but the upstream counts the timeout in the header from the request's arrival, so the time that
+	// it took to connect must not be part of it.
+	It("is sent with the time that is left once the connection is established", func() {
+		host := newTestHost()
+		host.send(context.Background(), func(ctx context.Context, request *http.Request) (conns.Progress, error) {
+			host.clock.advance(connectDuration)
+			if !mayWrite(ctx) {
 				return conns.NotSent, errors.New("not sent")
 			}
-			told, err := strconv.Atoi(request.Header.Get(cherrykeel.HeaderTimeout))
+			headerTimeout, err := strconv.Atoi(request.Header.Get(cherrykeel.HeaderTimeout))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(time.Duration(told) * time.Millisecond).To(BeNumerically("<=", requestTimeout-connecting))
+			Expect(time.Duration(headerTimeout) * time.Millisecond).To(BeNumerically("<=", requestTimeout-connectDuration))
 			return conns.Sent, errors.New("connection reset by peer")
 		})
 	})
 
-	// As above; the host was paused, and when it is back, its lease has ended and the key may have another owner.
-	It("is not sent if the lease has ended when the connection is there", func() {
-		world := newWorld()
+	// Failure: a request goes to an upstream that has lost the key. The host was suspended while it connected, and its
+	// lease has ended since.
+	It("is not sent if the lease has ended once the connection is established", func() {
+		host := newTestHost()
 		sent := false
-		world.send(context.Background(), func(ctx context.Context, _ *http.Request) (conns.Progress, error) {
-			world.clock.advance(2 * time.Hour)
-			sent = ready(ctx)
+		host.send(context.Background(), func(ctx context.Context, _ *http.Request) (conns.Progress, error) {
+			host.clock.advance(2 * time.Hour)
+			sent = mayWrite(ctx)
 			return conns.NotSent, errors.New("not sent")
 		})
 		Expect(sent).To(BeFalse())
 	})
 
-	It("leaves its partition at once if it was never sent", func() {
-		world := newWorld()
-		ctx, leave := context.WithCancel(context.Background())
-		world.send(ctx, func(ctx context.Context, _ *http.Request) (conns.Progress, error) {
-			leave()
+	It("releases its partition at once if it was never sent", func() {
+		host := newTestHost()
+		ctx, cancel := context.WithCancel(context.Background())
+		host.send(ctx, func(ctx context.Context, _ *http.Request) (conns.Progress, error) {
+			cancel()
 			<-ctx.Done()
 			return conns.NotSent, errors.New("no connection")
 		})
-		Expect(world.grant(2)).To(BeEmpty())
+		Expect(host.replaceGrant(2)).To(BeEmpty())
 	})
 
-	// The caller's write and the next one run at two upstreams at once. While the first runs, an operator takes
-	// the service out of the settings and, seeing the mistake, puts it back. If the host began anew, it would
-	// say that it has sent nothing, and take grants of keepers that were replaced long ago.
-	DescribeTable("keeps its partition through a change of settings", func(change func(world *world)) {
-		world := newWorld()
-		world.send(context.Background(), func(context.Context, *http.Request) (conns.Progress, error) {
-			change(world)
-			Expect(world.grant(2)).To(ConsistOf(partition))
+	// Failure: two writes to a key run on two upstreams at once. While the first runs, an operator removes the service
+	// from the settings and adds it again. With a new view the host would report no requests in flight, and accept grants
+	// of keepers that were replaced long ago.
+	DescribeTable("keeps its partition across a change of settings", func(change func(host *testHost)) {
+		host := newTestHost()
+		host.send(context.Background(), func(context.Context, *http.Request) (conns.Progress, error) {
+			change(host)
+			Expect(host.replaceGrant(2)).To(ConsistOf(partition))
 			return conns.Sent, errors.New("connection reset by peer")
 		})
-		Expect(world.grant(3)).To(BeEmpty())
-		late, _ := world.fleet.GrantOrQueryView(false, cherrykeel.Grant{Service: service, Incarnation: boot, Fence: cherrykeel.Fence{Term: 1, Sequence: 1}})
+		Expect(host.replaceGrant(3)).To(BeEmpty())
+		late, _ := host.fleet.GrantOrQueryView(false, cherrykeel.Grant{Service: service, Incarnation: incarnation, Fence: cherrykeel.Fence{Term: 1, Sequence: 1}})
 		Expect(late.Accepted).To(BeFalse())
 	},
-		Entry("that removes the service and adds it again", func(world *world) {
-			world.unpublish()
-			world.publish(partitions)
+		Entry("that removes the service and adds it again", func(host *testHost) {
+			host.removeService()
+			host.addService(partitions)
 		}),
-		Entry("that cuts it into other partitions", func(world *world) { world.publish(manyPartitions) }),
+		Entry("that changes the number of partitions", func(host *testHost) { host.addService(partitionsAfterChange) }),
 	)
 })
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -18,43 +18,43 @@
 	"cherrykeel/picker"
 )
 
-// addressed hands each request to a function by its upstream's address.
-type addressed func(ctx context.Context, address string) (conns.Progress, error)
+// senderByAddress is a Sender that calls a function with the upstream's address and fails each request.
+type senderByAddress func(ctx context.Context, address string) (conns.Progress, error)
 
-func (addressed addressed) SendIfReady(ctx context.Context, address string, _ *http.Request, _ func() bool) (*conns.Answer, conns.Progress, error) {
-	progress, err := addressed(ctx, address)
+func (byAddress senderByAddress) SendIfReady(ctx context.Context, address string, _ *http.Request, _ func() bool) (*conns.Answer, conns.Progress, error) {
+	progress, err := byAddress(ctx, address)
 	return nil, progress, err
 }
 
-var _ = Describe("an upstream that has failed and is tried again", func() {
+var _ = Describe("an upstream that failed and gets a probe", func() {
 	const (
-		failing = "a:1"
-		enough  = 60
+		failing      = "a:1"
+		requestCount = 60
 	)
 
-	// Guards against an upstream that gets nothing any more since the caller left whose request was to show whether it is
-	// back.
-	It("is tried once more if that request's caller goes away", func() {
-		clock := &hand{}
+	// Failure: an upstream never gets requests again, because the caller of its probe went away and the probe was counted
+	// as still outstanding.
+	It("gets another probe if the probe's caller goes away", func() {
+		clock := &manualClock{}
 		clock.advance(time.Hour)
-		fleet := edge.NewFleet("zone", boot, clock, picker.NewLeastLoaded(), clock, func(string, int) {})
+		fleet := edge.NewFleet("zone", incarnation, clock, picker.NewLeastLoaded(), clock, func(string, int) {})
 		fleet.Update(map[string]*cherrykeel.Service{service: {
 			Path: service, Slots: 4, QueueLength: 4, Timeout: requestTimeout,
 			Upstreams: []cherrykeel.UpstreamServer{{Name: "a", Address: failing, Zone: "zone"}, {Name: "b", Address: "b:1", Zone: "zone"}},
 		}}, 1)
-		asked := 0
+		attempts := 0
 		fails := true
 		send := func() {
-			ctx, leave := context.WithCancel(context.Background())
-			defer leave()
-			sender := addressed(func(ctx context.Context, address string) (conns.Progress, error) {
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			sender := senderByAddress(func(ctx context.Context, address string) (conns.Progress, error) {
 				if address == failing {
-					asked++
+					attempts++
 				}
 				if address == failing && fails {
 					return conns.Sent, errors.New("connection reset by peer")
 				}
-				leave()
+				cancel()
 				<-ctx.Done()
 				return conns.Sent, errors.New("the host closed the connection")
 			})
@@ -67,15 +67,15 @@
 			denials := deny.New(deny.Settings{Clock: clock, Logger: zap.NewNop()})
 			Expect(edge.NewForward(fleet, sender, denials, clock, zap.NewNop()).Serve(exchange, nil)).NotTo(BeNil())
 		}
-		for range enough {
+		for range requestCount {
 			send()
 		}
-		Expect(asked).To(Equal(3), "it is passed over then")
+		Expect(attempts).To(Equal(3), "it is skipped after three failures")
 		fails = false
 		clock.advance(time.Minute)
-		for range enough {
+		for range requestCount {
 			send()
 		}
-		Expect(asked).To(BeNumerically(">", 4))
+		Expect(attempts).To(BeNumerically(">", 4))
 	})
 })
