--- a/host/admin.go
+++ b/host/admin.go
@@ -107,7 +107,7 @@
 		Uptime:   time.Since(host.started),
 		InFlight: host.requests.count.Load(),
 		Peers:    host.peerStatus(),
-		Services: host.duty.status(),
+		Services: host.coordinator.status(),
 	}
 }
 
@@ -135,25 +135,25 @@
 	return peers
 }
 
-func (duty *duty) status() []ServiceStatus {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
+func (coordinator *coordinator) status() []ServiceStatus {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
 	statuses := []ServiceStatus{}
-	for path, block := range duty.state.Ownership {
-		placement := duty.placement(path)
+	for path, serviceOwnership := range coordinator.state.Ownership {
+		placement := coordinator.placement(path)
 		status := ServiceStatus{
 			Service:   path,
-			Term:      block.Term,
-			Keeper:    block.Keeper,
-			Witnesses: block.Witnesses,
-			Sequence:  block.Sequence,
+			Term:      serviceOwnership.Term,
+			Keeper:    serviceOwnership.Keeper,
+			Witnesses: serviceOwnership.Witnesses,
+			Sequence:  serviceOwnership.Sequence,
 			Owned:     map[string]int{},
 			HotKeys:   placement.HotKeys,
 		}
 		for _, owner := range placement.Owners {
 			status.Owned[owner]++
 		}
-		if report, holds := duty.keeper(path).Report(duty.host.clock.Now()); holds {
+		if report, holds := coordinator.keeper(path).Report(coordinator.host.clock.Now()); holds {
 			status.Report = &report
 		}
 		statuses = append(statuses, status)
@@ -175,17 +175,17 @@
 		http.Error(writer, "the service "+path+" has no keys", http.StatusNotFound)
 		return
 	}
-	answerJSON(writer, host.duty.ownership(path, key, route.Partition(key, service.Partitions)))
+	answerJSON(writer, host.coordinator.ownership(path, key, route.Partition(key, service.Partitions)))
 }
 
-func (duty *duty) ownership(service, key string, partition int) Ownership {
-	owner := duty.owner(service, partition, key)
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	placement := duty.placement(service)
-	block := duty.state.Ownership[service]
+func (coordinator *coordinator) ownership(service, key string, partition int) Ownership {
+	owner := coordinator.owner(service, partition, key)
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	placement := coordinator.placement(service)
+	serviceOwnership := coordinator.state.Ownership[service]
 	_, hot := placement.HotKeys[key]
-	ownership := Ownership{Service: service, Key: key, Partition: partition, Owner: owner, Hot: hot, Keeper: block.Keeper, Term: block.Term}
+	ownership := Ownership{Service: service, Key: key, Partition: partition, Owner: owner, Hot: hot, Keeper: serviceOwnership.Keeper, Term: serviceOwnership.Term}
 	if partition < len(placement.Successors) {
 		ownership.Successor = placement.Successors[partition]
 	}
--- a/host/duty.go
+++ b/host/duty.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	tickPause      = 20 * time.Millisecond
-	proposeTimeout = 2 * time.Second
-	idleTicks      = 25
-	// orderShare is the share of a lease that an order may take before it counts as failed.
-	orderShare = 0.3
+	tickInterval     = 20 * time.Millisecond
+	proposeTimeout   = 2 * time.Second
+	idleTickInterval = 25
+	// orderTimeoutShare is the share of a lease that an order may take before it counts as failed.
+	orderTimeoutShare = 0.3
 )
 
-// duty is this host's part in the ownership of keys: its keepers' decisions and its witness.
-type duty struct {
-	host     *Host
-	mutex    sync.Mutex
-	state    *fold.State
-	witness  *lease.Witness
-	keepers  map[string]*keeper.Keeper
-	mergers  map[string]*demand.Merger
-	overlays map[string]keeper.Overlay
-	// claims are the ids of the claims that this process has made.
-	claims map[string]bool
-	// lost are the upstreams that a keeper on this host has lost, by service.
-	lost map[string]map[string]bool
+// coordinator is this host's part in the ownership of keys: its keepers' decisions and its witness.
+type coordinator struct {
+	host          *Host
+	mutex         sync.Mutex
+	state         *fold.State
+	witness       *lease.Witness
+	keepers       map[string]*keeper.Keeper
+	demandMergers map[string]*demand.Merger
+	overlays      map[string]keeper.Overlay
+	// ownClaims are the ids of the claims that this process has made.
+	ownClaims map[string]bool
+	// unavailable are the upstreams that a keeper on this host has lost, by service.
+	unavailable map[string]map[string]bool
 	// ticks counts, for the one goroutine that ticks.
 	ticks int
 }
 
-func newDuty(host *Host) *duty {
-	return &duty{
-		host:     host,
-		state:    fold.NewState(),
-		witness:  lease.NewWitness(host.clock.Now()),
-		keepers:  map[string]*keeper.Keeper{},
-		mergers:  map[string]*demand.Merger{},
-		overlays: map[string]keeper.Overlay{},
-		claims:   map[string]bool{},
-		lost:     map[string]map[string]bool{},
+func newCoordinator(host *Host) *coordinator {
+	return &coordinator{
+		host:          host,
+		state:         fold.NewState(),
+		witness:       lease.NewWitness(host.clock.Now()),
+		keepers:       map[string]*keeper.Keeper{},
+		demandMergers: map[string]*demand.Merger{},
+		overlays:      map[string]keeper.Overlay{},
+		ownClaims:     map[string]bool{},
+		unavailable:   map[string]map[string]bool{},
 	}
 }
 
@@ -61,39 +61,39 @@
 	}
 }
 
-func (duty *duty) caughtUp(begun cherrykeel.Instant) {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	duty.witness.RecordCaughtUp(begun)
+func (coordinator *coordinator) recordCaughtUp(begun cherrykeel.Instant) {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	coordinator.witness.RecordCaughtUp(begun)
 }
 
 // onState takes in a new state of the fold.
-func (duty *duty) onState(state *fold.State) {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	duty.state = state
-	duty.learnAll(state)
+func (coordinator *coordinator) onState(state *fold.State) {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	coordinator.state = state
+	coordinator.recordTermsLocked(state)
 }
 
-// learnTerms takes in the terms of a state whose settings cannot be used: the host still counts as one that has
+// recordTerms takes in the terms of a state whose settings cannot be used: the host still counts as one that has
 // read the log, so its witness must not confirm a keeper that the log has replaced.
-func (duty *duty) learnTerms(state *fold.State) {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	duty.learnAll(state)
+func (coordinator *coordinator) recordTerms(state *fold.State) {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	coordinator.recordTermsLocked(state)
 }
 
-func (duty *duty) learnAll(state *fold.State) {
-	for service, block := range state.Ownership {
-		duty.witness.RecordTerm(service, block.Term)
+func (coordinator *coordinator) recordTermsLocked(state *fold.State) {
+	for service, serviceOwnership := range state.Ownership {
+		coordinator.witness.RecordTerm(service, serviceOwnership.Term)
 	}
 }
 
 // owner returns who should hold a key: by the keeper's word while the log lacks it, else by the log.
-func (duty *duty) owner(service string, partition int, key string) string {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	placement := duty.placement(service)
+func (coordinator *coordinator) owner(service string, partition int, key string) string {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	placement := coordinator.placement(service)
 	if owner, hot := placement.HotKeys[key]; hot {
 		return owner
 	}
@@ -103,30 +103,30 @@
 	return placement.Owners[partition]
 }
 
-func (duty *duty) placement(service string) cherrykeel.Placement {
-	block := duty.state.Ownership[service]
-	overlay, exists := duty.overlays[service]
-	if exists && overlay.Term == block.Term && overlay.Base == block.Sequence {
+func (coordinator *coordinator) placement(service string) cherrykeel.Placement {
+	serviceOwnership := coordinator.state.Ownership[service]
+	overlay, exists := coordinator.overlays[service]
+	if exists && overlay.Term == serviceOwnership.Term && overlay.Base == serviceOwnership.Sequence {
 		return overlay.Placement
 	}
-	return block.Placement
+	return serviceOwnership.Placement
 }
 
-func (duty *duty) applyOverlay(overlay keeper.Overlay) {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	current, exists := duty.overlays[overlay.Service]
+func (coordinator *coordinator) applyOverlay(overlay keeper.Overlay) {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	current, exists := coordinator.overlays[overlay.Service]
 	if !exists || overlay.Term >= current.Term {
-		duty.overlays[overlay.Service] = overlay
+		coordinator.overlays[overlay.Service] = overlay
 	}
 }
 
-func (duty *duty) holdsAny() bool {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	for service, kept := range duty.keepers {
-		current := duty.state.Ownership[service].Keeper == duty.host.config.Name
-		if kept.HoldsRole() && current {
+func (coordinator *coordinator) holdsAnyRole() bool {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	for service, serviceKeeper := range coordinator.keepers {
+		current := coordinator.state.Ownership[service].Keeper == coordinator.host.config.Name
+		if serviceKeeper.HoldsRole() && current {
 			return true
 		}
 	}
@@ -134,22 +134,22 @@
 }
 
 // tick decides for every keyed service and carries the actions out.
-func (duty *duty) tick(context.Context) {
-	table := duty.host.table.Load()
-	if table == nil || !duty.host.follower.Status().CaughtUp {
+func (coordinator *coordinator) tick(context.Context) {
+	table := coordinator.host.table.Load()
+	if table == nil || !coordinator.host.follower.Status().CaughtUp {
 		return
 	}
 	confirms := map[string]map[string]int64{}
-	duty.ticks++
-	hosts := duty.host.roster.hosts()
-	gone := duty.host.roster.gone()
+	coordinator.ticks++
+	hosts := coordinator.host.roster.keeperHosts()
+	removed := coordinator.host.roster.removedHosts()
 	for path, service := range table.Services() {
-		if !service.Keyed || !duty.concerns(path) {
+		if !service.Keyed || !coordinator.shouldDecide(path) {
 			continue
 		}
-		input := duty.input(service, hosts, gone)
-		actions := duty.decide(path, &input)
-		duty.carryOut(service, input, actions)
+		input := coordinator.input(service, hosts, removed)
+		actions := coordinator.decide(path, &input)
+		coordinator.submitActions(service, input, actions)
 		for _, witness := range actions.RequestConfirmation {
 			if confirms[witness] == nil {
 				confirms[witness] = map[string]int64{}
@@ -158,25 +158,25 @@
 		}
 	}
 	for witness, terms := range confirms {
-		duty.confirm(witness, terms)
+		coordinator.requestConfirmation(witness, terms)
 	}
 }
 
-// concerns reports whether a service is to be decided on at this tick: at each one where this
+// shouldDecide reports whether a service is to be decided on at this tick: at each one where this
 // host is its keeper or a witness, or nobody is keeper; else at every 25th, which finds a keeper
 // that the list shows as gone. Without this, each host would spend time on every service there is.
-func (duty *duty) concerns(service string) bool {
-	if duty.ticks%idleTicks == 0 {
+func (coordinator *coordinator) shouldDecide(service string) bool {
+	if coordinator.ticks%idleTickInterval == 0 {
 		return true
 	}
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	block := duty.state.Ownership[service]
-	if block.Term == 0 || block.Keeper == duty.host.config.Name {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	serviceOwnership := coordinator.state.Ownership[service]
+	if serviceOwnership.Term == 0 || serviceOwnership.Keeper == coordinator.host.config.Name {
 		return true
 	}
-	for _, witness := range block.Witnesses {
-		if witness == duty.host.config.Name {
+	for _, witness := range serviceOwnership.Witnesses {
+		if witness == coordinator.host.config.Name {
 			return true
 		}
 	}
@@ -184,13 +184,13 @@
 }
 
 // input gathers what a decision rests on, apart from what the duty's lock guards.
-func (duty *duty) input(service *cherrykeel.Service, hosts []keeper.Host, gone map[string]bool) keeper.Input {
-	host := duty.host
+func (coordinator *coordinator) input(service *cherrykeel.Service, hosts []keeper.Host, removed map[string]bool) keeper.Input {
+	host := coordinator.host
 	input := keeper.Input{
 		Now:          host.clock.Now(),
 		Service:      service,
 		Hosts:        hosts,
-		RemovedHosts: gone,
+		RemovedHosts: removed,
 		Leaving:      host.stopping.Load(),
 		Draining:     map[string]bool{},
 		Unreachable:  map[string]bool{},
@@ -198,50 +198,50 @@
 	}
 	for _, server := range service.Upstreams {
 		input.Draining[server.Name] = host.IsDraining(service, server.Name)
-		input.Refusing[server.Name] = host.roster.refusing(service.Path, server.Name, input.Now)
-		input.Unreachable[server.Name] = host.roster.down(service.Path, server.Name, input.Now)
+		input.Refusing[server.Name] = host.roster.isRefusing(service.Path, server.Name, input.Now)
+		input.Unreachable[server.Name] = host.roster.isDown(service.Path, server.Name, input.Now)
 	}
 	return input
 }
 
-func (duty *duty) decide(path string, input *keeper.Input) keeper.Actions {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	duty.witness.RecordRunning(input.Now)
-	input.Block = duty.state.Ownership[path]
-	if duty.claims[input.Block.ClaimID] {
+func (coordinator *coordinator) decide(path string, input *keeper.Input) keeper.Actions {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	coordinator.witness.RecordRunning(input.Now)
+	input.Block = coordinator.state.Ownership[path]
+	if coordinator.ownClaims[input.Block.ClaimID] {
 		input.ClaimedTerm = input.Block.Term
 	}
-	kept := duty.keeper(path)
-	if kept.HoldsRole() {
-		input.Demand = duty.merger(input.Service).Demand(input.Now)
+	serviceKeeper := coordinator.keeper(path)
+	if serviceKeeper.HoldsRole() {
+		input.Demand = coordinator.merger(input.Service).Demand(input.Now)
 	}
-	held := kept.HoldsRole()
-	actions := kept.Tick(*input)
-	duty.noteRole(path, held, kept.HoldsRole(), input.Block.Term)
-	duty.noteLost(path, kept, input.Now)
+	held := serviceKeeper.HoldsRole()
+	actions := serviceKeeper.Tick(*input)
+	coordinator.recordRoleChange(path, held, serviceKeeper.HoldsRole(), input.Block.Term)
+	coordinator.logAvailabilityChanges(path, serviceKeeper, input.Now)
 	return actions
 }
 
-// noteLost logs which upstreams the keeper has lost and got back since the last tick.
-func (duty *duty) noteLost(path string, kept *keeper.Keeper, now cherrykeel.Instant) {
-	report, _ := kept.Report(now)
-	lost := map[string]bool{}
+// logAvailabilityChanges logs which upstreams the keeper has lost and got back since the last tick.
+func (coordinator *coordinator) logAvailabilityChanges(path string, serviceKeeper *keeper.Keeper, now cherrykeel.Instant) {
+	report, _ := serviceKeeper.Report(now)
+	unavailable := map[string]bool{}
 	for _, name := range report.Unavailable {
-		lost[name] = true
-		if !duty.lost[path][name] {
-			events.Log(duty.host.logger, events.UpstreamUnavailable, zap.String("Service", path), zap.String("Upstream", name))
+		unavailable[name] = true
+		if !coordinator.unavailable[path][name] {
+			events.Log(coordinator.host.logger, events.UpstreamUnavailable, zap.String("Service", path), zap.String("Upstream", name))
 		}
 	}
-	for name := range duty.lost[path] {
-		if !lost[name] && kept.HoldsRole() {
-			events.Log(duty.host.logger, events.UpstreamAvailable, zap.String("Service", path), zap.String("Upstream", name))
+	for name := range coordinator.unavailable[path] {
+		if !unavailable[name] && serviceKeeper.HoldsRole() {
+			events.Log(coordinator.host.logger, events.UpstreamAvailable, zap.String("Service", path), zap.String("Upstream", name))
 		}
 	}
-	duty.lost[path] = lost
+	coordinator.unavailable[path] = unavailable
 }
 
-func (duty *duty) noteRole(path string, before, after bool, term int64) {
+func (coordinator *coordinator) recordRoleChange(path string, before, after bool, term int64) {
 	if before == after {
 		return
 	}
@@ -249,96 +249,96 @@
 	if after {
 		event = events.TermWon
 	} else {
-		delete(duty.mergers, path)
+		delete(coordinator.demandMergers, path)
 	}
-	events.Log(duty.host.logger, event, zap.String("Service", path), zap.Int64("Term", term))
+	events.Log(coordinator.host.logger, event, zap.String("Service", path), zap.Int64("Term", term))
 }
 
-func (duty *duty) keeper(path string) *keeper.Keeper {
-	kept, exists := duty.keepers[path]
+func (coordinator *coordinator) keeper(path string) *keeper.Keeper {
+	serviceKeeper, exists := coordinator.keepers[path]
 	if !exists {
-		kept = keeper.New(duty.host.config.Name, path, duty.witness, duty.host.placer)
-		duty.keepers[path] = kept
+		serviceKeeper = keeper.New(coordinator.host.config.Name, path, coordinator.witness, coordinator.host.placer)
+		coordinator.keepers[path] = serviceKeeper
 	}
-	return kept
+	return serviceKeeper
 }
 
-func (duty *duty) merger(service *cherrykeel.Service) *demand.Merger {
-	merger, exists := duty.mergers[service.Path]
+func (coordinator *coordinator) merger(service *cherrykeel.Service) *demand.Merger {
+	merger, exists := coordinator.demandMergers[service.Path]
 	if !exists {
 		merger = demand.NewMerger(service.Partitions, partitionOf(service))
-		duty.mergers[service.Path] = merger
+		coordinator.demandMergers[service.Path] = merger
 	}
 	return merger
 }
 
-func (duty *duty) hearDemand(host, path string, demand cherrykeel.Demand) {
-	table := duty.host.table.Load()
+func (coordinator *coordinator) receiveDemand(host, path string, demand cherrykeel.Demand) {
+	table := coordinator.host.table.Load()
 	if table == nil || table.Services()[path] == nil {
 		return
 	}
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	if duty.keeper(path).HoldsRole() {
-		duty.merger(table.Services()[path]).Receive(host, demand, duty.host.clock.Now())
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	if coordinator.keeper(path).HoldsRole() {
+		coordinator.merger(table.Services()[path]).Receive(host, demand, coordinator.host.clock.Now())
 	}
 }
 
-// carryOut hands the actions to the workers.
-func (duty *duty) carryOut(service *cherrykeel.Service, input keeper.Input, actions keeper.Actions) {
+// submitActions hands the actions to the workers.
+func (coordinator *coordinator) submitActions(service *cherrykeel.Service, input keeper.Input, actions keeper.Actions) {
 	for _, order := range actions.Orders {
-		duty.submit(func() { duty.send(service, input.Block.LeaseLength, order) })
+		coordinator.submit(func() { coordinator.sendOrder(service, input.Block.LeaseLength, order) })
 	}
-	for _, teaching := range actions.TermNotices {
-		duty.submit(func() { duty.teach(service.Path, teaching) })
+	for _, notice := range actions.TermNotices {
+		coordinator.submit(func() { coordinator.sendTermNotice(service.Path, notice) })
 	}
 	for _, name := range actions.RequestSilence {
-		duty.submit(func() { duty.askSilence(service.Path, name, input.Block.LeaseLength) })
+		coordinator.submit(func() { coordinator.requestSilence(service.Path, name, input.Block.LeaseLength) })
 	}
 	if actions.Claim != nil {
-		record := duty.record()
+		record := coordinator.newRecord()
 		record.Claim = actions.Claim
-		duty.submit(func() { duty.propose(record, service.Path) })
+		coordinator.submit(func() { coordinator.propose(record, service.Path) })
 	}
 	if actions.Assign != nil {
-		record := duty.record()
+		record := coordinator.newRecord()
 		record.Assign = actions.Assign
-		duty.submit(func() { duty.propose(record, service.Path) })
+		coordinator.submit(func() { coordinator.propose(record, service.Path) })
 	}
 	if actions.Overlay != nil {
-		duty.spread(*actions.Overlay)
+		coordinator.announceOverlay(*actions.Overlay)
 	}
 }
 
-func (duty *duty) submit(task func()) {
-	_ = duty.host.workers.Go(task)
+func (coordinator *coordinator) submit(task func()) {
+	_ = coordinator.host.workers.Go(task)
 }
 
-func (duty *duty) record() fold.Record {
+func (coordinator *coordinator) newRecord() fold.Record {
 	return fold.Record{
 		Format: fold.Format,
 		ID:     uuid.NewString(),
-		Author: duty.host.config.Name,
-		Time:   duty.host.clock.Wall(),
+		Author: coordinator.host.config.Name,
+		Time:   coordinator.host.clock.Wall(),
 	}
 }
 
-func (duty *duty) propose(record fold.Record, service string) {
+func (coordinator *coordinator) propose(record fold.Record, service string) {
 	if record.Claim != nil {
-		duty.mutex.Lock()
-		duty.claims[record.ID] = true
-		duty.mutex.Unlock()
+		coordinator.mutex.Lock()
+		coordinator.ownClaims[record.ID] = true
+		coordinator.mutex.Unlock()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
-	verdict, err := duty.host.follower.Propose(ctx, record)
-	logger := duty.host.logger.With(zap.String("Service", service))
+	decision, err := coordinator.host.follower.Propose(ctx, record)
+	logger := coordinator.host.logger.With(zap.String("Service", service))
 	switch {
 	case err != nil:
 		events.Log(logger, events.AssignUnconfirmed, zap.Error(err))
-	case record.Claim != nil && !verdict.Accepted:
-		events.Log(logger, events.ClaimRefused, zap.String("Reason", verdict.Reason))
-	case record.Assign != nil && verdict.Accepted:
-		events.Log(logger, events.PlacementChanged, zap.Int64("Version", verdict.Version))
+	case record.Claim != nil && !decision.Accepted:
+		events.Log(logger, events.ClaimRefused, zap.String("Reason", decision.Reason))
+	case record.Assign != nil && decision.Accepted:
+		events.Log(logger, events.PlacementChanged, zap.Int64("Version", decision.Version))
 	}
 }
--- a/host/duty_test.go
+++ b/host/duty_test.go
@@ -30,8 +30,8 @@
 		state := fold.NewState()
 		state.Ownership[service] = fold.ServiceOwnership{Term: 7}
 		host.onState(state)
-		host.duty.caughtUp(host.clock.Now())
-		Expect(host.duty.confirmable(map[string]int64{service: 7}, host.clock.Now())).To(ConsistOf(service))
+		host.coordinator.recordCaughtUp(host.clock.Now())
+		Expect(host.coordinator.confirmedServices(map[string]int64{service: 7}, host.clock.Now())).To(ConsistOf(service))
 
 		newer := state.Clone()
 		newer.Version = state.Version + 1
@@ -39,8 +39,8 @@
 		newer.Nodes["test/keys"] = tree.Node{Path: "test/keys", Version: newer.Version, Fields: map[string]any{}}
 		newer.Ownership[service] = fold.ServiceOwnership{Term: 8}
 		host.onState(newer)
-		Expect(host.refused.Load()).NotTo(BeNil())
-		host.duty.caughtUp(host.clock.Now())
-		Expect(host.duty.confirmable(map[string]int64{service: 7}, host.clock.Now())).To(BeEmpty())
+		Expect(host.settingsError.Load()).NotTo(BeNil())
+		host.coordinator.recordCaughtUp(host.clock.Now())
+		Expect(host.coordinator.confirmedServices(map[string]int64{service: 7}, host.clock.Now())).To(BeEmpty())
 	})
 })
--- a/host/host.go
+++ b/host/host.go
@@ -36,54 +36,54 @@
 
 const (
 	poolWorkers = 64
-	// goneWait is how long connections may take to end after the last request.
-	goneWait = 2 * time.Second
+	// closeTimeout is how long connections may take to end after the last request.
+	closeTimeout = 2 * time.Second
 )
 
 // Host is one entry host.
 type Host struct {
-	config   config.Config
-	logger   *zap.Logger
-	scope    tally.Scope
-	metrics  http.Handler
-	clock    cherrykeel.Clock
-	boot     string
-	log      cherrykeel.Log
-	intents  cherrykeel.Log
-	guard    *intent.Guard
-	list     cherrykeel.HostList
-	granter  cherrykeel.Granter
-	placer   cherrykeel.Placer
-	picker   cherrykeel.Picker
-	follower *follow.Follower
-	roster   *roster
-	duty     *duty
-	conns    *conns.Pool
-	fleet    *edge.Fleet
-	peers    *wire.Client
-	denied   *deny.List
-	kept     *deny.PendingRecords
-	// deniedAt is the version of the last record on such requests, for the follower's goroutine.
-	deniedAt int64
-	workers  pond.Pool
-	table    atomic.Pointer[route.Table]
-	refused  atomic.Pointer[string]
-	requests requestGauge
-	stewards stewards
-	stopping atomic.Bool
-	started  time.Time
-	// lastReason and logWasUp are what watch last logged.
-	lastReason atomic.Pointer[string]
-	logWasUp   atomic.Bool
-	// resolved is the version of the settings in force, for the follower's goroutine.
-	resolved int64
-	hellos   atomic.Int64
+	config           config.Config
+	logger           *zap.Logger
+	scope            tally.Scope
+	metrics          http.Handler
+	clock            cherrykeel.Clock
+	incarnation      string
+	log              cherrykeel.Log
+	intentLog        cherrykeel.Log
+	intentGuard      *intent.Guard
+	hostList         cherrykeel.HostList
+	granter          cherrykeel.Granter
+	placer           cherrykeel.Placer
+	picker           cherrykeel.Picker
+	follower         *follow.Follower
+	roster           *roster
+	coordinator      *coordinator
+	connPool         *conns.Pool
+	fleet            *edge.Fleet
+	peerClient       *wire.Client
+	denyList         *deny.List
+	pendingSuspected *deny.PendingRecords
+	// suspectedVersion is the version of the last record on such requests, for the follower's goroutine.
+	suspectedVersion int64
+	workers          pond.Pool
+	table            atomic.Pointer[route.Table]
+	settingsError    atomic.Pointer[string]
+	requests         requestGauge
+	slotAllocators   slotAllocators
+	stopping         atomic.Bool
+	started          time.Time
+	// lastUnreadyReason and logWasUp are what watch last logged.
+	lastUnreadyReason atomic.Pointer[string]
+	logWasAvailable   atomic.Bool
+	// settingsVersion is the version of the settings in force, for the follower's goroutine.
+	settingsVersion int64
+	helloCount      atomic.Int64
 
-	inner       *wire.Server
-	front       *drain.Server
-	admin       *drain.Server
-	frontSocket *drain.Listener
-	adminSocket *drain.Listener
+	peerServer     *wire.Server
+	callerServer   *drain.Server
+	adminServer    *drain.Server
+	callerListener *drain.Listener
+	adminListener  *drain.Listener
 }
 
 // Option changes a Host under construction.
@@ -133,59 +133,59 @@
 		scope:   tally.NoopScope,
 		metrics: http.NotFoundHandler(),
 		// Leases on sending, and a witness's word, must not outlive a suspension of the machine.
-		clock:    cherrykeel.BootTimeClock(),
-		boot:     uuid.NewString(),
-		log:      remote.NewLog(config.Log, Stream),
-		intents:  remote.NewLog(config.Log, intent.Stream),
-		list:     remote.NewHostList(config.Hosts),
-		granter:  remote.NewGranter(),
-		placer:   place.New(),
-		picker:   picker.NewLeastLoaded(),
-		peers:    wire.NewClient(),
-		conns:    conns.NewPool(),
-		started:  time.Now(),
-		stewards: stewards{known: map[string]*stewardship{}, ranked: map[string]string{}, since: map[string]cherrykeel.Instant{}},
+		clock:          cherrykeel.BootTimeClock(),
+		incarnation:    uuid.NewString(),
+		log:            remote.NewLog(config.Log, Stream),
+		intentLog:      remote.NewLog(config.Log, intent.Stream),
+		hostList:       remote.NewHostList(config.Hosts),
+		granter:        remote.NewGranter(),
+		placer:         place.New(),
+		picker:         picker.NewLeastLoaded(),
+		peerClient:     wire.NewClient(),
+		connPool:       conns.NewPool(),
+		started:        time.Now(),
+		slotAllocators: slotAllocators{entries: map[string]*slotAllocatorEntry{}, hostByService: map[string]string{}, hostSince: map[string]cherrykeel.Instant{}},
 	}
 	for _, option := range options {
 		option(host)
 	}
-	host.kept = deny.NewPendingRecords()
-	host.denied = newDenied(host)
-	host.guard = intent.NewGuard(host.intents, host.clock, config.Name)
+	host.pendingSuspected = deny.NewPendingRecords()
+	host.denyList = newDenyList(host)
+	host.intentGuard = intent.NewGuard(host.intentLog, host.clock, config.Name)
 	host.workers = pond.NewPool(poolWorkers)
-	host.roster = &roster{view: member.NewRoster(host.member())}
-	host.duty = newDuty(host)
-	host.fleet = edge.NewFleet(config.Zone, host.boot, host.clock, host.picker, host, host.conns.SetLimit)
+	host.roster = &roster{members: member.NewRoster(host.listEntry())}
+	host.coordinator = newCoordinator(host)
+	host.fleet = edge.NewFleet(config.Zone, host.incarnation, host.clock, host.picker, host, host.connPool.SetLimit)
 	host.follower = follow.New(host.log, host.clock,
 		follow.WithPeers(host),
 		follow.OnState(host.onState),
-		follow.OnCaughtUp(host.duty.caughtUp))
+		follow.OnCaughtUp(host.coordinator.recordCaughtUp))
 	return host
 }
 
-func (host *Host) member() cherrykeel.Member {
+func (host *Host) listEntry() cherrykeel.Member {
 	inner := host.config.Inner
-	if host.inner != nil {
-		inner = host.inner.Address()
+	if host.peerServer != nil {
+		inner = host.peerServer.Address()
 	}
 	if host.config.AnnounceInner != "" {
 		inner = host.config.AnnounceInner
 	}
-	front, admin := host.addresses()
+	callerAddress, adminAddress := host.addresses()
 	return cherrykeel.Member{
 		Name:            host.config.Name,
 		Role:            cherrykeel.RoleEntry,
 		Zone:            host.config.Zone,
 		Leaving:         host.stopping.Load(),
-		Address:         front,
+		Address:         callerAddress,
 		InternalAddress: inner,
-		AdminAddress:    admin,
+		AdminAddress:    adminAddress,
 	}
 }
 
 // addresses returns where the host takes callers and operators; before Listen, where it is to take them.
-func (host *Host) addresses() (front, admin string) {
-	if host.frontSocket == nil || host.adminSocket == nil {
+func (host *Host) addresses() (callerAddress, adminAddress string) {
+	if host.callerListener == nil || host.adminListener == nil {
 		return host.config.Listen, host.config.Admin
 	}
 	return host.Address(), host.AdminAddress()
@@ -194,38 +194,38 @@
 // Listen opens the host's sockets.
 func (host *Host) Listen() error {
 	var err error
-	host.frontSocket, err = drain.Listen(host.config.Listen)
+	host.callerListener, err = drain.Listen(host.config.Listen)
 	if err != nil {
 		return errors.Wrap(err, "Listen")
 	}
-	host.adminSocket, err = drain.Listen(host.config.Admin)
+	host.adminListener, err = drain.Listen(host.config.Admin)
 	if err != nil {
 		return errors.Wrap(err, "Admin")
 	}
-	host.inner, err = wire.Listen(host.config.Inner, host.methods())
+	host.peerServer, err = wire.Listen(host.config.Inner, host.methods())
 	if err != nil {
 		return errors.Wrap(err, "Inner")
 	}
-	host.roster.replaceSelf(host.member())
+	host.roster.replaceSelf(host.listEntry())
 	return nil
 }
 
 // Address returns where the host takes callers.
 func (host *Host) Address() string {
-	return host.frontSocket.Addr().String()
+	return host.callerListener.Addr().String()
 }
 
 // AdminAddress returns where the host takes operators.
 func (host *Host) AdminAddress() string {
-	return host.adminSocket.Addr().String()
+	return host.adminListener.Addr().String()
 }
 
 // onState takes a new state into force.
 func (host *Host) onState(state *fold.State) {
-	host.learnDenied(state)
-	if host.table.Load() != nil && host.refused.Load() == nil && state.Version == host.resolved {
+	host.mergeSuspected(state)
+	if host.table.Load() != nil && host.settingsError.Load() == nil && state.Version == host.settingsVersion {
 		// Only ownership has changed; reading every setting again would cost a hundred times as much.
-		host.duty.onState(state)
+		host.coordinator.onState(state)
 		return
 	}
 	services, err := tree.Services(state.Nodes)
@@ -233,24 +233,24 @@
 		// Going on with the old settings would serve old values silently; so the host
 		// says why and turns unready until a program that knows the settings replaces it.
 		text := err.Error()
-		host.refused.Store(&text)
-		host.duty.learnTerms(state)
+		host.settingsError.Store(&text)
+		host.coordinator.recordTerms(state)
 		events.Log(host.logger, events.SettingsRefused, zap.Error(err), zap.Int64("Version", state.Version))
 		return
 	}
-	host.refused.Store(nil)
-	host.resolved = state.Version
+	host.settingsError.Store(nil)
+	host.settingsVersion = state.Version
 	previous := host.table.Load()
 	table := route.NewTable(services)
 	host.table.Store(table)
 	host.updateFleet()
-	host.duty.onState(state)
-	if previous == nil || versionOf(previous) != state.Version {
+	host.coordinator.onState(state)
+	if previous == nil || newestServiceVersion(previous) != state.Version {
 		events.Log(host.logger, events.SettingsInForce, zap.Int64("Version", state.Version))
 	}
 }
 
-func versionOf(table *route.Table) int64 {
+func newestServiceVersion(table *route.Table) int64 {
 	version := int64(0)
 	for _, service := range table.Services() {
 		version = max(version, service.Version)
@@ -261,18 +261,18 @@
 func (host *Host) updateFleet() {
 	table := host.table.Load()
 	if table != nil {
-		host.fleet.Update(table.Services(), host.roster.activeHosts())
+		host.fleet.Update(table.Services(), host.roster.hostCount())
 	}
 }
 
-// Table implements edge.Tables.
+// Table implements edge.TableSource.
 func (host *Host) Table() *route.Table {
 	return host.table.Load()
 }
 
 // Owner implements edge.Owners.
 func (host *Host) Owner(service string, partition int, key string) string {
-	return host.duty.owner(service, partition, key)
+	return host.coordinator.owner(service, partition, key)
 }
 
 // IsDraining implements edge.Owners.
@@ -282,7 +282,7 @@
 			return true
 		}
 	}
-	return host.roster.left(upstream)
+	return host.roster.hasLeft(upstream)
 }
 
 // Run serves until the context ends, then stops gracefully.
@@ -308,20 +308,20 @@
 
 func (host *Host) startLoops(ctx context.Context) {
 	go host.follower.Run(ctx)
-	go host.guard.Run(ctx)
-	go host.askSlots(ctx)
-	go host.keepDenied(ctx)
-	go every(ctx, listPause, host.readList)
-	go every(ctx, announcePause, host.announce)
-	go every(ctx, helloPause, host.sayHello)
-	go every(ctx, tickPause, host.duty.tick)
-	go every(ctx, checkpointPause, host.checkpoint)
-	go every(ctx, watchPause, host.watch)
+	go host.intentGuard.Run(ctx)
+	go host.requestSlots(ctx)
+	go host.storeSuspected(ctx)
+	go runEvery(ctx, listInterval, host.refreshList)
+	go runEvery(ctx, announceInterval, host.announce)
+	go runEvery(ctx, helloInterval, host.sendHellos)
+	go runEvery(ctx, tickInterval, host.coordinator.tick)
+	go runEvery(ctx, checkpointInterval, host.checkpoint)
+	go runEvery(ctx, maintainInterval, host.maintain)
 }
 
-// every calls a step at once and then again after each pause, until the context ends.
-func every(ctx context.Context, pause time.Duration, step func(ctx context.Context)) {
-	ticker := time.NewTicker(pause)
+// runEvery calls a step at once and then again after each pause, until the context ends.
+func runEvery(ctx context.Context, interval time.Duration, step func(ctx context.Context)) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		step(ctx)
--- a/host/inner.go
+++ b/host/inner.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	helloPause   = time.Second
-	helloTimeout = 800 * time.Millisecond
-	// demandEvery is how many hellos go out for each report of load by partition, which is much larger.
-	demandEvery = 5
-	// peerAge is how long a peer counts as reachable after it last spoke.
-	peerAge      = 5 * time.Second
+	helloInterval = time.Second
+	helloTimeout  = 800 * time.Millisecond
+	// hellosPerDemand is how many hellos go out for each report of load by partition, which is much larger.
+	hellosPerDemand = 5
+	// peerFreshFor is how long a peer counts as reachable after it last spoke.
+	peerFreshFor = 5 * time.Second
 	fetchTimeout = time.Second
 )
 
@@ -31,14 +31,14 @@
 	return map[string]wire.Method{
 		wire.MethodHello:             host.onHello,
 		wire.MethodConfirm:           host.onConfirm,
-		wire.MethodAnnounceTerm:      host.onTeach,
+		wire.MethodAnnounceTerm:      host.onAnnounceTerm,
 		wire.MethodSilence:           host.onSilence,
 		wire.MethodOverlay:           host.onOverlay,
-		wire.MethodForwardGrant:      host.onRelay,
-		wire.MethodViewGrant:         host.onView,
+		wire.MethodForwardGrant:      host.onForwardGrant,
+		wire.MethodViewGrant:         host.onViewGrant,
 		wire.MethodFetch:             host.onFetch,
 		wire.MethodSlots:             host.onSlots,
-		wire.MethodSuspectedRequests: host.onDenied,
+		wire.MethodSuspectedRequests: host.onSuspectedRequests,
 	}
 }
 
@@ -48,13 +48,13 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	host.hear(hello)
+	host.receiveHello(hello)
 	status := host.follower.Status()
 	return wire.HelloReply{Host: host.config.Name, Next: status.Next, Chain: status.Chain}, nil
 }
 
-func (host *Host) hear(hello wire.Hello) {
-	host.roster.hear(member.PeerReport{
+func (host *Host) receiveHello(hello wire.Hello) {
+	host.roster.recordReport(member.PeerReport{
 		Host:         hello.Host,
 		Leaving:      hello.Leaving,
 		Next:         hello.Next,
@@ -65,7 +65,7 @@
 		Refusing:     hello.Refusing,
 	}, host.clock.Now())
 	for service, demand := range hello.Demands {
-		host.duty.hearDemand(hello.Host, service, demand)
+		host.coordinator.receiveDemand(hello.Host, service, demand)
 	}
 	if host.follower.HasDiverged(hello.Next, hello.Chain) {
 		events.Log(host.logger, events.FoldDiverged, zap.String("Peer", hello.Host), zap.Int64("Next", hello.Next))
@@ -78,18 +78,18 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	host.duty.mutex.Lock()
-	defer host.duty.mutex.Unlock()
-	return wire.ConfirmReply{Confirmed: host.duty.confirmable(confirm.Terms, host.clock.Now())}, nil
+	host.coordinator.mutex.Lock()
+	defer host.coordinator.mutex.Unlock()
+	return wire.ConfirmReply{Confirmed: host.coordinator.confirmedServices(confirm.Terms, host.clock.Now())}, nil
 }
 
-func (host *Host) onTeach(_ context.Context, params json.RawMessage) (any, error) {
-	var teach wire.AnnounceTerm
-	err := json.Unmarshal(params, &teach)
+func (host *Host) onAnnounceTerm(_ context.Context, params json.RawMessage) (any, error) {
+	var announcement wire.AnnounceTerm
+	err := json.Unmarshal(params, &announcement)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	host.duty.learn(teach.Service, teach.Term)
+	host.coordinator.recordTerm(announcement.Service, announcement.Term)
 	return wire.EmptyReply{}, nil
 }
 
@@ -99,10 +99,10 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	host.duty.mutex.Lock()
-	defer host.duty.mutex.Unlock()
-	asked := host.duty.witness.LastRequestAt(silence.Service)
-	return wire.SilenceReply{Silence: host.clock.Now().Sub(asked)}, nil
+	host.coordinator.mutex.Lock()
+	defer host.coordinator.mutex.Unlock()
+	lastRequestAt := host.coordinator.witness.LastRequestAt(silence.Service)
+	return wire.SilenceReply{Silence: host.clock.Now().Sub(lastRequestAt)}, nil
 }
 
 func (host *Host) onOverlay(_ context.Context, params json.RawMessage) (any, error) {
@@ -111,22 +111,22 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	host.duty.applyOverlay(overlay.Overlay)
+	host.coordinator.applyOverlay(overlay.Overlay)
 	return wire.EmptyReply{}, nil
 }
 
-func (host *Host) onRelay(ctx context.Context, params json.RawMessage) (any, error) {
-	var relay wire.ForwardGrant
-	err := json.Unmarshal(params, &relay)
+func (host *Host) onForwardGrant(ctx context.Context, params json.RawMessage) (any, error) {
+	var request wire.ForwardGrant
+	err := json.Unmarshal(params, &request)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	return host.grantOrAsk(ctx, relay)
+	return host.grantOrQuery(ctx, request)
 }
 
-func (host *Host) onView(_ context.Context, params json.RawMessage) (any, error) {
+func (host *Host) onViewGrant(_ context.Context, params json.RawMessage) (any, error) {
 	var view wire.ViewGrant
 	err := json.Unmarshal(params, &view)
 	if err != nil {
@@ -148,12 +148,12 @@
 	if !host.follower.Status().CaughtUp {
 		return nil, errors.New("this host has not caught up itself")
 	}
-	relay, err := host.follower.RecordsFrom(fetch.From)
-	return wire.FetchReply{MissingRecords: relay}, err
+	missing, err := host.follower.RecordsFrom(fetch.From)
+	return wire.FetchReply{MissingRecords: missing}, err
 }
 
-// sayHello tells every peer how this host fares.
-func (host *Host) sayHello(context.Context) {
+// sendHellos tells every peer how this host fares.
+func (host *Host) sendHellos(context.Context) {
 	status := host.follower.Status()
 	unreachable, refusing := host.fleet.UnavailableUpstreams()
 	hello := wire.Hello{
@@ -168,38 +168,38 @@
 		Refusing:    refusing,
 	}
 	demands := map[string]cherrykeel.Demand{}
-	if host.hellos.Add(1)%demandEvery == 0 {
+	if host.helloCount.Add(1)%hellosPerDemand == 0 {
 		demands = host.fleet.Demands(partitionOf)
 	}
 	own := hello
-	own.Demands = host.duty.demandsFor(host.config.Name, demands)
-	host.hear(own)
-	for name := range host.greeted() {
-		told := hello
-		told.Demands = host.duty.demandsFor(name, demands)
+	own.Demands = host.coordinator.demandsForKeeper(host.config.Name, demands)
+	host.receiveHello(own)
+	for name := range host.helloTargets() {
+		message := hello
+		message.Demands = host.coordinator.demandsForKeeper(name, demands)
 		_ = host.workers.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), helloTimeout)
 			defer cancel()
 			var reply wire.HelloReply
-			_ = host.call(ctx, name, wire.MethodHello, told, &reply)
+			_ = host.call(ctx, name, wire.MethodHello, message, &reply)
 		})
 	}
 }
 
-// greeted names the peers that are told how this host fares: its neighbours, and the keepers
+// helloTargets names the peers that are told how this host fares: its neighbours, and the keepers
 // of the services that it has sent requests to.
-func (host *Host) greeted() map[string]bool {
+func (host *Host) helloTargets() map[string]bool {
 	names := append(host.others(), host.config.Name)
-	greeted := map[string]bool{}
+	targets := map[string]bool{}
 	for _, name := range member.Neighbours(host.config.Name, names) {
-		greeted[name] = true
+		targets[name] = true
 	}
 	for service := range host.fleet.SlotRequests() {
-		greeted[host.duty.keeperOf(service)] = true
+		targets[host.coordinator.keeperOf(service)] = true
 	}
-	delete(greeted, "")
-	delete(greeted, host.config.Name)
-	return greeted
+	delete(targets, "")
+	delete(targets, host.config.Name)
+	return targets
 }
 
 // Fetch implements follow.Peers.
@@ -211,19 +211,19 @@
 		// may itself be behind: of most peers, one at least has read the newest acknowledged record.
 		needed = len(others)/2 + 1
 	}
-	best := follow.MissingRecords{Next: -1}
+	newest := follow.MissingRecords{Next: -1}
 	answers := 0
 	for _, name := range others {
-		relay, err := host.fetchFrom(ctx, name, from)
+		missing, err := host.fetchFrom(ctx, name, from)
 		if err != nil {
 			continue
 		}
 		answers++
-		if relay.Next > best.Next {
-			best = relay
+		if missing.Next > newest.Next {
+			newest = missing
 		}
 		if answers >= needed {
-			return best, nil
+			return newest, nil
 		}
 	}
 	return follow.MissingRecords{}, errors.Errorf("%d of %d peers answered, %d are needed", answers, len(others), needed)
--- a/host/roster.go
+++ b/host/roster.go
@@ -14,81 +14,81 @@
 )
 
 const (
-	listPause     = 500 * time.Millisecond
-	announcePause = 2 * time.Second
-	listTimeout   = 2 * time.Second
+	listInterval     = 500 * time.Millisecond
+	announceInterval = 2 * time.Second
+	listTimeout      = 2 * time.Second
 )
 
 // roster guards the membership with a lock.
 type roster struct {
-	mutex sync.Mutex
-	view  *member.Roster
-	lost  bool
-	// cached is the last answer of peers, until the view changes.
-	cached []member.Peer
+	mutex           sync.Mutex
+	members         *member.Roster
+	listUnavailable bool
+	// cachedPeers is the last answer of peers, until the view changes.
+	cachedPeers []member.Peer
 }
 
 func (roster *roster) replaceSelf(self cherrykeel.Member) {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	roster.view = member.NewRoster(self)
-	roster.cached = nil
+	roster.members = member.NewRoster(self)
+	roster.cachedPeers = nil
 }
 
 func (roster *roster) setLeaving() {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	roster.view.SetLeaving()
-	roster.cached = nil
+	roster.members.SetLeaving()
+	roster.cachedPeers = nil
 }
 
-func (roster *roster) left(upstream string) bool {
+func (roster *roster) hasLeft(upstream string) bool {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	return roster.view.HasLeft(upstream)
+	return roster.members.HasLeft(upstream)
 }
 
-func (roster *roster) hear(word member.PeerReport, now cherrykeel.Instant) {
+func (roster *roster) recordReport(report member.PeerReport, now cherrykeel.Instant) {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	roster.view.RecordReport(word, now)
-	roster.cached = nil
+	roster.members.RecordReport(report, now)
+	roster.cachedPeers = nil
 }
 
 // peers returns the entry hosts, by name; the slice must not be changed.
 func (roster *roster) peers() []member.Peer {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	if roster.cached == nil {
-		roster.cached = roster.view.Peers()
+	if roster.cachedPeers == nil {
+		roster.cachedPeers = roster.members.Peers()
 	}
-	return roster.cached
+	return roster.cachedPeers
 }
 
-func (roster *roster) gone() map[string]bool {
+func (roster *roster) removedHosts() map[string]bool {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	return roster.view.Gone()
+	return roster.members.Gone()
 }
 
-func (roster *roster) down(service, upstream string, now cherrykeel.Instant) bool {
+func (roster *roster) isDown(service, upstream string, now cherrykeel.Instant) bool {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	return roster.view.IsDown(service, upstream, now)
+	return roster.members.IsDown(service, upstream, now)
 }
 
-func (roster *roster) refusing(service, upstream string, now cherrykeel.Instant) bool {
+func (roster *roster) isRefusing(service, upstream string, now cherrykeel.Instant) bool {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	return roster.view.IsRefusing(service, upstream, now)
+	return roster.members.IsRefusing(service, upstream, now)
 }
 
-// activeHosts counts the entry hosts among which upstreams' slots are shared.
-func (roster *roster) activeHosts() int {
+// hostCount counts the entry hosts among which upstreams' slots are shared.
+func (roster *roster) hostCount() int {
 	return max(1, len(roster.peers()))
 }
 
-func (roster *roster) hosts() []keeper.Host {
+func (roster *roster) keeperHosts() []keeper.Host {
 	var hosts []keeper.Host
 	for _, peer := range roster.peers() {
 		hosts = append(hosts, keeper.Host{Name: peer.Name, Zone: peer.Zone, Leaving: peer.Leaving})
@@ -96,8 +96,8 @@
 	return hosts
 }
 
-// inner returns a peer's address for the inner protocol, or an empty string.
-func (roster *roster) inner(name string) string {
+// internalAddress returns a peer's address for the inner protocol, or an empty string.
+func (roster *roster) internalAddress(name string) string {
 	for _, peer := range roster.peers() {
 		if peer.Name == name {
 			return peer.Inner
@@ -106,45 +106,45 @@
 	return ""
 }
 
-func (host *Host) readList(ctx context.Context) {
+func (host *Host) refreshList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	members, err := host.list.Members(ctx)
-	host.noteList(err)
+	members, err := host.hostList.Members(ctx)
+	host.recordListResult(err)
 	if err != nil {
 		return
 	}
-	before := host.roster.activeHosts()
+	before := host.roster.hostCount()
 	host.roster.mutex.Lock()
-	host.roster.view.ApplyList(members, host.clock.Now())
-	host.roster.cached = nil
+	host.roster.members.ApplyList(members, host.clock.Now())
+	host.roster.cachedPeers = nil
 	host.roster.mutex.Unlock()
-	if host.roster.activeHosts() != before {
+	if host.roster.hostCount() != before {
 		host.updateFleet()
 	}
-	host.rankStewards()
+	host.updateSlotAllocatorHosts()
 }
 
-func (host *Host) noteList(err error) {
+func (host *Host) recordListResult(err error) {
 	host.roster.mutex.Lock()
 	defer host.roster.mutex.Unlock()
-	if err != nil && !host.roster.lost {
+	if err != nil && !host.roster.listUnavailable {
 		events.Log(host.logger, events.HostListUnavailable, zap.Error(err))
 	}
-	host.roster.lost = err != nil
+	host.roster.listUnavailable = err != nil
 }
 
 // announce puts this host on the platform's list; a failure shows in readList already.
 func (host *Host) announce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	_ = host.list.Announce(ctx, host.member())
+	_ = host.hostList.Announce(ctx, host.listEntry())
 }
 
 // hasSuccessor reports whether another host could take over this host's roles.
 func (host *Host) hasSuccessor() bool {
 	for _, peer := range host.roster.peers() {
-		recent := host.clock.Now().Sub(peer.ReceivedAt) < peerAge
+		recent := host.clock.Now().Sub(peer.ReceivedAt) < peerFreshFor
 		if peer.Name != host.config.Name && !peer.Leaving && peer.ReceivedAt != 0 && recent {
 			return true
 		}
--- a/host/serve.go
+++ b/host/serve.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	headTimeout = 10 * time.Second
-	idleTimeout = 90 * time.Second
-	stopPoll    = 20 * time.Millisecond
+	headerTimeout    = 10 * time.Second
+	idleTimeout      = 90 * time.Second
+	stopPollInterval = 20 * time.Millisecond
 )
 
 // requestGauge counts the callers' requests in flight.
@@ -34,13 +34,13 @@
 		cherrykeel.WithStage(edge.NewMeter(host.scope, host.clock), edge.PriorityMeter),
 		cherrykeel.WithStage(edge.NewMatch(host), edge.PriorityMatch),
 		cherrykeel.WithStage(edge.NewBody(host.clock), edge.PriorityBody),
-		cherrykeel.WithStage(intent.NewStage(host.guard, host.clock), edge.PriorityIdempotency),
-		cherrykeel.WithStage(edge.NewForward(host.fleet, host.conns, host.denied, host.clock, host.logger), edge.PriorityForward),
+		cherrykeel.WithStage(intent.NewStage(host.intentGuard, host.clock), edge.PriorityIdempotency),
+		cherrykeel.WithStage(edge.NewForward(host.fleet, host.connPool, host.denyList, host.clock, host.logger), edge.PriorityForward),
 	)
 }
 
-// counted tracks requests in flight.
-func (host *Host) counted(next http.Handler) http.Handler {
+// countRequests tracks requests in flight.
+func (host *Host) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		host.requests.count.Add(1)
 		defer host.requests.count.Add(-1)
@@ -50,20 +50,20 @@
 
 // serve answers callers and operators; the channel gives the error of a server that fails.
 func (host *Host) serve() chan error {
-	quiet, _ := zap.NewStdLogAt(host.logger, zap.DebugLevel)
-	host.front = drain.New(&http.Server{
-		Handler:           host.counted(host.router()),
-		ReadHeaderTimeout: headTimeout,
+	errorLog, _ := zap.NewStdLogAt(host.logger, zap.DebugLevel)
+	host.callerServer = drain.New(&http.Server{
+		Handler:           host.countRequests(host.router()),
+		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    host.config.MaxHeaderBytes,
-		ErrorLog:          quiet,
-	}, host.frontSocket)
-	host.admin = drain.New(&http.Server{
+		ErrorLog:          errorLog,
+	}, host.callerListener)
+	host.adminServer = drain.New(&http.Server{
 		Handler:           host.adminHandler(),
-		ReadHeaderTimeout: headTimeout,
+		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		ErrorLog:          quiet,
-	}, host.adminSocket)
+		ErrorLog:          errorLog,
+	}, host.adminListener)
 	failed := make(chan error, 2)
 	start := func(server *drain.Server) {
 		err := server.Serve()
@@ -71,8 +71,8 @@
 			failed <- err
 		}
 	}
-	go start(host.front)
-	go start(host.admin)
+	go start(host.callerServer)
+	go start(host.adminServer)
 	return failed
 }
 
@@ -80,27 +80,27 @@
 // balancer notices, the keeper's roles are handed over, and the requests in flight end.
 func (host *Host) stop() {
 	host.stopping.Store(true)
-	host.front.DisableKeepAlives()
+	host.callerServer.DisableKeepAlives()
 	events.Log(host.logger, events.HostStopping)
-	limit := time.Now().Add(host.config.StopTimeout.Duration)
-	ctx, cancel := context.WithDeadline(context.Background(), limit)
+	deadline := time.Now().Add(host.config.StopTimeout.Duration)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	host.roster.setLeaving()
 	host.announce(ctx)
-	host.sayHello(ctx)
-	pauseUntil(ctx, time.Now().Add(host.config.StopDelay.Duration))
-	for host.duty.holdsAny() && host.hasSuccessor() && ctx.Err() == nil {
-		pauseUntil(ctx, time.Now().Add(stopPoll))
+	host.sendHellos(ctx)
+	sleepUntil(ctx, time.Now().Add(host.config.StopDelay.Duration))
+	for host.coordinator.holdsAnyRole() && host.hasSuccessor() && ctx.Err() == nil {
+		sleepUntil(ctx, time.Now().Add(stopPollInterval))
 	}
-	err := host.front.StopAccepting(ctx)
+	err := host.callerServer.StopAccepting(ctx)
 	events.Log(host.logger, events.HostListenerClosed, zap.Int64("Requests", host.requests.count.Load()), zap.Error(err))
-	err = host.front.Finish(ctx)
+	err = host.callerServer.Finish(ctx)
 	if err != nil {
 		events.Log(host.logger, events.HostRequestsAborted, zap.Int64("Requests", host.requests.count.Load()), zap.Error(err))
 	}
 }
 
-func pauseUntil(ctx context.Context, until time.Time) {
+func sleepUntil(ctx context.Context, until time.Time) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
@@ -110,19 +110,19 @@
 }
 
 func (host *Host) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), goneWait)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	_ = host.admin.Stop(ctx)
-	host.logUnused()
-	host.inner.Close()
-	host.peers.Close()
+	_ = host.adminServer.Stop(ctx)
+	host.logUnusedConnections()
+	host.peerServer.Close()
+	host.peerClient.Close()
 	host.workers.StopAndWait()
 	events.Log(host.logger, events.HostStopped)
 }
 
-// logUnused tells how many connections ended that had been opened and never used.
-func (host *Host) logUnused() {
-	callers, operators := host.front.ClosedUnused(), host.admin.ClosedUnused()
+// logUnusedConnections tells how many connections ended that had been opened and never used.
+func (host *Host) logUnusedConnections() {
+	callers, operators := host.callerServer.ClosedUnused(), host.adminServer.ClosedUnused()
 	if callers+operators > 0 {
 		events.Log(host.logger, events.HostConnsUnused, zap.Int64("Callers", callers), zap.Int64("Operators", operators))
 	}
--- a/host/watch.go
+++ b/host/watch.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	watchPause      = time.Second
-	checkpointPause = 2 * time.Second
+	maintainInterval   = time.Second
+	checkpointInterval = 2 * time.Second
 	// staleAfter is how long a host that hears neither the log nor any peer stays ready.
 	staleAfter = 5 * time.Second
 )
 
-// demandsFor returns what a peer must know as the keeper of services.
-func (duty *duty) demandsFor(peer string, demands map[string]cherrykeel.Demand) map[string]cherrykeel.Demand {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	part := map[string]cherrykeel.Demand{}
+// demandsForKeeper returns what a peer must know as the keeper of services.
+func (coordinator *coordinator) demandsForKeeper(peer string, demands map[string]cherrykeel.Demand) map[string]cherrykeel.Demand {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	selected := map[string]cherrykeel.Demand{}
 	for service, demand := range demands {
-		if duty.state.Ownership[service].Keeper == peer {
-			part[service] = demand
+		if coordinator.state.Ownership[service].Keeper == peer {
+			selected[service] = demand
 		}
 	}
-	return part
+	return selected
 }
 
-func (duty *duty) keeperOf(service string) string {
-	duty.mutex.Lock()
-	defer duty.mutex.Unlock()
-	return duty.state.Ownership[service].Keeper
+func (coordinator *coordinator) keeperOf(service string) string {
+	coordinator.mutex.Lock()
+	defer coordinator.mutex.Unlock()
+	return coordinator.state.Ownership[service].Keeper
 }
 
 // UnreadyReason returns why the host should get no callers, or an empty string.
@@ -42,22 +42,22 @@
 	if host.stopping.Load() {
 		return "the host is stopping"
 	}
-	if refused := host.refused.Load(); refused != nil {
-		return "the settings in the log cannot be used: " + *refused
+	if settingsError := host.settingsError.Load(); settingsError != nil {
+		return "the settings in the log cannot be used: " + *settingsError
 	}
 	status := host.follower.Status()
 	if !status.CaughtUp {
 		return "not caught up with the log: " + status.Reason
 	}
-	if host.cutOff(status.SinceLogReply) {
+	if host.isCutOff(status.SinceLogReply) {
 		return "cut off from the log and from all peers, so the settings may be old"
 	}
 	return ""
 }
 
-// cutOff reports whether the host hears nobody who could tell it of new settings.
+// isCutOff reports whether the host hears nobody who could tell it of new settings.
 // A log that is out for all is no reason: then nothing new can be in force anywhere.
-func (host *Host) cutOff(silence time.Duration) bool {
+func (host *Host) isCutOff(silence time.Duration) bool {
 	if silence < staleAfter {
 		return false
 	}
@@ -75,19 +75,19 @@
 	return others > 0
 }
 
-// watch logs changes of the host's own condition and sweeps idle connections.
-func (host *Host) watch(context.Context) {
-	host.conns.CloseExpired()
-	_ = host.denied.RemoveExpired()
-	host.denied.UpdateMetrics(host.scope)
-	host.noteReadiness(host.UnreadyReason())
-	host.noteLog(host.follower.Status().LogUp)
+// maintain logs changes of the host's own condition and sweeps idle connections.
+func (host *Host) maintain(context.Context) {
+	host.connPool.CloseExpired()
+	_ = host.denyList.RemoveExpired()
+	host.denyList.UpdateMetrics(host.scope)
+	host.logReadiness(host.UnreadyReason())
+	host.logLogAvailability(host.follower.Status().LogUp)
 	host.scope.Gauge("requests_in_flight").Update(float64(host.requests.count.Load()))
 	host.scope.Gauge("log_next_offset").Update(float64(host.follower.Status().Next))
 }
 
-func (host *Host) noteReadiness(reason string) {
-	last := host.lastReason.Swap(&reason)
+func (host *Host) logReadiness(reason string) {
+	last := host.lastUnreadyReason.Swap(&reason)
 	if last != nil && *last == reason {
 		return
 	}
@@ -98,8 +98,8 @@
 	events.Log(host.logger, events.HostUnready, zap.String("Reason", reason))
 }
 
-func (host *Host) noteLog(up bool) {
-	if host.logWasUp.Swap(up) == up {
+func (host *Host) logLogAvailability(up bool) {
+	if host.logWasAvailable.Swap(up) == up {
 		return
 	}
 	event := events.LogUnavailable
@@ -114,14 +114,14 @@
 func (host *Host) checkpoint(ctx context.Context) {
 	state := host.follower.State()
 	status := host.follower.Status()
-	since := state.Next - max(state.CheckpointAt, 0)
+	recordsSince := state.Next - max(state.CheckpointAt, 0)
 	rank := host.checkpointRank()
-	if !status.CaughtUp || !status.LogUp || since < int64(host.config.CheckpointRecords)*int64(2+rank)/2 {
+	if !status.CaughtUp || !status.LogUp || recordsSince < int64(host.config.CheckpointRecords)*int64(2+rank)/2 {
 		return
 	}
 	snapshot, err := state.Snapshot()
 	if err == nil {
-		record := host.duty.record()
+		record := host.coordinator.newRecord()
 		record.Checkpoint = &snapshot
 		ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 		defer cancel()
