--- a/host/admin.go
+++ b/host/admin.go
@@ -10,50 +10,56 @@
 	"cherrykeel/route"
 )
 
-// PeerStatus is another host as this one sees it.
+// PeerStatus is this host's state of another host.
 type PeerStatus struct {
 	Name    string
 	Zone    string
 	Leaving bool
-	// Silence is how long ago the peer last spoke, negative if never.
+	// Silence is the time since the last message from the peer, negative if there was none.
 	Silence time.Duration
 	Version int64
 	LogUp   bool
-	// Differs says that the peer's fold differs from this host's.
+	// Differs reports that the peer folded the same records to another state than this host.
 	Differs bool
 }
 
-// ServiceStatus is a keyed service as this host sees it.
+// ServiceStatus is this host's state of a keyed service.
 type ServiceStatus struct {
 	Service   string
 	Term      int64
 	Keeper    string
 	Witnesses []string
 	Sequence  int64
-	// Owned counts partitions by owner.
+	// Owned is the number of partitions by owner.
 	Owned   map[string]int
 	HotKeys map[string]string
-	// Term state, on the keeper only.
+	// Report is the state of the keeper's term, on the keeper only.
 	Report *keeper.Report `json:",omitempty"`
 }
 
-// Status is what a host tells operators.
+// Status is a host's state as shown to operators.
 type Status struct {
-	Name     string
-	Zone     string
-	Ready    bool
-	Reason   string
-	Version  int64
-	Next     int64
-	Chain    uint64
-	LogUp    bool
-	Uptime   time.Duration
+	Name  string
+	Zone  string
+	Ready bool
+	// Reason is why the host is not ready, or empty.
+	Reason string
+	// Version is the version of the last accepted change of settings.
+	Version int64
+	// Next is the offset of the first log record that has not been folded yet, and Chain a hash over all earlier ones and
+	// the decisions on them.
+	Next  int64
+	Chain uint64
+	// LogUp reports whether the last read of the log succeeded.
+	LogUp  bool
+	Uptime time.Duration
+	// InFlight is the number of callers' requests in flight.
 	InFlight int64
 	Peers    []PeerStatus
 	Services []ServiceStatus
 }
 
-// Ownership tells operators who owns a key.
+// Ownership is the owner of a key as shown to operators.
 type Ownership struct {
 	Service   string
 	Key       string
@@ -91,7 +97,7 @@
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// Status returns the host's condition.
+// Status returns the host's current state.
 func (host *Host) Status() Status {
 	status := host.follower.Status()
 	reason := host.UnreadyReason()
--- a/host/denied.go
+++ b/host/denied.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	// minCrashesToStore is how many ends a request stands at when the log is told of it: every host reads the log, so what it
-	// holds needs no other way. An upstream's loss leaves some dozens of such requests, in one record.
+	// minCrashesToStore is how many crashes a request needs before it is written to the log. One is enough: every host
+	// reads the log, so records need no other way to the hosts, and a crash adds only some dozens of requests, in one
+	// record.
 	minCrashesToStore = 1
-	// suspectedBatchDelay lets what stood at one end come together in one record.
+	// suspectedBatchDelay is how long requests are collected, so that those of one crash share a record.
 	suspectedBatchDelay = 20 * time.Millisecond
-	// maxSuspectedRetryDelay bounds the pauses while the log does not take a record.
+	// maxSuspectedRetryDelay is the longest wait between two attempts to append a record.
 	maxSuspectedRetryDelay = time.Second
 )
 
@@ -32,7 +33,8 @@
 	})
 }
 
-// announceSuspected tells the other hosts of a request while the log, by which they learn of it otherwise, is out.
+// announceSuspected sends the record of a suspected request to the other hosts while the log, where they would read it,
+// is unavailable.
 func (host *Host) announceSuspected(record poison.Record) {
 	if !host.follower.Status().LogUp {
 		host.sendSuspected([]fold.SuspectedRequest{{Fingerprint: record.Fingerprint.String(), Request: record}})
@@ -45,7 +47,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 			defer cancel()
 			var reply wire.EmptyReply
-			// A peer that is not reached reads the record when the log is back.
+			// A peer that cannot be reached reads the record once the log is available again.
 			_ = host.call(ctx, name, wire.MethodSuspectedRequests, wire.SuspectedRequests{Requests: requests}, &reply)
 		})
 	}
@@ -68,7 +70,8 @@
 	return wire.EmptyReply{}, nil
 }
 
-// storeSuspected writes records to the log until the context ends, each until the log has it.
+// storeSuspected appends the pending records of suspected requests to the log until the context ends. It retries each
+// batch until it succeeds.
 func (host *Host) storeSuspected(ctx context.Context) {
 	for ctx.Err() == nil {
 		fingerprints := host.pendingSuspected.DequeueAll(ctx)
@@ -81,7 +84,8 @@
 	}
 }
 
-// proposeSuspected reports whether the log has what is known of some requests. While it is out, the other hosts are told.
+// proposeSuspected appends the records of some suspected requests to the log and reports whether that succeeded. If it
+// failed, it sends them to the other hosts.
 func (host *Host) proposeSuspected(ctx context.Context, fingerprints []poison.Fingerprint) bool {
 	record := host.coordinator.newRecord()
 	for _, fingerprint := range fingerprints {
@@ -103,7 +107,7 @@
 	return err == nil
 }
 
-// mergeSuspected takes what the log holds of requests that were at work when upstreams ended.
+// mergeSuspected merges the state's records of suspected requests into the deny list.
 func (host *Host) mergeSuspected(state *fold.State) {
 	if state.SuspectedVersion == host.suspectedVersion {
 		return
--- a/host/doc.go
+++ b/host/doc.go
@@ -1,7 +1,6 @@
-// Package host assembles an entry host: it runs the loops, carries out what the
-// decision packages decide, and answers callers, operators and peers.
+// Package host assembles an entry host: it runs the periodic loops, executes what the decision packages decide, and
+// serves callers, operators and peers.
 //
-// Lock order: duty.mutex, then roster's, then the edge package's; the
-// stewards' lock stands alone. A lock is
-// never held over a call to another process.
+// Lock order: the edge package's locks, then coordinator.mutex or the roster's, of which only one is held at a time;
+// slotAllocators.mutex is never held together with another lock. No lock is held during a call to another process.
 package host
--- a/host/duty.go
+++ b/host/duty.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	tickInterval     = 20 * time.Millisecond
-	proposeTimeout   = 2 * time.Second
+	tickInterval   = 20 * time.Millisecond
+	proposeTimeout = 2 * time.Second
+	// idleTickInterval is the number of ticks between two decisions on a service in which this host has no role.
 	idleTickInterval = 25
-	// orderTimeoutShare is the share of a lease that an order may take before it counts as failed.
+	// orderTimeoutShare is the fraction of a lease that an order may take before it counts as failed.
 	orderTimeoutShare = 0.3
 )
 
-// coordinator is this host's part in the ownership of keys: its keepers' decisions and its witness.
+// coordinator handles this host's roles in the ownership of keys: its keepers and its witness.
 type coordinator struct {
 	host          *Host
 	mutex         sync.Mutex
@@ -34,11 +35,11 @@
 	keepers       map[string]*keeper.Keeper
 	demandMergers map[string]*demand.Merger
 	overlays      map[string]keeper.Overlay
-	// ownClaims are the ids of the claims that this process has made.
+	// ownClaims are the IDs of the claims that this process has proposed.
 	ownClaims map[string]bool
-	// unavailable are the upstreams that a keeper on this host has lost, by service.
+	// unavailable are the upstreams that this host's keepers consider unavailable, by service.
 	unavailable map[string]map[string]bool
-	// ticks counts, for the one goroutine that ticks.
+	// ticks counts the calls of tick; only the goroutine that calls tick uses it.
 	ticks int
 }
 
@@ -67,7 +68,7 @@
 	coordinator.witness.RecordCaughtUp(begun)
 }
 
-// onState takes in a new state of the fold.
+// onState applies a new state of the fold.
 func (coordinator *coordinator) onState(state *fold.State) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -75,8 +76,8 @@
 	coordinator.recordTermsLocked(state)
 }
 
-// recordTerms takes in the terms of a state whose settings cannot be used: the host still counts as one that has
-// read the log, so its witness must not confirm a keeper that the log has replaced.
+// recordTerms records the terms of a state whose settings cannot be used. The host still counts as caught up with the
+// log, so its witness must not confirm a keeper that the log has replaced.
 func (coordinator *coordinator) recordTerms(state *fold.State) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -89,7 +90,7 @@
 	}
 }
 
-// owner returns who should hold a key: by the keeper's word while the log lacks it, else by the log.
+// owner returns the upstream that should own a key, or an empty string.
 func (coordinator *coordinator) owner(service string, partition int, key string) string {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -103,6 +104,7 @@
 	return placement.Owners[partition]
 }
 
+// placement returns the placement that the keeper announced if the log does not have it yet, else the log's.
 func (coordinator *coordinator) placement(service string) cherrykeel.Placement {
 	serviceOwnership := coordinator.state.Ownership[service]
 	overlay, exists := coordinator.overlays[service]
@@ -133,7 +135,7 @@
 	return false
 }
 
-// tick decides for every keyed service and carries the actions out.
+// tick decides on every keyed service and submits the resulting actions.
 func (coordinator *coordinator) tick(context.Context) {
 	table := coordinator.host.table.Load()
 	if table == nil || !coordinator.host.follower.Status().CaughtUp {
@@ -162,9 +164,9 @@
 	}
 }
 
-// shouldDecide reports whether a service is to be decided on at this tick: at each one where this
-// host is its keeper or a witness, or nobody is keeper; else at every 25th, which finds a keeper
-// that the list shows as gone. Without this, each host would spend time on every service there is.
+// shouldDecide reports whether to decide on a service at this tick: at each tick if this host is its keeper or a
+// witness, or it has no keeper; otherwise at every 25th, which detects a keeper that is no longer on the platform's
+// list. This saves each host the time for services in which it has no role.
 func (coordinator *coordinator) shouldDecide(service string) bool {
 	if coordinator.ticks%idleTickInterval == 0 {
 		return true
@@ -183,7 +185,7 @@
 	return false
 }
 
-// input gathers what a decision rests on, apart from what the duty's lock guards.
+// input collects a decision's input, except for what the coordinator's mutex guards.
 func (coordinator *coordinator) input(service *cherrykeel.Service, hosts []keeper.Host, removed map[string]bool) keeper.Input {
 	host := coordinator.host
 	input := keeper.Input{
@@ -223,7 +225,7 @@
 	return actions
 }
 
-// logAvailabilityChanges logs which upstreams the keeper has lost and got back since the last tick.
+// logAvailabilityChanges logs which upstreams became unavailable or available for the keeper since the last tick.
 func (coordinator *coordinator) logAvailabilityChanges(path string, serviceKeeper *keeper.Keeper, now cherrykeel.Instant) {
 	report, _ := serviceKeeper.Report(now)
 	unavailable := map[string]bool{}
@@ -284,7 +286,7 @@
 	}
 }
 
-// submitActions hands the actions to the workers.
+// submitActions passes the actions to the worker pool.
 func (coordinator *coordinator) submitActions(service *cherrykeel.Service, input keeper.Input, actions keeper.Actions) {
 	for _, order := range actions.Orders {
 		coordinator.submit(func() { coordinator.sendOrder(service, input.Block.LeaseLength, order) })
--- a/host/host.go
+++ b/host/host.go
@@ -31,16 +31,16 @@
 	"cherrykeel/wire"
 )
 
-// Stream is the name of the log's stream that hosts and operators share.
+// Stream is the name of the log stream that hosts and operators share.
 const Stream = "cherrykeel"
 
 const (
 	poolWorkers = 64
-	// closeTimeout is how long connections may take to end after the last request.
+	// closeTimeout is how long the operators' connections may take to close at the end of a stop.
 	closeTimeout = 2 * time.Second
 )
 
-// Host is one entry host.
+// Host is an entry host: it forwards callers' requests to upstreams and takes part in assigning keys to upstreams.
 type Host struct {
 	config           config.Config
 	logger           *zap.Logger
@@ -63,7 +63,8 @@
 	peerClient       *wire.Client
 	denyList         *deny.List
 	pendingSuspected *deny.PendingRecords
-	// suspectedVersion is the version of the last record on such requests, for the follower's goroutine.
+	// suspectedVersion is the version of the last suspected request that was merged into denyList; only the
+	// follower's goroutine uses it.
 	suspectedVersion int64
 	workers          pond.Pool
 	table            atomic.Pointer[route.Table]
@@ -72,10 +73,10 @@
 	slotAllocators   slotAllocators
 	stopping         atomic.Bool
 	started          time.Time
-	// lastUnreadyReason and logWasUp are what watch last logged.
+	// lastUnreadyReason and logWasAvailable are what maintain last logged.
 	lastUnreadyReason atomic.Pointer[string]
 	logWasAvailable   atomic.Bool
-	// settingsVersion is the version of the settings in force, for the follower's goroutine.
+	// settingsVersion is the version of the settings in force; only the follower's goroutine uses it.
 	settingsVersion int64
 	helloCount      atomic.Int64
 
@@ -86,17 +87,17 @@
 	adminListener  *drain.Listener
 }
 
-// Option changes a Host under construction.
+// Option configures a Host.
 type Option func(*Host)
 
-// WithLogger sets the logger; the default writes nothing.
+// WithLogger sets the logger; the default discards everything.
 func WithLogger(logger *zap.Logger) Option {
 	return func(host *Host) {
 		host.logger = logger
 	}
 }
 
-// WithMetrics sets the scope of the metrics and the handler that shows them.
+// WithMetrics sets the scope of the metrics and the handler that serves them.
 func WithMetrics(scope tally.Scope, handler http.Handler) Option {
 	return func(host *Host) {
 		host.scope = scope
@@ -104,7 +105,7 @@
 	}
 }
 
-// WithClock replaces the clock, which counts suspension.
+// WithClock replaces the default clock. The clock must count the time for which the machine was suspended.
 func WithClock(clock cherrykeel.Clock) Option {
 	return func(host *Host) {
 		host.clock = clock
@@ -125,14 +126,15 @@
 	}
 }
 
-// New returns a host that does nothing yet.
+// New returns a host that does nothing until Listen and Run are called.
 func New(config config.Config, options ...Option) *Host {
 	host := &Host{
 		config:  config,
 		logger:  zap.NewNop(),
 		scope:   tally.NoopScope,
 		metrics: http.NotFoundHandler(),
-		// Leases on sending, and a witness's word, must not outlive a suspension of the machine.
+		// With a clock that stops while the machine is suspended, leases on sending and the witness's confirmations would
+		// stay valid too long.
 		clock:          cherrykeel.BootTimeClock(),
 		incarnation:    uuid.NewString(),
 		log:            remote.NewLog(config.Log, Stream),
@@ -183,7 +185,8 @@
 	}
 }
 
-// addresses returns where the host takes callers and operators; before Listen, where it is to take them.
+// addresses returns the addresses for callers and operators: those of the sockets, or before Listen the configured
+// ones.
 func (host *Host) addresses() (callerAddress, adminAddress string) {
 	if host.callerListener == nil || host.adminListener == nil {
 		return host.config.Listen, host.config.Admin
@@ -191,7 +194,7 @@
 	return host.Address(), host.AdminAddress()
 }
 
-// Listen opens the host's sockets.
+// Listen opens the host's sockets for callers, operators and peers.
 func (host *Host) Listen() error {
 	var err error
 	host.callerListener, err = drain.Listen(host.config.Listen)
@@ -210,28 +213,28 @@
 	return nil
 }
 
-// Address returns where the host takes callers.
+// Address returns the address for callers; it requires Listen.
 func (host *Host) Address() string {
 	return host.callerListener.Addr().String()
 }
 
-// AdminAddress returns where the host takes operators.
+// AdminAddress returns the address for operators; it requires Listen.
 func (host *Host) AdminAddress() string {
 	return host.adminListener.Addr().String()
 }
 
-// onState takes a new state into force.
+// onState puts a new state of the fold into force.
 func (host *Host) onState(state *fold.State) {
 	host.mergeSuspected(state)
 	if host.table.Load() != nil && host.settingsError.Load() == nil && state.Version == host.settingsVersion {
-		// Only ownership has changed; reading every setting again would cost a hundred times as much.
+		// Only ownership has changed; resolving all settings again would cost a hundred times as much.
 		host.coordinator.onState(state)
 		return
 	}
 	services, err := tree.Services(state.Nodes)
 	if err != nil {
-		// Going on with the old settings would serve old values silently; so the host
-		// says why and turns unready until a program that knows the settings replaces it.
+		// With the old settings the host would silently serve stale values. Instead it reports the reason and is unready
+		// until a program that knows the settings replaces it.
 		text := err.Error()
 		host.settingsError.Store(&text)
 		host.coordinator.recordTerms(state)
@@ -285,7 +288,8 @@
 	return host.roster.hasLeft(upstream)
 }
 
-// Run serves until the context ends, then stops gracefully.
+// Run serves until the context ends or a server fails, then stops gracefully. It requires Listen, and returns the
+// server's error, if any.
 func (host *Host) Run(ctx context.Context) error {
 	work, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
@@ -319,7 +323,7 @@
 	go runEvery(ctx, maintainInterval, host.maintain)
 }
 
-// runEvery calls a step at once and then again after each pause, until the context ends.
+// runEvery calls step at once and then at each interval, until the context ends.
 func runEvery(ctx context.Context, interval time.Duration, step func(ctx context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/host/inner.go
+++ b/host/inner.go
@@ -19,14 +19,14 @@
 const (
 	helloInterval = time.Second
 	helloTimeout  = 800 * time.Millisecond
-	// hellosPerDemand is how many hellos go out for each report of load by partition, which is much larger.
+	// hellosPerDemand is how many hellos are sent per report of demand by partition, which is much larger.
 	hellosPerDemand = 5
-	// peerFreshFor is how long a peer counts as reachable after it last spoke.
+	// peerFreshFor is how long a peer counts as reachable after its last message.
 	peerFreshFor = 5 * time.Second
 	fetchTimeout = time.Second
 )
 
-// methods are what peers may call.
+// methods returns the methods that peers may call.
 func (host *Host) methods() map[string]wire.Method {
 	return map[string]wire.Method{
 		wire.MethodHello:             host.onHello,
@@ -134,7 +134,7 @@
 	}
 	holding, known := host.fleet.GrantOrQueryView(view.Query, view.Grant)
 	if !known {
-		return nil, errors.Errorf("no service %s here", view.Grant.Service)
+		return nil, errors.Errorf("this host has no service %s", view.Grant.Service)
 	}
 	return holding, nil
 }
@@ -146,13 +146,13 @@
 		return nil, errors.WithStack(err)
 	}
 	if !host.follower.Status().CaughtUp {
-		return nil, errors.New("this host has not caught up itself")
+		return nil, errors.New("this host has not caught up with the log")
 	}
 	missing, err := host.follower.RecordsFrom(fetch.From)
 	return wire.FetchReply{MissingRecords: missing}, err
 }
 
-// sendHellos tells every peer how this host fares.
+// sendHellos reports this host's state to its hello targets, and its demand with every hellosPerDemand-th hello.
 func (host *Host) sendHellos(context.Context) {
 	status := host.follower.Status()
 	unreachable, refusing := host.fleet.UnavailableUpstreams()
@@ -186,8 +186,8 @@
 	}
 }
 
-// helloTargets names the peers that are told how this host fares: its neighbours, and the keepers
-// of the services that it has sent requests to.
+// helloTargets returns the names of the peers that this host reports to: its neighbours, and the keepers of the
+// services that it has sent requests to recently.
 func (host *Host) helloTargets() map[string]bool {
 	names := append(host.others(), host.config.Name)
 	targets := map[string]bool{}
@@ -207,8 +207,8 @@
 	others := host.others()
 	needed := 1
 	if quorum {
-		// A host that has never been shown to be up to date must not believe one peer that
-		// may itself be behind: of most peers, one at least has read the newest acknowledged record.
+		// A host that has not caught up since its start must not rely on a single peer, which may itself be behind. Of a
+		// majority of the peers, at least one has read the newest acknowledged record.
 		needed = len(others)/2 + 1
 	}
 	newest := follow.MissingRecords{Next: -1}
--- a/host/orders.go
+++ b/host/orders.go
@@ -17,9 +17,9 @@
 
 const peerTimeout = 250 * time.Millisecond
 
-var errNoAddress = errors.New("the lessee has no known address")
+var errNoAddress = errors.New("the recipient has no known address")
 
-// sendOrder carries an order to its lessee and its answer back.
+// sendOrder sends an order to its lessee and records the answer or the failure.
 func (coordinator *coordinator) sendOrder(service *cherrykeel.Service, leaseLength time.Duration, order lease.Order) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(orderTimeoutShare*float64(leaseLength)))
 	defer cancel()
@@ -47,7 +47,8 @@
 		return cherrykeel.Holding{}, errNoAddress
 	}
 	if throughPeer {
-		// This host alone may be the one that is cut off, so every other try goes through a peer.
+		// The direct way has failed. Only this host may be unable to reach the upstream, so every other attempt goes
+		// through a peer.
 		return coordinator.deliverThroughPeer(ctx, wire.ForwardGrant{Address: address, Query: order.Query, Grant: grant})
 	}
 	return coordinator.host.grantOrQuery(ctx, wire.ForwardGrant{Address: address, Query: order.Query, Grant: grant})
@@ -93,7 +94,7 @@
 	return ""
 }
 
-// others names the other entry hosts on the list.
+// others returns the names of the other entry hosts on the platform's list.
 func (host *Host) others() []string {
 	var names []string
 	for _, peer := range host.roster.peers() {
@@ -104,7 +105,7 @@
 	return names
 }
 
-// call sends a message to a peer by name.
+// call sends a message to the named peer and reads its reply.
 func (host *Host) call(ctx context.Context, name, method string, message, reply any) error {
 	address := host.roster.internalAddress(name)
 	if address == "" {
@@ -129,7 +130,8 @@
 func (coordinator *coordinator) requestPeerConfirmation(witness string, terms map[string]int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
-	// Read just before sending: time that the task waited for a worker must not lengthen a lease.
+	// The clock is read just before sending, not when the task was queued: the wait for a worker would make the
+	// confirmation look older than it is.
 	sent := coordinator.host.clock.Now()
 	var reply wire.ConfirmReply
 	err := coordinator.host.call(ctx, witness, wire.MethodConfirm, wire.Confirm{Terms: terms}, &reply)
@@ -143,7 +145,7 @@
 	}
 }
 
-// confirmedServices returns the services whose terms this host's witness confirms.
+// confirmedServices returns the services whose terms this host's witness confirms. The caller holds the mutex.
 func (coordinator *coordinator) confirmedServices(terms map[string]int64, now cherrykeel.Instant) []string {
 	var confirmed []string
 	for service, term := range terms {
@@ -190,7 +192,7 @@
 	coordinator.keeper(service).RecordSilence(name, reply.Silence, leaseLength, coordinator.host.clock.Now())
 }
 
-// announceOverlay sends a placement that the log lacks to every entry host.
+// announceOverlay sends a placement that the log does not have yet to every entry host.
 func (coordinator *coordinator) announceOverlay(overlay keeper.Overlay) {
 	events.Log(coordinator.host.logger, events.SuccessorsPromoted, zap.String("Service", overlay.Service), zap.Int64("Term", overlay.Term))
 	coordinator.applyOverlay(overlay)
--- a/host/roster.go
+++ b/host/roster.go
@@ -19,12 +19,12 @@
 	listTimeout      = 2 * time.Second
 )
 
-// roster guards the membership with a lock.
+// roster makes a member.Roster safe for concurrent use.
 type roster struct {
 	mutex           sync.Mutex
 	members         *member.Roster
 	listUnavailable bool
-	// cachedPeers is the last answer of peers, until the view changes.
+	// cachedPeers is the result of the last call of peers, or nil if the membership has changed since.
 	cachedPeers []member.Peer
 }
 
@@ -55,7 +55,7 @@
 	roster.cachedPeers = nil
 }
 
-// peers returns the entry hosts, by name; the slice must not be changed.
+// peers returns the entry hosts, sorted by name. The caller must not change the slice.
 func (roster *roster) peers() []member.Peer {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
@@ -83,7 +83,7 @@
 	return roster.members.IsRefusing(service, upstream, now)
 }
 
-// hostCount counts the entry hosts among which upstreams' slots are shared.
+// hostCount returns the number of entry hosts that share the upstreams' slots, at least 1.
 func (roster *roster) hostCount() int {
 	return max(1, len(roster.peers()))
 }
@@ -96,7 +96,7 @@
 	return hosts
 }
 
-// internalAddress returns a peer's address for the inner protocol, or an empty string.
+// internalAddress returns a peer's address for the protocol between hosts, or an empty string.
 func (roster *roster) internalAddress(name string) string {
 	for _, peer := range roster.peers() {
 		if peer.Name == name {
@@ -134,14 +134,14 @@
 	host.roster.listUnavailable = err != nil
 }
 
-// announce puts this host on the platform's list; a failure shows in readList already.
+// announce puts this host on the platform's list. Its errors are ignored: refreshList logs that the list is unavailable.
 func (host *Host) announce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	_ = host.hostList.Announce(ctx, host.listEntry())
 }
 
-// hasSuccessor reports whether another host could take over this host's roles.
+// hasSuccessor reports whether another host that is reachable and not leaving could take over this host's roles.
 func (host *Host) hasSuccessor() bool {
 	for _, peer := range host.roster.peers() {
 		recent := host.clock.Now().Sub(peer.ReceivedAt) < peerFreshFor
--- a/host/serve.go
+++ b/host/serve.go
@@ -21,7 +21,7 @@
 	stopPollInterval = 20 * time.Millisecond
 )
 
-// requestGauge counts the callers' requests in flight.
+// requestGauge is the number of callers' requests in flight.
 type requestGauge struct {
 	count atomic.Int64
 }
@@ -39,7 +39,7 @@
 	)
 }
 
-// countRequests tracks requests in flight.
+// countRequests returns a handler that counts the requests in flight of next.
 func (host *Host) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		host.requests.count.Add(1)
@@ -48,7 +48,7 @@
 	})
 }
 
-// serve answers callers and operators; the channel gives the error of a server that fails.
+// serve starts the servers for callers and operators; the channel receives the error of a server that fails.
 func (host *Host) serve() chan error {
 	errorLog, _ := zap.NewStdLogAt(host.logger, zap.DebugLevel)
 	host.callerServer = drain.New(&http.Server{
@@ -76,8 +76,9 @@
 	return failed
 }
 
-// stop leaves without cutting a request: readiness goes off first, callers are still taken while the
-// balancer notices, the keeper's roles are handed over, and the requests in flight end.
+// stop shuts down gracefully, without cutting a request. The host first becomes unready, still accepts callers while
+// the load balancer notices that, waits until other hosts have taken over its keeper roles, and lets the requests in
+// flight end.
 func (host *Host) stop() {
 	host.stopping.Store(true)
 	host.callerServer.DisableKeepAlives()
@@ -120,7 +121,7 @@
 	events.Log(host.logger, events.HostStopped)
 }
 
-// logUnusedConnections tells how many connections ended that had been opened and never used.
+// logUnusedConnections logs how many connections were closed that never carried a request.
 func (host *Host) logUnusedConnections() {
 	callers, operators := host.callerServer.ClosedUnused(), host.adminServer.ClosedUnused()
 	if callers+operators > 0 {
--- a/host/slots.go
+++ b/host/slots.go
@@ -15,27 +15,32 @@
 )
 
 const (
-	// slotRequestInterval is the time between a host's questions for slots; a request that finds none asks at once.
+	// slotRequestInterval is the time between a host's requests for slots. If a caller's request has to wait for a slot,
+	// the next request for slots is sent after slotsNeededDelay.
 	slotRequestInterval = 50 * time.Millisecond
 	slotsNeededDelay    = 5 * time.Millisecond
 	slotRequestTimeout  = 150 * time.Millisecond
 )
 
-// slotAllocators are the slots that this host divides among all.
+// slotAllocators are the allocators of the upstreams whose slots this host divides among all hosts.
 type slotAllocators struct {
 	mutex   sync.Mutex
 	entries map[string]*slotAllocatorEntry
-	// hostByService is who was steward of each service when the list was last read, and since when this host is.
+	// hostByService is the host that allocated each service's slots when the platform's list was last read, and hostSince
+	// since when it does.
 	hostByService map[string]string
 	hostSince     map[string]cherrykeel.Instant
 }
 
+// slotAllocatorEntry is the allocator of one upstream's slots. since is when this host took over the role for which the
+// allocator was created.
 type slotAllocatorEntry struct {
 	allocator *admit.SlotAllocator
 	since     cherrykeel.Instant
 }
 
-// slotAllocatorHost names the host that divides a service's slots: the first in rank that is not leaving.
+// slotAllocatorHost returns the name of the host that allocates a service's slots: the first in rank that is not
+// leaving.
 func (host *Host) slotAllocatorHost(service string) string {
 	var names []string
 	for _, peer := range host.roster.peers() {
@@ -49,7 +54,7 @@
 	return keeper.RankByHash("slots "+service, names)[0]
 }
 
-// updateSlotAllocatorHosts notes for which services this host has become steward.
+// updateSlotAllocatorHosts records which host allocates each service's slots, and since when.
 func (host *Host) updateSlotAllocatorHosts() {
 	table := host.table.Load()
 	if table == nil {
@@ -67,7 +72,7 @@
 	}
 }
 
-// requestSlots asks each service's steward, until the context ends.
+// requestSlots periodically requests slots from each service's allocator, until the context ends.
 func (host *Host) requestSlots(ctx context.Context) {
 	for ctx.Err() == nil {
 		host.requestSlotsOnce(ctx)
@@ -122,7 +127,7 @@
 	return host.allocateSlots(request), nil
 }
 
-// allocateSlots answers a host's question as steward.
+// allocateSlots answers a host's request for the slots that this host allocates.
 func (host *Host) allocateSlots(request wire.Slots) wire.SlotsReply {
 	reply := wire.SlotsReply{Granted: map[string]map[string]int{}}
 	table := host.table.Load()
@@ -153,7 +158,7 @@
 	if !ranked {
 		since = now
 	}
-	// Another host may have been steward in between; what it gave out has ended long ago.
+	// Another host may have had the role in between, so an older allocator's grants are out of date.
 	if !exists || found.since != since {
 		found = &slotAllocatorEntry{allocator: admit.NewSlotAllocator(upstream, slots, since), since: since}
 		slotAllocators.entries[name] = found
--- a/host/watch.go
+++ b/host/watch.go
@@ -14,11 +14,11 @@
 const (
 	maintainInterval   = time.Second
 	checkpointInterval = 2 * time.Second
-	// staleAfter is how long a host that hears neither the log nor any peer stays ready.
+	// staleAfter is how long a host stays ready while it can reach neither the log nor any peer.
 	staleAfter = 5 * time.Second
 )
 
-// demandsForKeeper returns what a peer must know as the keeper of services.
+// demandsForKeeper returns the demands of the services whose keeper is the given host.
 func (coordinator *coordinator) demandsForKeeper(peer string, demands map[string]cherrykeel.Demand) map[string]cherrykeel.Demand {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
@@ -37,7 +37,7 @@
 	return coordinator.state.Ownership[service].Keeper
 }
 
-// UnreadyReason returns why the host should get no callers, or an empty string.
+// UnreadyReason returns why the host should get no requests from callers, or an empty string if it is ready.
 func (host *Host) UnreadyReason() string {
 	if host.stopping.Load() {
 		return "the host is stopping"
@@ -50,13 +50,14 @@
 		return "not caught up with the log: " + status.Reason
 	}
 	if host.isCutOff(status.SinceLogReply) {
-		return "cut off from the log and from all peers, so the settings may be old"
+		return "neither the log nor any peer is reachable, so the settings may be stale"
 	}
 	return ""
 }
 
-// isCutOff reports whether the host hears nobody who could tell it of new settings.
-// A log that is out for all is no reason: then nothing new can be in force anywhere.
+// isCutOff reports whether the host may miss new settings: neither the log nor any peer has been reachable for
+// staleAfter. A log that is unavailable to all hosts is no reason, since no new settings can be in force
+// anywhere then.
 func (host *Host) isCutOff(silence time.Duration) bool {
 	if silence < staleAfter {
 		return false
@@ -75,7 +76,8 @@
 	return others > 0
 }
 
-// maintain logs changes of the host's own condition and sweeps idle connections.
+// maintain closes expired connections, removes expired denials, updates metrics, and logs changes of the host's
+// readiness and of the log's availability.
 func (host *Host) maintain(context.Context) {
 	host.connPool.CloseExpired()
 	_ = host.denyList.RemoveExpired()
@@ -109,8 +111,8 @@
 	events.Log(host.logger, event)
 }
 
-// checkpoint appends the fold again before the log's retention can drop what made it.
-// Hosts take turns by rank, so that as a rule one of them writes.
+// checkpoint appends a snapshot of the fold to the log, before the log's retention drops the records that it was folded
+// from. Hosts further down in rank wait for more records, so usually only the first one writes.
 func (host *Host) checkpoint(ctx context.Context) {
 	state := host.follower.State()
 	status := host.follower.Status()
