--- a/host/duty_test.go
+++ b/host/duty_test.go
@@ -13,18 +13,18 @@
 )
 
 var _ = Describe("a host that decides on leases", func() {
-	// A caller's request goes to an upstream that has lost its key. The host's machine was suspended for
-	// longer than the host's lease on sending; keys moved; the machine wakes. A clock that stood still
-	// meanwhile says that the lease runs, and that the host's witness may still be relied on.
-	It("counts the time in which its machine was suspended", func() {
+	// Failure: a request goes to an upstream that has lost its key. The host's machine was suspended for longer than the
+	// host's lease on sending, and keys moved meanwhile. With a clock that stops during suspension, the host would treat
+	// its lease as valid and its witness as reliable.
+	It("counts the time for which its machine was suspended", func() {
 		host := New(config.Config{Name: "host"})
 		Expect(host.clock.Now()).To(BeNumerically("~", cherrykeel.BootTimeClock().Now(), time.Second))
 	})
 
-	// A caller's key gets two owners: a keeper that was replaced is still confirmed. Its witness was paused, so
-	// the new keeper counted it as gone. It wakes and reads the log to its end, but cannot use the settings there,
-	// which a newer program has written. If it passed over the claims then, it would confirm the old term.
-	It("learns of new terms in the log also when it cannot use the settings there", func() {
+	// Failure: a key gets two owners, because a replaced keeper is still confirmed. Its witness was suspended, and the
+	// new keeper treated it as lost. Then the witness reads the log to its end, but cannot use the settings there, which a
+	// newer program wrote. If it ignored the claims for that reason, it would confirm the old term.
+	It("records new terms from the log even if it cannot use the settings there", func() {
 		const service = "test/keys"
 		host := New(config.Config{Name: "host"})
 		state := fold.NewState()
