--- a/views/view.go
+++ b/views/view.go
@@ -9,38 +9,38 @@
 
 // View is what a host may send for one service. It is not safe for use by several goroutines.
 type View struct {
-	boot    string
-	service string
-	fence   cherrykeel.Fence
-	until   cherrykeel.Instant
-	timeout time.Duration
-	owners  []string
-	hotKeys map[string]string
-	except  map[string]bool
+	incarnation string
+	service     string
+	fence       cherrykeel.Fence
+	leaseEnd    cherrykeel.Instant
+	timeout     time.Duration
+	owners      []string
+	hotKeys     map[string]string
+	exceptKeys  map[string]bool
 	// inFlight counts requests, so that what they are for counts as held until they have ended.
-	inFlight map[flight]int
+	inFlight map[target]int
 	// abandoned says until when upstreams may work on requests whose answers nobody waits for any more.
-	abandoned map[flight]cherrykeel.Instant
+	abandoned map[target]cherrykeel.Instant
 }
 
-// flight is what a request that waits for its answer is for. The key is counted besides its partition: a
+// target is what a request that waits for its answer is for. The key is counted besides its partition: a
 // key that becomes hot, or cools, changes hands while its partition stays, and would else have two upstreams.
-type flight struct {
+type target struct {
 	upstream  string
 	partition int
 	key       string
 }
 
 // New returns a view that allows nothing; boot names the host's process.
-func New(boot, service string, partitions int) *View {
+func New(incarnation, service string, partitions int) *View {
 	return &View{
-		boot:      boot,
-		service:   service,
-		owners:    make([]string, partitions),
-		hotKeys:   map[string]string{},
-		except:    map[string]bool{},
-		inFlight:  map[flight]int{},
-		abandoned: map[flight]cherrykeel.Instant{},
+		incarnation: incarnation,
+		service:     service,
+		owners:      make([]string, partitions),
+		hotKeys:     map[string]string{},
+		exceptKeys:  map[string]bool{},
+		inFlight:    map[target]int{},
+		abandoned:   map[target]cherrykeel.Instant{},
 	}
 }
 
@@ -48,12 +48,12 @@
 func (view *View) ApplyGrant(grant cherrykeel.Grant, now cherrykeel.Instant) cherrykeel.Holding {
 	reason := ""
 	switch {
-	case grant.Incarnation != view.boot:
+	case grant.Incarnation != view.incarnation:
 		reason = "the grant is for another start of this host"
 	case grant.Fence.Less(view.fence):
 		reason = "the fence is older than the one held"
 	default:
-		view.take(grant, now)
+		view.replaceGrant(grant, now)
 	}
 	holding := view.Holding(now)
 	holding.Accepted = reason == ""
@@ -61,12 +61,12 @@
 	return holding
 }
 
-func (view *View) take(grant cherrykeel.Grant, now cherrykeel.Instant) {
-	lapsed := now >= view.until
+func (view *View) replaceGrant(grant cherrykeel.Grant, now cherrykeel.Instant) {
+	expired := now >= view.leaseEnd
 	view.fence = grant.Fence
-	view.until = cherrykeel.Instant(grant.Until)
+	view.leaseEnd = cherrykeel.Instant(grant.Until)
 	view.timeout = grant.Timeout
-	if grant.Partial && !lapsed {
+	if grant.Partial && !expired {
 		return
 	}
 	// A lapsed view has nothing left to extend: the keys may have other owners by now.
@@ -83,9 +83,9 @@
 		owner, key, _ := strings.Cut(entry, " ")
 		view.hotKeys[key] = owner
 	}
-	view.except = map[string]bool{}
+	view.exceptKeys = map[string]bool{}
 	for _, key := range grant.ExceptKeys {
-		view.except[key] = true
+		view.exceptKeys[key] = true
 	}
 }
 
@@ -93,10 +93,10 @@
 func (view *View) Holding(now cherrykeel.Instant) cherrykeel.Holding {
 	holding := cherrykeel.Holding{
 		Service:     view.service,
-		Incarnation: view.boot,
+		Incarnation: view.incarnation,
 		Now:         now.Sub(0),
 		Fence:       view.fence,
-		Until:       view.until.Sub(0),
+		Until:       view.leaseEnd.Sub(0),
 		Owners:      map[string][]int{},
 	}
 	for partition, owner := range view.owners {
@@ -108,24 +108,24 @@
 		holding.HotKeys = append(holding.HotKeys, owner+" "+key)
 	}
 	for flight := range view.inFlight {
-		view.list(flight, &holding)
+		view.addTarget(flight, &holding)
 	}
 	for flight, until := range view.abandoned {
 		if now >= until {
 			delete(view.abandoned, flight)
 			continue
 		}
-		view.list(flight, &holding)
+		view.addTarget(flight, &holding)
 	}
-	for key := range view.except {
+	for key := range view.exceptKeys {
 		holding.ExceptKeys = append(holding.ExceptKeys, key)
 	}
 	return holding
 }
 
-// list adds to a holding what a request is for, unless the host may still send it there.
-func (view *View) list(flight flight, holding *cherrykeel.Holding) {
-	if view.owner(flight.partition, flight.key) == flight.upstream {
+// addTarget adds to a holding what a request is for, unless the host may still send it there.
+func (view *View) addTarget(flight target, holding *cherrykeel.Holding) {
+	if view.grantedOwner(flight.partition, flight.key) == flight.upstream {
 		return
 	}
 	partition := flight.partition
@@ -135,10 +135,10 @@
 	holding.HotKeys = append(holding.HotKeys, flight.upstream+" "+flight.key)
 }
 
-// owner returns the upstream that the last grant names for a key, or an empty string.
-func (view *View) owner(partition int, key string) string {
+// grantedOwner returns the upstream that the last grant names for a key, or an empty string.
+func (view *View) grantedOwner(partition int, key string) string {
 	owner := view.hotKeys[key]
-	if owner == "" && !view.except[key] && partition < len(view.owners) {
+	if owner == "" && !view.exceptKeys[key] && partition < len(view.owners) {
 		owner = view.owners[partition]
 	}
 	return owner
@@ -146,10 +146,10 @@
 
 // Owner returns the upstream that a request may be sent to now, or reports false.
 func (view *View) Owner(partition int, key string, now cherrykeel.Instant) (string, bool) {
-	if now >= view.until || partition < 0 || partition >= len(view.owners) {
+	if now >= view.leaseEnd || partition < 0 || partition >= len(view.owners) {
 		return "", false
 	}
-	owner := view.owner(partition, key)
+	owner := view.grantedOwner(partition, key)
 	return owner, owner != ""
 }
 
@@ -165,7 +165,7 @@
 func (view *View) StartRequest(partition int, key string, now cherrykeel.Instant) (string, bool) {
 	owner, allowed := view.Owner(partition, key, now)
 	if allowed {
-		view.inFlight[flight{upstream: owner, partition: partition, key: key}]++
+		view.inFlight[target{upstream: owner, partition: partition, key: key}]++
 	}
 	return owner, allowed
 }
@@ -174,22 +174,22 @@
 // it was not the upstream that ended it: the key must not have another owner before.
 func (view *View) AbandonRequest(upstream string, partition int, key string, until cherrykeel.Instant) {
 	view.FinishRequest(upstream, partition, key)
-	ended := flight{upstream: upstream, partition: partition, key: key}
+	ended := target{upstream: upstream, partition: partition, key: key}
 	view.abandoned[ended] = max(view.abandoned[ended], until)
 }
 
 // ClearGrant takes back what the host may send, for another number of partitions; the fence and the requests
 // that are at work stay, so that the host does not pass for one that has just started.
 func (view *View) ClearGrant(partitions int) {
-	view.until = 0
+	view.leaseEnd = 0
 	view.owners = make([]string, partitions)
 	view.hotKeys = map[string]string{}
-	view.except = map[string]bool{}
+	view.exceptKeys = map[string]bool{}
 }
 
 // FinishRequest ends a request that Enter has counted.
 func (view *View) FinishRequest(upstream string, partition int, key string) {
-	ended := flight{upstream: upstream, partition: partition, key: key}
+	ended := target{upstream: upstream, partition: partition, key: key}
 	view.inFlight[ended]--
 	if view.inFlight[ended] <= 0 {
 		delete(view.inFlight, ended)
