--- a/remote/client.go
+++ b/remote/client.go
@@ -11,12 +11,12 @@
 
 const (
 	controlTimeout = 2 * time.Second
-	idlePerHost    = 16
+	maxIdlePerHost = 16
 )
 
 // newClient returns a client that never repeats a request by itself.
 func newClient(base string, timeout time.Duration) *resty.Client {
-	transport := &http.Transport{MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: time.Minute}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost, IdleConnTimeout: time.Minute}
 	client := resty.New()
 	client.SetTransport(transport)
 	client.SetTimeout(timeout)
@@ -25,8 +25,8 @@
 	return client
 }
 
-// exchange sends body as JSON, if there is one, and reads the answer into result.
-func exchange(ctx context.Context, client *resty.Client, method, url string, body, result any) error {
+// sendJSON sends body as JSON, if there is one, and reads the answer into result.
+func sendJSON(ctx context.Context, client *resty.Client, method, url string, body, result any) error {
 	request := client.R().SetContext(ctx)
 	if body != nil {
 		// A bare reader has no GetBody, so net/http cannot send it twice on a connection that broke.
--- a/remote/grant.go
+++ b/remote/grant.go
@@ -28,7 +28,7 @@
 // Grant implements cherrykeel.Granter.
 func (granter *granter) Grant(ctx context.Context, address string, grant cherrykeel.Grant) (cherrykeel.Holding, error) {
 	var holding cherrykeel.Holding
-	err := exchange(ctx, granter.client, http.MethodPut, "http://"+address+ownershipPath, grant, &holding)
+	err := sendJSON(ctx, granter.client, http.MethodPut, "http://"+address+ownershipPath, grant, &holding)
 	if err != nil {
 		return holding, errors.Wrap(ErrUpstreamControl, err.Error())
 	}
@@ -39,7 +39,7 @@
 func (granter *granter) RequestHolding(ctx context.Context, address, service string) (cherrykeel.Holding, error) {
 	var holding cherrykeel.Holding
 	target := "http://" + address + ownershipPath + "?service=" + url.QueryEscape(service)
-	err := exchange(ctx, granter.client, http.MethodGet, target, nil, &holding)
+	err := sendJSON(ctx, granter.client, http.MethodGet, target, nil, &holding)
 	if err != nil {
 		return holding, errors.Wrap(ErrUpstreamControl, err.Error())
 	}
--- a/remote/hosts.go
+++ b/remote/hosts.go
@@ -13,19 +13,19 @@
 // ErrListUnavailable means that the platform's list did not answer.
 var ErrListUnavailable = errors.New("the platform's list of hosts is unavailable")
 
-type remoteHosts struct {
+type remoteHostList struct {
 	client *resty.Client
 }
 
 // NewHostList returns the platform's list at base, an http URL.
 func NewHostList(base string) cherrykeel.HostList {
-	return &remoteHosts{client: newClient(base, controlTimeout)}
+	return &remoteHostList{client: newClient(base, controlTimeout)}
 }
 
 // Members implements cherrykeel.HostList.
-func (hosts *remoteHosts) Members(ctx context.Context) ([]cherrykeel.Member, error) {
+func (list *remoteHostList) Members(ctx context.Context) ([]cherrykeel.Member, error) {
 	var members []cherrykeel.Member
-	err := exchange(ctx, hosts.client, http.MethodGet, "/members", nil, &members)
+	err := sendJSON(ctx, list.client, http.MethodGet, "/members", nil, &members)
 	if err != nil {
 		return nil, errors.Wrap(ErrListUnavailable, err.Error())
 	}
@@ -33,9 +33,9 @@
 }
 
 // Announce implements cherrykeel.HostList.
-func (hosts *remoteHosts) Announce(ctx context.Context, member cherrykeel.Member) error {
+func (list *remoteHostList) Announce(ctx context.Context, member cherrykeel.Member) error {
 	var ignored struct{}
-	err := exchange(ctx, hosts.client, http.MethodPut, "/members/"+member.Name, member, &ignored)
+	err := sendJSON(ctx, list.client, http.MethodPut, "/members/"+member.Name, member, &ignored)
 	if err != nil {
 		return errors.Wrap(ErrListUnavailable, err.Error())
 	}
--- a/remote/log.go
+++ b/remote/log.go
@@ -17,7 +17,7 @@
 
 const (
 	logTimeout = 5 * time.Second
-	logWait    = 2 * time.Second
+	readWait   = 2 * time.Second
 )
 
 // AppendReply is the log's answer to an append.
@@ -46,7 +46,7 @@
 
 // NewLog returns the log stream of that name at base, an http URL.
 func NewLog(base, stream string) cherrykeel.Log {
-	return &remoteLog{client: newClient(base, logTimeout), stream: stream, wait: logWait}
+	return &remoteLog{client: newClient(base, logTimeout), stream: stream, wait: readWait}
 }
 
 func (log *remoteLog) url() string {
@@ -58,7 +58,7 @@
 	var reply AppendReply
 	// A bare reader has no GetBody, so net/http cannot append twice on a connection that broke.
 	body := io.MultiReader(bytes.NewReader(data))
-	err := exchange(ctx, log.client, http.MethodPost, log.url(), body, &reply)
+	err := sendJSON(ctx, log.client, http.MethodPost, log.url(), body, &reply)
 	if err != nil {
 		return 0, errors.Wrap(cherrykeel.ErrLogUnavailable, err.Error())
 	}
@@ -69,7 +69,7 @@
 func (log *remoteLog) Read(ctx context.Context, from int64) (cherrykeel.LogBatch, error) {
 	var reply ReadReply
 	url := fmt.Sprintf("%s?from=%d&wait=%d", log.url(), from, log.wait.Milliseconds())
-	err := exchange(ctx, log.client, http.MethodGet, url, nil, &reply)
+	err := sendJSON(ctx, log.client, http.MethodGet, url, nil, &reply)
 	if err != nil {
 		return cherrykeel.LogBatch{}, errors.Wrap(cherrykeel.ErrLogUnavailable, err.Error())
 	}
