--- a/score/load.go
+++ b/score/load.go
@@ -11,10 +11,10 @@
 
 const (
 	loadKeys = 200_000
-	// skew is the exponent of the load's Zipf distribution over keys.
-	skew     = 0.9
-	topKeys  = 32
-	requests = 10_000.0
+	// zipfExponent is the exponent of the load's Zipf distribution over keys.
+	zipfExponent      = 0.9
+	hotKeyCount       = 32
+	requestsPerSecond = 10_000.0
 )
 
 // load is a skewed load over keys.
@@ -29,12 +29,12 @@
 	load := load{weights: make([]float64, loadKeys), names: make([]string, loadKeys)}
 	total := 0.0
 	for rank := range loadKeys {
-		weight := math.Pow(float64(rank+1), -skew)
+		weight := math.Pow(float64(rank+1), -zipfExponent)
 		load.weights[order[rank]] = weight
 		total += weight
 	}
 	for key := range loadKeys {
-		load.weights[key] *= requests / total
+		load.weights[key] *= requestsPerSecond / total
 		load.names[key] = "key-" + strconv.Itoa(key)
 	}
 	return load
@@ -43,7 +43,7 @@
 // demand is what hosts would report: partitions, and the heaviest keys by name.
 func (load load) demand(partitions int) cherrykeel.Demand {
 	demand := cherrykeel.Demand{Partitions: make([]float64, partitions), HotKeys: map[string]float64{}}
-	least := load.nthWeight(topKeys)
+	least := load.nthWeight(hotKeyCount)
 	for key, weight := range load.weights {
 		if weight >= least {
 			demand.HotKeys[load.names[key]] = weight
@@ -60,7 +60,7 @@
 	for _, weight := range load.weights {
 		top = max(top, weight)
 	}
-	return top * math.Pow(float64(rank), -skew) * 0.999
+	return top * math.Pow(float64(rank), -zipfExponent) * 0.999
 }
 
 // imbalance returns max over mean of keys and of load over the upstreams of a placement.
--- a/score/run.go
+++ b/score/run.go
@@ -54,26 +54,26 @@
 	load := newLoad(seed)
 	world := trial.New(options)
 	world.Demand = load.demand(size.Partitions)
-	world.RunUntil(calm)
+	world.RunUntil(settleTime)
 	before := currentPlacement(world)
-	least := scenario.MinMoved(world)
-	gone := scenario.gone(world)
+	minMoved := scenario.MinMoved(world)
+	removed := scenario.removed(world)
 	scenario.Inject(world)
-	gaps := watch(world)
-	world.RunUntil(calm + settled)
+	gaps := watchGaps(world)
+	world.RunUntil(settleTime + finalDelay)
 	after := currentPlacement(world)
 
-	ours := Row{Size: size.Name, Scenario: scenario.Name, Version: "ours", MinMoved: least}
+	ours := Row{Size: size.Name, Scenario: scenario.Name, Version: "ours", MinMoved: minMoved}
 	ours.Moved = countMoved(before, after)
-	ours.KeyImbalance, ours.LoadImbalance = load.imbalance(after, live(world, gone))
-	gaps.fill(&ours)
-	return []Row{ours, runNaive(size, scenario, load, names(world, before), live(world, gone), least)}
+	ours.KeyImbalance, ours.LoadImbalance = load.imbalance(after, remainingUpstreams(world, removed))
+	gaps.fillRow(&ours)
+	return []Row{ours, runNaive(size, scenario, load, owningUpstreams(world, before), remainingUpstreams(world, removed), minMoved)}
 }
 
 // runNaive is hash modulo over a list that shows a change after its lag; a key of a server that is
 // gone has no owner until then. Nothing tells when two hosts see different lists, so it is not counted.
-func runNaive(size Size, scenario Scenario, load load, before, after []string, least int) Row {
-	row := Row{Size: size.Name, Scenario: scenario.Name, Version: "naive", MinMoved: least}
+func runNaive(size Size, scenario Scenario, load load, before, after []string, minMoved int) Row {
+	row := Row{Size: size.Name, Scenario: scenario.Name, Version: "naive", MinMoved: minMoved}
 	placer := naive.NewModulo()
 	old := placer.Place(cherrykeel.Placement{}, size.Partitions, candidates(before), cherrykeel.Demand{}, 0)
 	next := placer.Place(cherrykeel.Placement{}, size.Partitions, candidates(after), cherrykeel.Demand{}, 0)
@@ -90,8 +90,8 @@
 	return list
 }
 
-// names returns the upstreams that own something in a placement, in the world's order.
-func names(world *trial.World, placement cherrykeel.Placement) []string {
+// owningUpstreams returns the upstreams that own something in a placement, in the world's order.
+func owningUpstreams(world *trial.World, placement cherrykeel.Placement) []string {
 	owning := map[string]bool{}
 	for _, owner := range placement.Owners {
 		owning[owner] = true
@@ -105,14 +105,14 @@
 	return list
 }
 
-func live(world *trial.World, gone []string) []string {
-	left := map[string]bool{}
-	for _, name := range gone {
-		left[name] = true
+func remainingUpstreams(world *trial.World, removed []string) []string {
+	isRemoved := map[string]bool{}
+	for _, name := range removed {
+		isRemoved[name] = true
 	}
 	var list []string
 	for _, upstream := range world.Upstreams {
-		if !left[upstream.Name] {
+		if !isRemoved[upstream.Name] {
 			list = append(list, upstream.Name)
 		}
 	}
@@ -131,24 +131,24 @@
 
 // gaps are the times for which each partition was not served.
 type gaps struct {
-	current []time.Duration
-	longest []time.Duration
-	total   []time.Duration
-	server  []int
-	double  int
+	current      []time.Duration
+	longest      []time.Duration
+	total        []time.Duration
+	lastUpstream []int
+	conflicts    int
 }
 
-// watch looks at every partition each millisecond, through one host each, for a while.
-func watch(world *trial.World) *gaps {
+// watchGaps looks at every partition each millisecond, through one host each, for a while.
+func watchGaps(world *trial.World) *gaps {
 	count := world.Options.Partitions
 	gaps := &gaps{
-		current: make([]time.Duration, count),
-		longest: make([]time.Duration, count),
-		total:   make([]time.Duration, count),
-		server:  make([]int, count),
+		current:      make([]time.Duration, count),
+		longest:      make([]time.Duration, count),
+		total:        make([]time.Duration, count),
+		lastUpstream: make([]int, count),
 	}
 	begun := world.Now()
-	for world.Now() < begun+watched {
+	for world.Now() < begun+watchDuration {
 		world.RunUntil(world.Now() + time.Millisecond)
 		var hosts []*trial.Host
 		for _, host := range world.Hosts {
@@ -157,25 +157,25 @@
 			}
 		}
 		for partition := range count {
-			gaps.server[partition] = world.ServingUpstream(hosts[partition%len(hosts)], partition, "", gaps.server[partition])
-			gaps.note(partition, gaps.server[partition] >= 0)
+			gaps.lastUpstream[partition] = world.ServingUpstream(hosts[partition%len(hosts)], partition, "", gaps.lastUpstream[partition])
+			gaps.record(partition, gaps.lastUpstream[partition] >= 0)
 		}
 		if world.Now()%(50*time.Millisecond) == 0 {
-			gaps.countDouble(world)
+			gaps.countConflicts(world)
 		}
 	}
 	return gaps
 }
 
-func (gaps *gaps) countDouble(world *trial.World) {
+func (gaps *gaps) countConflicts(world *trial.World) {
 	for partition := range gaps.current {
 		if len(world.Owners(partition, "")) > 1 {
-			gaps.double++
+			gaps.conflicts++
 		}
 	}
 }
 
-func (gaps *gaps) note(partition int, served bool) {
+func (gaps *gaps) record(partition int, served bool) {
 	if served {
 		gaps.current[partition] = 0
 		return
@@ -185,7 +185,7 @@
 	gaps.longest[partition] = max(gaps.longest[partition], gaps.current[partition])
 }
 
-func (gaps *gaps) fill(row *Row) {
+func (gaps *gaps) fillRow(row *Row) {
 	sum := time.Duration(0)
 	affected := 0
 	for partition, longest := range gaps.longest {
@@ -198,5 +198,5 @@
 	if affected > 0 {
 		row.MeanGap = sum / time.Duration(affected)
 	}
-	row.OwnerConflicts = gaps.double
+	row.OwnerConflicts = gaps.conflicts
 }
--- a/score/scenario.go
+++ b/score/scenario.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	calm = 20 * time.Second
-	// watched is how long after the event gaps are measured, to the millisecond.
-	watched = 12 * time.Second
-	// settled is when churn and imbalance are read, after the event.
-	settled = 90 * time.Second
+	settleTime = 20 * time.Second
+	// watchDuration is how long after the event gaps are measured, to the millisecond.
+	watchDuration = 12 * time.Second
+	// finalDelay is when churn and imbalance are read, after the event.
+	finalDelay = 90 * time.Second
 )
 
 // Scenario is one event, or a few, in a world that was calm before.
@@ -22,13 +22,13 @@
 	MinMoved      func(world *trial.World) int
 	Inject        func(world *trial.World)
 	AdjustOptions func(options *trial.Options)
-	// gone names the upstreams that are not there afterwards.
-	gone func(world *trial.World) []string
+	// removed names the upstreams that are not there afterwards.
+	removed func(world *trial.World) []string
 }
 
-func none(*trial.World) int { return 0 }
+func noMoves(*trial.World) int { return 0 }
 
-func owned(world *trial.World, names ...string) int {
+func countOwned(world *trial.World, names ...string) int {
 	count := 0
 	for _, owner := range currentPlacement(world).Owners {
 		for _, name := range names {
@@ -49,8 +49,8 @@
 	return cherrykeel.Placement{}
 }
 
-// zoneOf returns the names of the upstreams in the zone of the first.
-func zoneOf(world *trial.World) []string {
+// upstreamsInFirstZone returns the names of the upstreams in the zone of the first.
+func upstreamsInFirstZone(world *trial.World) []string {
 	var names []string
 	for _, upstream := range world.Upstreams {
 		if upstream.Zone == world.Upstreams[0].Zone {
@@ -60,69 +60,69 @@
 	return names
 }
 
-func lose(world *trial.World) { world.Kill(&world.Upstreams[0].Process) }
+func killUpstream(world *trial.World) { world.Kill(&world.Upstreams[0].Process) }
 
-func loseKeeper(world *trial.World) { world.Kill(&world.KeeperHost().Process) }
+func killKeeper(world *trial.World) { world.Kill(&world.KeeperHost().Process) }
 
-func first(world *trial.World) []string { return []string{world.Upstreams[0].Name} }
+func firstUpstream(world *trial.World) []string { return []string{world.Upstreams[0].Name} }
 
-func nobody(*trial.World) []string { return nil }
+func noUpstreams(*trial.World) []string { return nil }
 
 // Scenarios lists all in the order in which they are printed.
 var Scenarios = []Scenario{
 	{
-		Name: "join", Inject: func(world *trial.World) { world.AddUpstream("up-new", 0) }, gone: nobody,
+		Name: "join", Inject: func(world *trial.World) { world.AddUpstream("up-new", 0) }, removed: noUpstreams,
 		MinMoved: func(world *trial.World) int { return world.Options.Partitions / (len(world.Upstreams) + 1) },
 	},
 	{
-		Name: "planned leave", Inject: func(world *trial.World) { world.Upstreams[0].Draining = true }, gone: first,
-		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "planned leave", Inject: func(world *trial.World) { world.Upstreams[0].Draining = true }, removed: firstUpstream,
+		MinMoved: func(world *trial.World) int { return countOwned(world, firstUpstream(world)...) },
 	},
 	{
-		Name: "upstream lost", Inject: lose, gone: first,
-		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "upstream lost", Inject: killUpstream, removed: firstUpstream,
+		MinMoved: func(world *trial.World) int { return countOwned(world, firstUpstream(world)...) },
 	},
 	{
-		Name: "upstream frozen 8s", Inject: func(world *trial.World) { world.Upstreams[0].SuspendedUntil = world.Now() + 8*time.Second }, gone: nobody,
+		Name: "upstream frozen 8s", Inject: func(world *trial.World) { world.Upstreams[0].SuspendedUntil = world.Now() + 8*time.Second }, removed: noUpstreams,
 		// Its partitions must go elsewhere, and as many come back to it.
-		MinMoved: func(world *trial.World) int { return 2 * owned(world, first(world)...) },
+		MinMoved: func(world *trial.World) int { return 2 * countOwned(world, firstUpstream(world)...) },
 	},
 	{
-		Name: "zone lost", Inject: loseZone, gone: zoneOf,
-		MinMoved: func(world *trial.World) int { return owned(world, zoneOf(world)...) },
+		Name: "zone lost", Inject: killZone, removed: upstreamsInFirstZone,
+		MinMoved: func(world *trial.World) int { return countOwned(world, upstreamsInFirstZone(world)...) },
 	},
-	{Name: "keeper lost", Inject: loseKeeper, MinMoved: none, gone: nobody},
+	{Name: "keeper lost", Inject: killKeeper, MinMoved: noMoves, removed: noUpstreams},
 	{
-		Name: "keeper and upstream lost", Inject: func(world *trial.World) { loseKeeper(world); lose(world) }, gone: first,
-		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "keeper and upstream lost", Inject: func(world *trial.World) { killKeeper(world); killUpstream(world) }, removed: firstUpstream,
+		MinMoved: func(world *trial.World) int { return countOwned(world, firstUpstream(world)...) },
 	},
-	{Name: "keeper stopped as planned", Inject: func(world *trial.World) { world.StartShutdown(world.KeeperHost()) }, MinMoved: none, gone: nobody},
-	{Name: "all hosts restarted in turn", Inject: restartHosts, MinMoved: none, gone: nobody},
+	{Name: "keeper stopped as planned", Inject: func(world *trial.World) { world.StartShutdown(world.KeeperHost()) }, MinMoved: noMoves, removed: noUpstreams},
+	{Name: "all hosts restarted in turn", Inject: restartHosts, MinMoved: noMoves, removed: noUpstreams},
 	{
-		Name: "log out, upstream lost", Inject: func(world *trial.World) { outage(world, 30*time.Second); lose(world) }, gone: first,
-		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "log out, upstream lost", Inject: func(world *trial.World) { interruptLog(world, 30*time.Second); killUpstream(world) }, removed: firstUpstream,
+		MinMoved: func(world *trial.World) int { return countOwned(world, firstUpstream(world)...) },
 	},
-	{Name: "log out 60s", Inject: func(world *trial.World) { outage(world, 60*time.Second) }, MinMoved: none, gone: nobody},
+	{Name: "log out 60s", Inject: func(world *trial.World) { interruptLog(world, 60*time.Second) }, MinMoved: noMoves, removed: noUpstreams},
 	{
-		Name: "no fences: planned leave", AdjustOptions: withoutFences, Inject: func(world *trial.World) { world.Upstreams[0].Draining = true }, gone: first,
-		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "no fences: planned leave", AdjustOptions: withoutFences, Inject: func(world *trial.World) { world.Upstreams[0].Draining = true }, removed: firstUpstream,
+		MinMoved: func(world *trial.World) int { return countOwned(world, firstUpstream(world)...) },
 	},
 	{
-		Name: "no fences: upstream lost", AdjustOptions: withoutFences, Inject: lose, gone: first,
-		MinMoved: func(world *trial.World) int { return owned(world, first(world)...) },
+		Name: "no fences: upstream lost", AdjustOptions: withoutFences, Inject: killUpstream, removed: firstUpstream,
+		MinMoved: func(world *trial.World) int { return countOwned(world, firstUpstream(world)...) },
 	},
-	{Name: "no fences: keeper lost", AdjustOptions: withoutFences, Inject: loseKeeper, MinMoved: none, gone: nobody},
+	{Name: "no fences: keeper lost", AdjustOptions: withoutFences, Inject: killKeeper, MinMoved: noMoves, removed: noUpstreams},
 }
 
 func withoutFences(options *trial.Options) { options.NoFences = true }
 
-func outage(world *trial.World, length time.Duration) {
+func interruptLog(world *trial.World, length time.Duration) {
 	world.LogUnavailable = true
 	world.Schedule(world.Now()+length, func() { world.LogUnavailable = false })
 }
 
-// loseZone takes the first availability zone away, entry hosts and upstreams alike.
-func loseZone(world *trial.World) {
+// killZone takes the first availability zone away, entry hosts and upstreams alike.
+func killZone(world *trial.World) {
 	zone := world.Upstreams[0].Zone
 	for _, upstream := range world.Upstreams {
 		if upstream.Zone == zone {
