--- a/views/doc.go
+++ b/views/doc.go
@@ -1,4 +1,3 @@
-// Package views holds an entry host's leases on services whose upstreams do not
-// check fences: for which upstream it may send which keys, and until when.
-// It is pure.
+// Package views keeps an entry host's leases on sending to services whose upstreams do not check fences: requests for
+// which keys the host may send to which upstream, and until when. The package is pure: callers pass the time in.
 package views
--- a/views/view.go
+++ b/views/view.go
@@ -7,7 +7,8 @@
 	"cherrykeel"
 )
 
-// View is what a host may send for one service. It is not safe for use by several goroutines.
+// View is a host's lease on sending to one service, and the requests that it sent under it. It is not safe for
+// concurrent use.
 type View struct {
 	incarnation string
 	service     string
@@ -17,21 +18,23 @@
 	owners      []string
 	hotKeys     map[string]string
 	exceptKeys  map[string]bool
-	// inFlight counts requests, so that what they are for counts as held until they have ended.
+	// inFlight is the number of requests in flight by target. A target counts as held until its requests have ended.
 	inFlight map[target]int
-	// abandoned says until when upstreams may work on requests whose answers nobody waits for any more.
+	// abandoned is the instant until which upstreams may still work on requests that this host has given up, by target.
 	abandoned map[target]cherrykeel.Instant
 }
 
-// target is what a request that waits for its answer is for. The key is counted besides its partition: a
-// key that becomes hot, or cools, changes hands while its partition stays, and would else have two upstreams.
+// target is the upstream, partition and key of a request in flight. The key is tracked in addition to its partition: a
+// key that becomes hot, or ceases to be, is transferred while its partition stays. If only the partition counted as
+// held, two upstreams could run requests for the key at once.
 type target struct {
 	upstream  string
 	partition int
 	key       string
 }
 
-// New returns a view that allows nothing; boot names the host's process.
+// New returns a view that allows no requests. incarnation identifies this start of the host's process; grants for
+// another one are rejected.
 func New(incarnation, service string, partitions int) *View {
 	return &View{
 		incarnation: incarnation,
@@ -44,12 +47,13 @@
 	}
 }
 
-// ApplyGrant takes a keeper's grant, if its fence is not older than the one held.
+// ApplyGrant applies a keeper's grant, unless it is for another incarnation of the host or its fence is older than the
+// view's. It returns the resulting holding, with the reason if the grant was rejected.
 func (view *View) ApplyGrant(grant cherrykeel.Grant, now cherrykeel.Instant) cherrykeel.Holding {
 	reason := ""
 	switch {
 	case grant.Incarnation != view.incarnation:
-		reason = "the grant is for another start of this host"
+		reason = "the grant is for another incarnation of this host"
 	case grant.Fence.Less(view.fence):
 		reason = "the fence is older than the one held"
 	default:
@@ -69,7 +73,8 @@
 	if grant.Partial && !expired {
 		return
 	}
-	// A lapsed view has nothing left to extend: the keys may have other owners by now.
+	// A partial grant cannot extend an expired lease, since the keys may have other owners by now. The lease then only
+	// covers what the grant itself lists.
 	view.owners = make([]string, len(view.owners))
 	for upstream, partitions := range grant.Owners {
 		for _, partition := range partitions {
@@ -89,7 +94,8 @@
 	}
 }
 
-// Holding says what the host may still send, or has sent without an answer yet.
+// Holding returns what the host holds: the targets that it may still send to, and those of requests that may still
+// run.
 func (view *View) Holding(now cherrykeel.Instant) cherrykeel.Holding {
 	holding := cherrykeel.Holding{
 		Service:     view.service,
@@ -123,7 +129,7 @@
 	return holding
 }
 
-// addTarget adds to a holding what a request is for, unless the host may still send it there.
+// addTarget adds a request's target to a holding, unless the grant covers it already.
 func (view *View) addTarget(flight target, holding *cherrykeel.Holding) {
 	if view.grantedOwner(flight.partition, flight.key) == flight.upstream {
 		return
@@ -144,7 +150,8 @@
 	return owner
 }
 
-// Owner returns the upstream that a request may be sent to now, or reports false.
+// Owner returns the upstream that a request for a key may be sent to now, and false if there is none or the lease has
+// ended.
 func (view *View) Owner(partition int, key string, now cherrykeel.Instant) (string, bool) {
 	if now >= view.leaseEnd || partition < 0 || partition >= len(view.owners) {
 		return "", false
@@ -153,7 +160,8 @@
 	return owner, owner != ""
 }
 
-// LimitDeadline returns the deadline of a request that is sent now, which the keeper counts on if the host is lost.
+// LimitDeadline returns the deadline of a request that is sent now: the given one, but at most the grant's timeout from
+// now. If the host is lost, the keeper waits for no longer than that timeout before it transfers keys.
 func (view *View) LimitDeadline(deadline, now cherrykeel.Instant) cherrykeel.Instant {
 	if view.timeout == 0 {
 		return deadline
@@ -161,7 +169,7 @@
 	return min(deadline, now.Add(view.timeout))
 }
 
-// StartRequest is Owner for a request that is sent at once; it is counted until Leave.
+// StartRequest is like Owner, and counts the request as in flight until FinishRequest or AbandonRequest.
 func (view *View) StartRequest(partition int, key string, now cherrykeel.Instant) (string, bool) {
 	owner, allowed := view.Owner(partition, key, now)
 	if allowed {
@@ -170,16 +178,16 @@
 	return owner, allowed
 }
 
-// AbandonRequest ends a request that Enter has counted and whose upstream may work on it until an instant, since
-// it was not the upstream that ended it: the key must not have another owner before.
+// AbandonRequest ends a request that StartRequest counted and that the host gave up, so that the upstream may still
+// work on it until the given instant. Until then its target counts as held, so that the key gets no other owner.
 func (view *View) AbandonRequest(upstream string, partition int, key string, until cherrykeel.Instant) {
 	view.FinishRequest(upstream, partition, key)
 	ended := target{upstream: upstream, partition: partition, key: key}
 	view.abandoned[ended] = max(view.abandoned[ended], until)
 }
 
-// ClearGrant takes back what the host may send, for another number of partitions; the fence and the requests
-// that are at work stay, so that the host does not pass for one that has just started.
+// ClearGrant ends the lease, for a change of the number of partitions. It keeps the fence and the requests in flight:
+// without them the view would accept outdated grants and report that no request is running.
 func (view *View) ClearGrant(partitions int) {
 	view.leaseEnd = 0
 	view.owners = make([]string, partitions)
@@ -187,7 +195,7 @@
 	view.exceptKeys = map[string]bool{}
 }
 
-// FinishRequest ends a request that Enter has counted.
+// FinishRequest ends a request that StartRequest counted and that its upstream no longer works on.
 func (view *View) FinishRequest(upstream string, partition int, key string) {
 	ended := target{upstream: upstream, partition: partition, key: key}
 	view.inFlight[ended]--
