--- a/remote/client.go
+++ b/remote/client.go
@@ -14,7 +14,7 @@
 	maxIdlePerHost = 16
 )
 
-// newClient returns a client that never repeats a request by itself.
+// newClient returns a client for the given base URL that never retries a request.
 func newClient(base string, timeout time.Duration) *resty.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost, IdleConnTimeout: time.Minute}
 	client := resty.New()
@@ -25,11 +25,13 @@
 	return client
 }
 
-// sendJSON sends body as JSON, if there is one, and reads the answer into result.
+// sendJSON sends a request and decodes the JSON answer into result. body is encoded as JSON unless it is nil or an
+// io.Reader. A status of 400 or above is an error.
 func sendJSON(ctx context.Context, client *resty.Client, method, url string, body, result any) error {
 	request := client.R().SetContext(ctx)
 	if body != nil {
-		// A bare reader has no GetBody, so net/http cannot send it twice on a connection that broke.
+		// If body is a plain io.Reader, the request has no GetBody, so net/http cannot send it again after a connection
+		// broke.
 		request.SetBody(body)
 	}
 	request.SetResult(result)
--- a/remote/doc.go
+++ b/remote/doc.go
@@ -1,4 +1,3 @@
-// Package remote speaks to the outside systems over HTTP: the platform's log,
-// the platform's list of hosts, and the upstreams' control endpoints. The
-// protocols are written down in docs/PROTOCOLS.md.
+// Package remote implements the HTTP clients of the outside systems: the platform's log, the platform's list of hosts,
+// and the upstreams' control endpoints. docs/PROTOCOLS.md describes the protocols.
 package remote
--- a/remote/grant.go
+++ b/remote/grant.go
@@ -11,8 +11,8 @@
 	"cherrykeel"
 )
 
-// ErrUpstreamControl means that an upstream's control endpoint did not answer.
-var ErrUpstreamControl = errors.New("the upstream's control endpoint did not answer")
+// ErrUpstreamControl is returned if an upstream's control endpoint does not answer, or answers with an error.
+var ErrUpstreamControl = errors.New("the upstream's control endpoint is unavailable")
 
 const ownershipPath = "/.well-known/ownership"
 
@@ -20,7 +20,7 @@
 	client *resty.Client
 }
 
-// NewGranter returns a Granter that speaks to the upstreams over HTTP.
+// NewGranter returns a Granter that sends grants and queries to the upstreams' control endpoints over HTTP.
 func NewGranter() cherrykeel.Granter {
 	return &granter{client: newClient("", controlTimeout)}
 }
--- a/remote/hosts.go
+++ b/remote/hosts.go
@@ -10,14 +10,14 @@
 	"cherrykeel"
 )
 
-// ErrListUnavailable means that the platform's list did not answer.
+// ErrListUnavailable is returned if the platform's list of hosts does not answer, or answers with an error.
 var ErrListUnavailable = errors.New("the platform's list of hosts is unavailable")
 
 type remoteHostList struct {
 	client *resty.Client
 }
 
-// NewHostList returns the platform's list at base, an http URL.
+// NewHostList returns a client of the platform's list of hosts at base, an http URL.
 func NewHostList(base string) cherrykeel.HostList {
 	return &remoteHostList{client: newClient(base, controlTimeout)}
 }
--- a/remote/log.go
+++ b/remote/log.go
@@ -20,7 +20,7 @@
 	readWait   = 2 * time.Second
 )
 
-// AppendReply is the log's answer to an append.
+// AppendReply is the log's answer to an append: the offset of the new record.
 type AppendReply struct {
 	Offset int64
 }
@@ -31,7 +31,8 @@
 	Data   json.RawMessage
 }
 
-// ReadReply is the log's answer to a read.
+// ReadReply is the log's answer to a read: records, the offset of the oldest record that the log still keeps, and the
+// offset that the next append will get.
 type ReadReply struct {
 	First   int64
 	Next    int64
@@ -44,7 +45,7 @@
 	wait   time.Duration
 }
 
-// NewLog returns the log stream of that name at base, an http URL.
+// NewLog returns a client of the named log stream at base, an http URL.
 func NewLog(base, stream string) cherrykeel.Log {
 	return &remoteLog{client: newClient(base, logTimeout), stream: stream, wait: readWait}
 }
@@ -56,7 +57,7 @@
 // Append implements cherrykeel.Log.
 func (log *remoteLog) Append(ctx context.Context, data []byte) (int64, error) {
 	var reply AppendReply
-	// A bare reader has no GetBody, so net/http cannot append twice on a connection that broke.
+	// A MultiReader gives the request no GetBody, so net/http cannot append the record again after a connection broke.
 	body := io.MultiReader(bytes.NewReader(data))
 	err := sendJSON(ctx, log.client, http.MethodPost, log.url(), body, &reply)
 	if err != nil {
