--- a/score/doc.go
+++ b/score/doc.go
@@ -1,5 +1,4 @@
-// Package score runs named, seeded scenarios and measures imbalance, churn and
-// unavailable time, ours beside the naive version on the same input. It drives
-// the real decisions through package trial and is pure: a row's figures depend
-// on the seed only.
+// Package score runs named, seeded scenarios and measures the imbalance, churn and unavailability of the placement,
+// for this program and for a naive version on the same input. It runs the decision packages in the simulation of package
+// trial and is deterministic: a row's figures depend only on the seed.
 package score
--- a/score/load.go
+++ b/score/load.go
@@ -11,13 +11,13 @@
 
 const (
 	loadKeys = 200_000
-	// zipfExponent is the exponent of the load's Zipf distribution over keys.
+	// zipfExponent is the exponent of the load's Zipf distribution over the keys.
 	zipfExponent      = 0.9
 	hotKeyCount       = 32
 	requestsPerSecond = 10_000.0
 )
 
-// load is a skewed load over keys.
+// load is a Zipf-distributed load: the requests per second and the name of each key.
 type load struct {
 	weights []float64
 	names   []string
@@ -40,7 +40,8 @@
 	return load
 }
 
-// demand is what hosts would report: partitions, and the heaviest keys by name.
+// demand returns the demand as hosts report it: requests per second by partition, and apart from those by key for the
+// heaviest keys.
 func (load load) demand(partitions int) cherrykeel.Demand {
 	demand := cherrykeel.Demand{Partitions: make([]float64, partitions), HotKeys: map[string]float64{}}
 	least := load.nthWeight(hotKeyCount)
@@ -54,7 +55,8 @@
 	return demand
 }
 
-// nthWeight is the weight of the key of a rank; weights fall with rank, so counting finds it.
+// nthWeight returns slightly less than the weight of the key at a rank, counted from 1. It follows from the heaviest
+// key's weight, since weights are proportional to rank to the power of -zipfExponent.
 func (load load) nthWeight(rank int) float64 {
 	top := 0.0
 	for _, weight := range load.weights {
@@ -63,7 +65,8 @@
 	return top * math.Pow(float64(rank), -zipfExponent) * 0.999
 }
 
-// imbalance returns max over mean of keys and of load over the upstreams of a placement.
+// imbalance returns the maximum divided by the mean, over the upstreams, of the number of keys and of the load that a
+// placement gives them.
 func (load load) imbalance(placement cherrykeel.Placement, upstreams []string) (keys, loads float64) {
 	keyCounts := map[string]float64{}
 	loadSums := map[string]float64{}
--- a/score/run.go
+++ b/score/run.go
@@ -8,7 +8,7 @@
 	"cherrykeel/trial"
 )
 
-// Size is the size of a user's keyed service.
+// Size is the size of a keyed service and its environment. Latency is the time that a message takes.
 type Size struct {
 	Name       string
 	Hosts      int
@@ -18,31 +18,32 @@
 	Latency    time.Duration
 }
 
-// Sizes are those of the users' keyed services today.
+// Sizes are the sizes that are scored, after the users' keyed services.
 var Sizes = []Size{
 	{Name: "hanbit", Hosts: 8, Upstreams: 8, Zones: 4, Partitions: 1024, Latency: 500 * time.Microsecond},
 	{Name: "huon", Hosts: 11, Upstreams: 11, Zones: 3, Partitions: 1024, Latency: 1500 * time.Microsecond},
 }
 
-// Row is what one scenario gave, ours and the naive version.
+// Row is the result of one scenario for one version, "ours" or "naive".
 type Row struct {
 	Size     string
 	Scenario string
 	Version  string
-	// KeyImbalance and LoadImbalance are max over mean at the end.
+	// KeyImbalance and LoadImbalance are the maximum divided by the mean over the upstreams, at the end.
 	KeyImbalance  float64
 	LoadImbalance float64
-	// Moved counts partitions that changed owner, Least those that had to.
+	// Moved is the number of partitions that changed owner, and MinMoved of those that had to.
 	Moved    int
 	MinMoved int `json:"Least"`
-	// LongestGap and MeanGap are times without an owner able to serve, by key.
+	// LongestGap is the longest time for which a partition had no owner able to serve, and MeanGap the mean of the total
+	// times of the partitions that had such gaps.
 	LongestGap time.Duration
 	MeanGap    time.Duration
-	// OwnerConflicts counts moments, a millisecond apart, at which a key had two owners.
+	// OwnerConflicts is how often a partition had two owners, sampled every 50 ms.
 	OwnerConflicts int `json:"TwoOwners"`
 }
 
-// Run measures one scenario at one size.
+// Run runs one scenario at one size and returns a row for this program and one for the naive version.
 func Run(size Size, scenario Scenario, seed int64) []Row {
 	options := trial.Options{
 		Seed: seed, Hosts: size.Hosts, Upstreams: size.Upstreams, Zones: size.Zones, Partitions: size.Partitions,
@@ -70,8 +71,9 @@
 	return []Row{ours, runNaive(size, scenario, load, owningUpstreams(world, before), remainingUpstreams(world, removed), minMoved)}
 }
 
-// runNaive is hash modulo over a list that shows a change after its lag; a key of a server that is
-// gone has no owner until then. Nothing tells when two hosts see different lists, so it is not counted.
+// runNaive scores hash modulo over the list of upstreams before and after the event. Its gaps are not recorded: a key of
+// a lost upstream has no owner until the list shows the change. Owner conflicts are not counted either, since it is not
+// modeled when hosts see different lists.
 func runNaive(size Size, scenario Scenario, load load, before, after []string, minMoved int) Row {
 	row := Row{Size: size.Name, Scenario: scenario.Name, Version: "naive", MinMoved: minMoved}
 	placer := naive.NewModulo()
@@ -90,7 +92,7 @@
 	return list
 }
 
-// owningUpstreams returns the upstreams that own something in a placement, in the world's order.
+// owningUpstreams returns the names of the upstreams that own partitions in a placement, in the world's order.
 func owningUpstreams(world *trial.World, placement cherrykeel.Placement) []string {
 	owning := map[string]bool{}
 	for _, owner := range placement.Owners {
@@ -129,7 +131,8 @@
 	return moved
 }
 
-// gaps are the times for which each partition was not served.
+// gaps measures for how long each partition was not served: the current gap, the longest one and the total.
+// lastUpstream is the index of the upstream that served each partition last, and conflicts counts owner conflicts.
 type gaps struct {
 	current      []time.Duration
 	longest      []time.Duration
@@ -138,7 +141,8 @@
 	conflicts    int
 }
 
-// watchGaps looks at every partition each millisecond, through one host each, for a while.
+// watchGaps runs the world for watchDuration and checks each millisecond whether every partition is served. Each
+// partition is checked through one of the running hosts.
 func watchGaps(world *trial.World) *gaps {
 	count := world.Options.Partitions
 	gaps := &gaps{
--- a/score/scenario.go
+++ b/score/scenario.go
@@ -8,21 +8,24 @@
 )
 
 const (
+	// settleTime is how long the world runs without events first.
 	settleTime = 20 * time.Second
-	// watchDuration is how long after the event gaps are measured, to the millisecond.
+	// watchDuration is how long after the event gaps are recorded, to the millisecond.
 	watchDuration = 12 * time.Second
-	// finalDelay is when churn and imbalance are read, after the event.
+	// finalDelay is how long after the event churn and imbalance are computed.
 	finalDelay = 90 * time.Second
 )
 
-// Scenario is one event, or a few, in a world that was calm before.
+// Scenario injects one or more events into a world that has settled.
 type Scenario struct {
 	Name string
-	// MinMoved is how many partitions must change owner because of it.
-	MinMoved      func(world *trial.World) int
-	Inject        func(world *trial.World)
+	// MinMoved returns how many partitions must change owner because of the events.
+	MinMoved func(world *trial.World) int
+	// Inject causes the events.
+	Inject func(world *trial.World)
+	// AdjustOptions changes the world's options beforehand; it may be nil.
 	AdjustOptions func(options *trial.Options)
-	// removed names the upstreams that are not there afterwards.
+	// removed returns the names of the upstreams that are gone afterwards.
 	removed func(world *trial.World) []string
 }
 
@@ -49,7 +52,7 @@
 	return cherrykeel.Placement{}
 }
 
-// upstreamsInFirstZone returns the names of the upstreams in the zone of the first.
+// upstreamsInFirstZone returns the names of the upstreams in the first upstream's availability zone.
 func upstreamsInFirstZone(world *trial.World) []string {
 	var names []string
 	for _, upstream := range world.Upstreams {
@@ -68,7 +71,7 @@
 
 func noUpstreams(*trial.World) []string { return nil }
 
-// Scenarios lists all in the order in which they are printed.
+// Scenarios lists all scenarios in the order in which they are printed.
 var Scenarios = []Scenario{
 	{
 		Name: "join", Inject: func(world *trial.World) { world.AddUpstream("up-new", 0) }, removed: noUpstreams,
@@ -84,7 +87,7 @@
 	},
 	{
 		Name: "upstream frozen 8s", Inject: func(world *trial.World) { world.Upstreams[0].SuspendedUntil = world.Now() + 8*time.Second }, removed: noUpstreams,
-		// Its partitions must go elsewhere, and as many come back to it.
+		// Its partitions must move to other upstreams, and as many must move back.
 		MinMoved: func(world *trial.World) int { return 2 * countOwned(world, firstUpstream(world)...) },
 	},
 	{
@@ -121,7 +124,7 @@
 	world.Schedule(world.Now()+length, func() { world.LogUnavailable = false })
 }
 
-// killZone takes the first availability zone away, entry hosts and upstreams alike.
+// killZone kills all entry hosts and upstreams of the first upstream's availability zone.
 func killZone(world *trial.World) {
 	zone := world.Upstreams[0].Zone
 	for _, upstream := range world.Upstreams {
@@ -136,7 +139,7 @@
 	}
 }
 
-// restartHosts replaces every entry host by a new one, a second and a half apart.
+// restartHosts replaces every entry host by a new one, 1.5 s apart.
 func restartHosts(world *trial.World) {
 	for i, host := range world.Hosts {
 		world.Schedule(world.Now()+time.Duration(i)*1500*time.Millisecond, func() {
