--- a/edge/body.go
+++ b/edge/body.go
@@ -14,11 +14,11 @@
 // requestTimeout returns the service's timeout, or the caller's if that is shorter.
 func requestTimeout(exchange *cherrykeel.Exchange) time.Duration {
 	limit := exchange.Service.Timeout
-	asked, err := strconv.Atoi(exchange.Request.Header.Get(cherrykeel.HeaderTimeout))
-	if err != nil || asked <= 0 {
+	requested, err := strconv.Atoi(exchange.Request.Header.Get(cherrykeel.HeaderTimeout))
+	if err != nil || requested <= 0 {
 		return limit
 	}
-	return min(limit, time.Duration(asked)*time.Millisecond)
+	return min(limit, time.Duration(requested)*time.Millisecond)
 }
 
 type body struct {
