--- a/host/duty.go
+++ b/host/duty.go
@@ -62,10 +62,10 @@
 	}
 }
 
-func (coordinator *coordinator) recordCaughtUp(begun cherrykeel.Instant) {
+func (coordinator *coordinator) recordCaughtUp(startedAt cherrykeel.Instant) {
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
-	coordinator.witness.RecordCaughtUp(begun)
+	coordinator.witness.RecordCaughtUp(startedAt)
 }
 
 // onState applies a new state of the fold.
--- a/host/slots.go
+++ b/host/slots.go
@@ -88,12 +88,12 @@
 
 func (host *Host) requestSlotsOnce(ctx context.Context) {
 	requests := map[string]wire.Slots{}
-	for service, wants := range host.fleet.SlotRequests() {
+	for service, slotRequests := range host.fleet.SlotRequests() {
 		allocatorHost := host.slotAllocatorHost(service)
 		if _, exists := requests[allocatorHost]; !exists {
 			requests[allocatorHost] = wire.Slots{Host: host.config.Name, Requests: map[string]map[string]admit.SlotRequest{}}
 		}
-		requests[allocatorHost].Requests[service] = wants
+		requests[allocatorHost].Requests[service] = slotRequests
 	}
 	var pending sync.WaitGroup
 	for allocatorHost, request := range requests {
@@ -137,15 +137,15 @@
 	host.slotAllocators.mutex.Lock()
 	defer host.slotAllocators.mutex.Unlock()
 	now := host.clock.Now()
-	for path, wants := range request.Requests {
+	for path, slotRequests := range request.Requests {
 		service := table.Services()[path]
 		if service == nil {
 			continue
 		}
 		reply.Granted[path] = map[string]int{}
-		for upstream, want := range wants {
+		for upstream, slotRequest := range slotRequests {
 			allocator := host.slotAllocators.allocator(path, upstream, service.Slots, now)
-			reply.Granted[path][upstream], reply.Length = allocator.Allocate(request.Host, want, now)
+			reply.Granted[path][upstream], reply.Length = allocator.Allocate(request.Host, slotRequest, now)
 		}
 	}
 	return reply
