--- a/views/view.go
+++ b/views/view.go
@@ -113,15 +113,15 @@
 	for key, owner := range view.hotKeys {
 		holding.HotKeys = append(holding.HotKeys, owner+" "+key)
 	}
-	for flight := range view.inFlight {
-		view.addTarget(flight, &holding)
+	for requestTarget := range view.inFlight {
+		view.addTarget(requestTarget, &holding)
 	}
-	for flight, until := range view.abandoned {
+	for requestTarget, until := range view.abandoned {
 		if now >= until {
-			delete(view.abandoned, flight)
+			delete(view.abandoned, requestTarget)
 			continue
 		}
-		view.addTarget(flight, &holding)
+		view.addTarget(requestTarget, &holding)
 	}
 	for key := range view.exceptKeys {
 		holding.ExceptKeys = append(holding.ExceptKeys, key)
@@ -130,15 +130,15 @@
 }
 
 // addTarget adds a request's target to a holding, unless the grant covers it already.
-func (view *View) addTarget(flight target, holding *cherrykeel.Holding) {
-	if view.grantedOwner(flight.partition, flight.key) == flight.upstream {
+func (view *View) addTarget(requestTarget target, holding *cherrykeel.Holding) {
+	if view.grantedOwner(requestTarget.partition, requestTarget.key) == requestTarget.upstream {
 		return
 	}
-	partition := flight.partition
-	if partition >= len(view.owners) || view.owners[partition] != flight.upstream {
-		holding.Owners[flight.upstream] = append(holding.Owners[flight.upstream], partition)
+	partition := requestTarget.partition
+	if partition >= len(view.owners) || view.owners[partition] != requestTarget.upstream {
+		holding.Owners[requestTarget.upstream] = append(holding.Owners[requestTarget.upstream], partition)
 	}
-	holding.HotKeys = append(holding.HotKeys, flight.upstream+" "+flight.key)
+	holding.HotKeys = append(holding.HotKeys, requestTarget.upstream+" "+requestTarget.key)
 }
 
 // grantedOwner returns the upstream that the last grant names for a key, or an empty string.
@@ -161,7 +161,7 @@
 }
 
 // LimitDeadline returns the deadline of a request that is sent now: the given one, but at most the grant's timeout from
-// now. If the host is lost, the keeper waits for no longer than that timeout before it transfers keys.
+// now. If the host is lost, the keeper relies on that timeout when it waits for the host's requests to end.
 func (view *View) LimitDeadline(deadline, now cherrykeel.Instant) cherrykeel.Instant {
 	if view.timeout == 0 {
 		return deadline
