--- a/score/run.go
+++ b/score/run.go
@@ -151,8 +151,8 @@
 		total:        make([]time.Duration, count),
 		lastUpstream: make([]int, count),
 	}
-	begun := world.Now()
-	for world.Now() < begun+watchDuration {
+	start := world.Now()
+	for world.Now() < start+watchDuration {
 		world.RunUntil(world.Now() + time.Millisecond)
 		var hosts []*trial.Host
 		for _, host := range world.Hosts {
