--- a/remote/client.go
+++ b/remote/client.go
@@ -11,12 +11,12 @@
 
 const (
 	controlTimeout = 2 * time.Second
-	idlePerHost    = 16
+	maxIdlePerHost = 16
 )
 
-// newClient returns a client that never repeats a request by itself.
+// newClient returns a client for the given base URL that never retries a request.
 func newClient(base string, timeout time.Duration) *resty.Client {
-	transport := &http.Transport{MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: time.Minute}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost, IdleConnTimeout: time.Minute}
 	client := resty.New()
 	client.SetTransport(transport)
 	client.SetTimeout(timeout)
@@ -25,11 +25,13 @@
 	return client
 }
 
-// exchange sends body as JSON, if there is one, and reads the answer into result.
-func exchange(ctx context.Context, client *resty.Client, method, url string, body, result any) error {
+// sendJSON sends a request and decodes the JSON answer into result. body is encoded as JSON unless it is nil or an
+// io.Reader. A status of 400 or above is an error.
+func sendJSON(ctx context.Context, client *resty.Client, method, url string, body, result any) error {
 	request := client.R().SetContext(ctx)
 	if body != nil {
-		// A bare reader has no GetBody, so net/http cannot send it twice on a connection that broke.
+		// If body is a plain io.Reader, the request has no GetBody, so net/http cannot send it again after a connection
+		// broke.
 		request.SetBody(body)
 	}
 	request.SetResult(result)
--- a/score/run.go
+++ b/score/run.go
@@ -8,7 +8,7 @@
 	"cherrykeel/trial"
 )
 
-// Size is the size of a user's keyed service.
+// Size is the size of a keyed service and its environment. Latency is the time that a message takes.
 type Size struct {
 	Name       string
 	Hosts      int
@@ -18,31 +18,32 @@
 	Latency    time.Duration
 }
 
-// Sizes are those of the users' keyed services today.
+// Sizes are the sizes that are scored, after the users' keyed services.
 var Sizes = []Size{
 	{Name: "hanbit", Hosts: 8, Upstreams: 8, Zones: 4, Partitions: 1024, Latency: 500 * time.Microsecond},
 	{Name: "huon", Hosts: 11, Upstreams: 11, Zones: 3, Partitions: 1024, Latency: 1500 * time.Microsecond},
 }
 
-// Row is what one scenario gave, ours and the naive version.
+// Row is the result of one scenario for one version, "ours" or "naive".
 type Row struct {
 	Size     string
 	Scenario string
 	Version  string
-	// KeyImbalance and LoadImbalance are max over mean at the end.
+	// KeyImbalance and LoadImbalance are the maximum divided by the mean over the upstreams, at the end.
 	KeyImbalance  float64
 	LoadImbalance float64
-	// Moved counts partitions that changed owner, Least those that had to.
+	// Moved is the number of partitions that changed owner, and MinMoved of those that had to.
 	Moved    int
 	MinMoved int `json:"Least"`
-	// LongestGap and MeanGap are times without an owner able to serve, by key.
+	// LongestGap is the longest time for which a partition had no owner able to serve, and MeanGap the mean of the total
+	// times of the partitions that had such gaps.
 	LongestGap time.Duration
 	MeanGap    time.Duration
-	// OwnerConflicts counts moments, a millisecond apart, at which a key had two owners.
+	// OwnerConflicts is how often a partition had two owners, sampled every 50 ms.
 	OwnerConflicts int `json:"TwoOwners"`
 }
 
-// Run measures one scenario at one size.
+// Run runs one scenario at one size and returns a row for this program and one for the naive version.
 func Run(size Size, scenario Scenario, seed int64) []Row {
 	options := trial.Options{
 		Seed: seed, Hosts: size.Hosts, Upstreams: size.Upstreams, Zones: size.Zones, Partitions: size.Partitions,
@@ -54,26 +55,27 @@
 	load := newLoad(seed)
 	world := trial.New(options)
 	world.Demand = load.demand(size.Partitions)
-	world.RunUntil(calm)
+	world.RunUntil(settleTime)
 	before := currentPlacement(world)
-	least := scenario.MinMoved(world)
-	gone := scenario.gone(world)
+	minMoved := scenario.MinMoved(world)
+	removed := scenario.removed(world)
 	scenario.Inject(world)
-	gaps := watch(world)
-	world.RunUntil(calm + settled)
+	gaps := watchGaps(world)
+	world.RunUntil(settleTime + finalDelay)
 	after := currentPlacement(world)
 
-	ours := Row{Size: size.Name, Scenario: scenario.Name, Version: "ours", MinMoved: least}
+	ours := Row{Size: size.Name, Scenario: scenario.Name, Version: "ours", MinMoved: minMoved}
 	ours.Moved = countMoved(before, after)
-	ours.KeyImbalance, ours.LoadImbalance = load.imbalance(after, live(world, gone))
-	gaps.fill(&ours)
-	return []Row{ours, runNaive(size, scenario, load, names(world, before), live(world, gone), least)}
+	ours.KeyImbalance, ours.LoadImbalance = load.imbalance(after, remainingUpstreams(world, removed))
+	gaps.fillRow(&ours)
+	return []Row{ours, runNaive(size, scenario, load, owningUpstreams(world, before), remainingUpstreams(world, removed), minMoved)}
 }
 
-// runNaive is hash modulo over a list that shows a change after its lag; a key of a server that is
-// gone has no owner until then. Nothing tells when two hosts see different lists, so it is not counted.
-func runNaive(size Size, scenario Scenario, load load, before, after []string, least int) Row {
-	row := Row{Size: size.Name, Scenario: scenario.Name, Version: "naive", MinMoved: least}
+// runNaive scores hash modulo over the list of upstreams before and after the event. Its gaps are not recorded: a key of
+// a lost upstream has no owner until the list shows the change. Owner conflicts are not counted either, since it is not
+// modeled when hosts see different lists.
+func runNaive(size Size, scenario Scenario, load load, before, after []string, minMoved int) Row {
+	row := Row{Size: size.Name, Scenario: scenario.Name, Version: "naive", MinMoved: minMoved}
 	placer := naive.NewModulo()
 	old := placer.Place(cherrykeel.Placement{}, size.Partitions, candidates(before), cherrykeel.Demand{}, 0)
 	next := placer.Place(cherrykeel.Placement{}, size.Partitions, candidates(after), cherrykeel.Demand{}, 0)
@@ -90,8 +92,8 @@
 	return list
 }
 
-// names returns the upstreams that own something in a placement, in the world's order.
-func names(world *trial.World, placement cherrykeel.Placement) []string {
+// owningUpstreams returns the names of the upstreams that own partitions in a placement, in the world's order.
+func owningUpstreams(world *trial.World, placement cherrykeel.Placement) []string {
 	owning := map[string]bool{}
 	for _, owner := range placement.Owners {
 		owning[owner] = true
@@ -105,14 +107,14 @@
 	return list
 }
 
-func live(world *trial.World, gone []string) []string {
-	left := map[string]bool{}
-	for _, name := range gone {
-		left[name] = true
+func remainingUpstreams(world *trial.World, removed []string) []string {
+	isRemoved := map[string]bool{}
+	for _, name := range removed {
+		isRemoved[name] = true
 	}
 	var list []string
 	for _, upstream := range world.Upstreams {
-		if !left[upstream.Name] {
+		if !isRemoved[upstream.Name] {
 			list = append(list, upstream.Name)
 		}
 	}
@@ -129,26 +131,28 @@
 	return moved
 }
 
-// gaps are the times for which each partition was not served.
+// gaps measures for how long each partition was not served: the current gap, the longest one and the total.
+// lastUpstream is the index of the upstream that served each partition last, and conflicts counts owner conflicts.
 type gaps struct {
-	current []time.Duration
-	longest []time.Duration
-	total   []time.Duration
-	server  []int
-	double  int
+	current      []time.Duration
+	longest      []time.Duration
+	total        []time.Duration
+	lastUpstream []int
+	conflicts    int
 }
 
-// watch looks at every partition each millisecond, through one host each, for a while.
-func watch(world *trial.World) *gaps {
+// watchGaps runs the world for watchDuration and checks each millisecond whether every partition is served. Each
+// partition is checked through one of the running hosts.
+func watchGaps(world *trial.World) *gaps {
 	count := world.Options.Partitions
 	gaps := &gaps{
-		current: make([]time.Duration, count),
-		longest: make([]time.Duration, count),
-		total:   make([]time.Duration, count),
-		server:  make([]int, count),
+		current:      make([]time.Duration, count),
+		longest:      make([]time.Duration, count),
+		total:        make([]time.Duration, count),
+		lastUpstream: make([]int, count),
 	}
-	begun := world.Now()
-	for world.Now() < begun+watched {
+	start := world.Now()
+	for world.Now() < start+watchDuration {
 		world.RunUntil(world.Now() + time.Millisecond)
 		var hosts []*trial.Host
 		for _, host := range world.Hosts {
@@ -157,25 +161,25 @@
 			}
 		}
 		for partition := range count {
-			gaps.server[partition] = world.ServingUpstream(hosts[partition%len(hosts)], partition, "", gaps.server[partition])
-			gaps.note(partition, gaps.server[partition] >= 0)
+			gaps.lastUpstream[partition] = world.ServingUpstream(hosts[partition%len(hosts)], partition, "", gaps.lastUpstream[partition])
+			gaps.record(partition, gaps.lastUpstream[partition] >= 0)
 		}
 		if world.Now()%(50*time.Millisecond) == 0 {
-			gaps.countDouble(world)
+			gaps.countConflicts(world)
 		}
 	}
 	return gaps
 }
 
-func (gaps *gaps) countDouble(world *trial.World) {
+func (gaps *gaps) countConflicts(world *trial.World) {
 	for partition := range gaps.current {
 		if len(world.Owners(partition, "")) > 1 {
-			gaps.double++
+			gaps.conflicts++
 		}
 	}
 }
 
-func (gaps *gaps) note(partition int, served bool) {
+func (gaps *gaps) record(partition int, served bool) {
 	if served {
 		gaps.current[partition] = 0
 		return
@@ -185,7 +189,7 @@
 	gaps.longest[partition] = max(gaps.longest[partition], gaps.current[partition])
 }
 
-func (gaps *gaps) fill(row *Row) {
+func (gaps *gaps) fillRow(row *Row) {
 	sum := time.Duration(0)
 	affected := 0
 	for partition, longest := range gaps.longest {
@@ -198,5 +202,5 @@
 	if affected > 0 {
 		row.MeanGap = sum / time.Duration(affected)
 	}
-	row.OwnerConflicts = gaps.double
+	row.OwnerConflicts = gaps.conflicts
 }
--- a/views/view.go
+++ b/views/view.go
@@ -7,53 +7,57 @@
 	"cherrykeel"
 )
 
-// View is what a host may send for one service. It is not safe for use by several goroutines.
+// View is a host's lease on sending to one service, and the requests that it sent under it. It is not safe for
+// concurrent use.
 type View struct {
-	boot    string
-	service string
-	fence   cherrykeel.Fence
-	until   cherrykeel.Instant
-	timeout time.Duration
-	owners  []string
-	hotKeys map[string]string
-	except  map[string]bool
-	// inFlight counts requests, so that what they are for counts as held until they have ended.
-	inFlight map[flight]int
-	// abandoned says until when upstreams may work on requests whose answers nobody waits for any more.
-	abandoned map[flight]cherrykeel.Instant
+	incarnation string
+	service     string
+	fence       cherrykeel.Fence
+	leaseEnd    cherrykeel.Instant
+	timeout     time.Duration
+	owners      []string
+	hotKeys     map[string]string
+	exceptKeys  map[string]bool
+	// inFlight is the number of requests in flight by target. A target counts as held until its requests have ended.
+	inFlight map[target]int
+	// abandoned is the instant until which upstreams may still work on requests that this host has given up, by target.
+	abandoned map[target]cherrykeel.Instant
 }
 
-// flight is what a request that waits for its answer is for. The key is counted besides its partition: a
-// key that becomes hot, or cools, changes hands while its partition stays, and would else have two upstreams.
-type flight struct {
+// target is the upstream, partition and key of a request in flight. The key is tracked in addition to its partition: a
+// key that becomes hot, or ceases to be, is transferred while its partition stays. If only the partition counted as
+// held, two upstreams could run requests for the key at once.
+type target struct {
 	upstream  string
 	partition int
 	key       string
 }
 
-// New returns a view that allows nothing; boot names the host's process.
-func New(boot, service string, partitions int) *View {
+// New returns a view that allows no requests. incarnation identifies this start of the host's process; grants for
+// another one are rejected.
+func New(incarnation, service string, partitions int) *View {
 	return &View{
-		boot:      boot,
-		service:   service,
-		owners:    make([]string, partitions),
-		hotKeys:   map[string]string{},
-		except:    map[string]bool{},
-		inFlight:  map[flight]int{},
-		abandoned: map[flight]cherrykeel.Instant{},
+		incarnation: incarnation,
+		service:     service,
+		owners:      make([]string, partitions),
+		hotKeys:     map[string]string{},
+		exceptKeys:  map[string]bool{},
+		inFlight:    map[target]int{},
+		abandoned:   map[target]cherrykeel.Instant{},
 	}
 }
 
-// ApplyGrant takes a keeper's grant, if its fence is not older than the one held.
+// ApplyGrant applies a keeper's grant, unless it is for another incarnation of the host or its fence is older than the
+// view's. It returns the resulting holding, with the reason if the grant was rejected.
 func (view *View) ApplyGrant(grant cherrykeel.Grant, now cherrykeel.Instant) cherrykeel.Holding {
 	reason := ""
 	switch {
-	case grant.Incarnation != view.boot:
-		reason = "the grant is for another start of this host"
+	case grant.Incarnation != view.incarnation:
+		reason = "the grant is for another incarnation of this host"
 	case grant.Fence.Less(view.fence):
 		reason = "the fence is older than the one held"
 	default:
-		view.take(grant, now)
+		view.replaceGrant(grant, now)
 	}
 	holding := view.Holding(now)
 	holding.Accepted = reason == ""
@@ -61,15 +65,16 @@
 	return holding
 }
 
-func (view *View) take(grant cherrykeel.Grant, now cherrykeel.Instant) {
-	lapsed := now >= view.until
+func (view *View) replaceGrant(grant cherrykeel.Grant, now cherrykeel.Instant) {
+	expired := now >= view.leaseEnd
 	view.fence = grant.Fence
-	view.until = cherrykeel.Instant(grant.Until)
+	view.leaseEnd = cherrykeel.Instant(grant.Until)
 	view.timeout = grant.Timeout
-	if grant.Partial && !lapsed {
+	if grant.Partial && !expired {
 		return
 	}
-	// A lapsed view has nothing left to extend: the keys may have other owners by now.
+	// A partial grant cannot extend an expired lease, since the keys may have other owners by now. The lease then only
+	// covers what the grant itself lists.
 	view.owners = make([]string, len(view.owners))
 	for upstream, partitions := range grant.Owners {
 		for _, partition := range partitions {
@@ -83,20 +88,21 @@
 		owner, key, _ := strings.Cut(entry, " ")
 		view.hotKeys[key] = owner
 	}
-	view.except = map[string]bool{}
+	view.exceptKeys = map[string]bool{}
 	for _, key := range grant.ExceptKeys {
-		view.except[key] = true
+		view.exceptKeys[key] = true
 	}
 }
 
-// Holding says what the host may still send, or has sent without an answer yet.
+// Holding returns what the host holds: the targets that it may still send to, and those of requests that may still
+// run.
 func (view *View) Holding(now cherrykeel.Instant) cherrykeel.Holding {
 	holding := cherrykeel.Holding{
 		Service:     view.service,
-		Incarnation: view.boot,
+		Incarnation: view.incarnation,
 		Now:         now.Sub(0),
 		Fence:       view.fence,
-		Until:       view.until.Sub(0),
+		Until:       view.leaseEnd.Sub(0),
 		Owners:      map[string][]int{},
 	}
 	for partition, owner := range view.owners {
@@ -107,53 +113,55 @@
 	for key, owner := range view.hotKeys {
 		holding.HotKeys = append(holding.HotKeys, owner+" "+key)
 	}
-	for flight := range view.inFlight {
-		view.list(flight, &holding)
+	for requestTarget := range view.inFlight {
+		view.addTarget(requestTarget, &holding)
 	}
-	for flight, until := range view.abandoned {
+	for requestTarget, until := range view.abandoned {
 		if now >= until {
-			delete(view.abandoned, flight)
+			delete(view.abandoned, requestTarget)
 			continue
 		}
-		view.list(flight, &holding)
+		view.addTarget(requestTarget, &holding)
 	}
-	for key := range view.except {
+	for key := range view.exceptKeys {
 		holding.ExceptKeys = append(holding.ExceptKeys, key)
 	}
 	return holding
 }
 
-// list adds to a holding what a request is for, unless the host may still send it there.
-func (view *View) list(flight flight, holding *cherrykeel.Holding) {
-	if view.owner(flight.partition, flight.key) == flight.upstream {
+// addTarget adds a request's target to a holding, unless the grant covers it already.
+func (view *View) addTarget(requestTarget target, holding *cherrykeel.Holding) {
+	if view.grantedOwner(requestTarget.partition, requestTarget.key) == requestTarget.upstream {
 		return
 	}
-	partition := flight.partition
-	if partition >= len(view.owners) || view.owners[partition] != flight.upstream {
-		holding.Owners[flight.upstream] = append(holding.Owners[flight.upstream], partition)
+	partition := requestTarget.partition
+	if partition >= len(view.owners) || view.owners[partition] != requestTarget.upstream {
+		holding.Owners[requestTarget.upstream] = append(holding.Owners[requestTarget.upstream], partition)
 	}
-	holding.HotKeys = append(holding.HotKeys, flight.upstream+" "+flight.key)
+	holding.HotKeys = append(holding.HotKeys, requestTarget.upstream+" "+requestTarget.key)
 }
 
-// owner returns the upstream that the last grant names for a key, or an empty string.
-func (view *View) owner(partition int, key string) string {
+// grantedOwner returns the upstream that the last grant names for a key, or an empty string.
+func (view *View) grantedOwner(partition int, key string) string {
 	owner := view.hotKeys[key]
-	if owner == "" && !view.except[key] && partition < len(view.owners) {
+	if owner == "" && !view.exceptKeys[key] && partition < len(view.owners) {
 		owner = view.owners[partition]
 	}
 	return owner
 }
 
-// Owner returns the upstream that a request may be sent to now, or reports false.
+// Owner returns the upstream that a request for a key may be sent to now, and false if there is none or the lease has
+// ended.
 func (view *View) Owner(partition int, key string, now cherrykeel.Instant) (string, bool) {
-	if now >= view.until || partition < 0 || partition >= len(view.owners) {
+	if now >= view.leaseEnd || partition < 0 || partition >= len(view.owners) {
 		return "", false
 	}
-	owner := view.owner(partition, key)
+	owner := view.grantedOwner(partition, key)
 	return owner, owner != ""
 }
 
-// LimitDeadline returns the deadline of a request that is sent now, which the keeper counts on if the host is lost.
+// LimitDeadline returns the deadline of a request that is sent now: the given one, but at most the grant's timeout from
+// now. If the host is lost, the keeper relies on that timeout when it waits for the host's requests to end.
 func (view *View) LimitDeadline(deadline, now cherrykeel.Instant) cherrykeel.Instant {
 	if view.timeout == 0 {
 		return deadline
@@ -161,35 +169,35 @@
 	return min(deadline, now.Add(view.timeout))
 }
 
-// StartRequest is Owner for a request that is sent at once; it is counted until Leave.
+// StartRequest is like Owner, and counts the request as in flight until FinishRequest or AbandonRequest.
 func (view *View) StartRequest(partition int, key string, now cherrykeel.Instant) (string, bool) {
 	owner, allowed := view.Owner(partition, key, now)
 	if allowed {
-		view.inFlight[flight{upstream: owner, partition: partition, key: key}]++
+		view.inFlight[target{upstream: owner, partition: partition, key: key}]++
 	}
 	return owner, allowed
 }
 
-// AbandonRequest ends a request that Enter has counted and whose upstream may work on it until an instant, since
-// it was not the upstream that ended it: the key must not have another owner before.
+// AbandonRequest ends a request that StartRequest counted and that the host gave up, so that the upstream may still
+// work on it until the given instant. Until then its target counts as held, so that the key gets no other owner.
 func (view *View) AbandonRequest(upstream string, partition int, key string, until cherrykeel.Instant) {
 	view.FinishRequest(upstream, partition, key)
-	ended := flight{upstream: upstream, partition: partition, key: key}
+	ended := target{upstream: upstream, partition: partition, key: key}
 	view.abandoned[ended] = max(view.abandoned[ended], until)
 }
 
-// ClearGrant takes back what the host may send, for another number of partitions; the fence and the requests
-// that are at work stay, so that the host does not pass for one that has just started.
+// ClearGrant ends the lease, for a change of the number of partitions. It keeps the fence and the requests in flight:
+// without them the view would accept outdated grants and report that no request is running.
 func (view *View) ClearGrant(partitions int) {
-	view.until = 0
+	view.leaseEnd = 0
 	view.owners = make([]string, partitions)
 	view.hotKeys = map[string]string{}
-	view.except = map[string]bool{}
+	view.exceptKeys = map[string]bool{}
 }
 
-// FinishRequest ends a request that Enter has counted.
+// FinishRequest ends a request that StartRequest counted and that its upstream no longer works on.
 func (view *View) FinishRequest(upstream string, partition int, key string) {
-	ended := flight{upstream: upstream, partition: partition, key: key}
+	ended := target{upstream: upstream, partition: partition, key: key}
 	view.inFlight[ended]--
 	if view.inFlight[ended] <= 0 {
 		delete(view.inFlight, ended)
