--- a/cmd/cherrykeel/operate.go
+++ b/cmd/cherrykeel/operate.go
@@ -162,7 +162,7 @@
 }
 
 func (command *statusCommand) Run() error {
-	statuses, err := command.client().Hosts(context.Background())
+	statuses, err := command.client().HostStatuses(context.Background())
 	if err != nil {
 		return err
 	}
--- a/demo/world.go
+++ b/demo/world.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return publication, err
 	}
-	return publication, client.AwaitForce(ctx, &publication, startLimit)
+	return publication, client.AwaitInForce(ctx, &publication, startLimit)
 }
 
 // AwaitOwners waits until every partition of the keyed services has an owner, by the word of the hosts given.
--- a/opctl/client.go
+++ b/opctl/client.go
@@ -177,8 +177,8 @@
 	Version  int64
 	Accepted bool
 	Reason   string
-	// Lost is the change that was in force instead.
-	Lost *fold.AuditEntry `json:",omitempty"`
+	// ConflictingEntry is the change that was in force instead.
+	ConflictingEntry *fold.AuditEntry `json:"Lost,omitempty"`
 	// InForce and Missing name the hosts on which the change is in force, and is not.
 	InForce []string
 	Missing []string
@@ -202,7 +202,7 @@
 	publication.Accepted = verdict.Accepted
 	publication.Reason = verdict.Reason
 	if !verdict.Accepted {
-		publication.Lost = findEntry(client.follower.State(), verdict.ConflictVersion)
+		publication.ConflictingEntry = findEntry(client.follower.State(), verdict.ConflictVersion)
 		return publication, exit(ExitRejected, errors.New(rejection(publication)))
 	}
 	return publication, nil
@@ -219,17 +219,17 @@
 
 func rejection(publication Publication) string {
 	text := "rejected, nothing was changed: " + publication.Reason
-	if lost := publication.Lost; lost != nil {
+	if lost := publication.ConflictingEntry; lost != nil {
 		text += "; it lost to version " + formatVersion(lost.Version) + " by " + lost.Author + " (" + lost.Reason + ")"
 	}
 	return text + "; run `cherrykeel plan` again to see what remains to be done"
 }
 
-// AwaitForce waits until a version is in force on every live host, and names those on which it is not.
-func (client *Client) AwaitForce(ctx context.Context, publication *Publication, wait time.Duration) error {
+// AwaitInForce waits until a version is in force on every live host, and names those on which it is not.
+func (client *Client) AwaitInForce(ctx context.Context, publication *Publication, wait time.Duration) error {
 	limit := time.Now().Add(wait)
 	for {
-		statuses, err := client.Hosts(ctx)
+		statuses, err := client.HostStatuses(ctx)
 		if err != nil {
 			return exit(ExitPartial, errors.Wrap(err, "accepted, but the hosts could not be asked"))
 		}
@@ -259,8 +259,8 @@
 	Error  string       `json:",omitempty"`
 }
 
-// Hosts asks every live entry host on the platform's list for its status.
-func (client *Client) Hosts(ctx context.Context) ([]HostStatus, error) {
+// HostStatuses asks every live entry host on the platform's list for its status.
+func (client *Client) HostStatuses(ctx context.Context) ([]HostStatus, error) {
 	members, err := client.list.Members(ctx)
 	if err != nil {
 		return nil, exit(ExitUnreachable, err)
--- a/opctl/commands.go
+++ b/opctl/commands.go
@@ -144,7 +144,7 @@
 	}
 	if options.Base != 0 && plan.Version != options.Base {
 		entry := findEntry(client.follower.State(), plan.Version)
-		publication := Publication{Lost: entry}
+		publication := Publication{ConflictingEntry: entry}
 		publication.Reason = fmt.Sprintf("version %d is in force, --base names %d", plan.Version, options.Base)
 		return publication, exit(ExitRejected, errors.New(rejection(publication)))
 	}
@@ -155,7 +155,7 @@
 	if err != nil || options.Wait == 0 {
 		return publication, err
 	}
-	return publication, client.AwaitForce(ctx, &publication, options.Wait)
+	return publication, client.AwaitInForce(ctx, &publication, options.Wait)
 }
 
 // PrintPublication writes what became of a publish.
