--- a/cmd/cherrykeel/docs_test.go
+++ b/cmd/cherrykeel/docs_test.go
@@ -22,7 +22,7 @@
 	RunSpecs(t, "docs")
 }
 
-func read(name string) string {
+func readDocument(name string) string {
 	text, err := os.ReadFile("../../docs/" + name)
 	Expect(err).NotTo(HaveOccurred())
 	return string(text)
@@ -30,7 +30,7 @@
 
 var _ = Describe("the documents", func() {
 	It("list each event with its number, level and text, and no other", func() {
-		text := read("EVENTS.md")
+		text := readDocument("EVENTS.md")
 		rows := 0
 		for _, event := range events.All {
 			Expect(text).To(ContainSubstring(fmt.Sprintf("| %d | %s | %s |", event.Number, event.Level, event.Text)))
@@ -66,14 +66,14 @@
 	})
 
 	It("list each setting with its type, unit, default, range and levels", func() {
-		text := read("SETTINGS.md")
+		text := readDocument("SETTINGS.md")
 		for _, field := range tree.Fields {
 			Expect(text).To(ContainSubstring(field.Row()))
 		}
 	})
 
 	It("list each field of a host's configuration", func() {
-		text := read("SETTINGS.md")
+		text := readDocument("SETTINGS.md")
 		kind := reflect.TypeOf(config.Config{})
 		for i := range kind.NumField() {
 			Expect(text).To(ContainSubstring("| " + kind.Field(i).Name + " |"))
--- a/cmd/cherrykeel/entry.go
+++ b/cmd/cherrykeel/entry.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	// storeDial and storeSilence end calls to a store that does not answer at all; it is 1 ms away.
-	storeDial    = 500 * time.Millisecond
-	storeSilence = 700 * time.Millisecond
-	// orderIdle keeps connections for orders shorter than upstreams do.
-	orderIdle = 5 * time.Second
-	storeIdle = 30 * time.Second
-	// memoryShare is the part of the allowed memory at which the collector works harder.
-	memoryShare = 0.6
-	// settingsPace is how often the settings file is looked at, since it may change without a signal.
-	settingsPace = 2 * time.Second
+	// dialTimeout and storeSilence end calls to a store that does not answer at all; it is 1 ms away.
+	dialTimeout = 500 * time.Millisecond
+	userTimeout = 700 * time.Millisecond
+	// grantIdleTimeout keeps connections for orders shorter than upstreams do.
+	grantIdleTimeout = 5 * time.Second
+	storeIdleTimeout = 30 * time.Second
+	// memoryLimitShare is the part of the allowed memory at which the collector works harder.
+	memoryLimitShare = 0.6
+	// settingsPollInterval is how often the settings file is looked at, since it may change without a signal.
+	settingsPollInterval = 2 * time.Second
 )
 
 type entryCommand struct {
@@ -43,15 +43,15 @@
 	if err != nil {
 		return &opctl.ExitError{Code: opctl.ExitInvalid, Err: err}
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryBytes)))
 	sink := events.NewSink(os.Stdout)
 	logger := events.NewLogger(sink, zapcore.InfoLevel)
 	scope, handler, closer := newMetrics()
 	clock := cherrykeel.BootTimeClock()
-	store := adapter.NewStore(settings.StoreURL, transport(storeIdle))
+	store := adapter.NewStore(settings.StoreURL, newTransport(storeIdleTimeout))
 	host := entry.New(settings, entry.Platform{
 		Dialect:          adapter.Dialect(),
-		Granter:          adapter.NewGranter(transport(orderIdle), clock),
+		Granter:          adapter.NewGranter(newTransport(grantIdleTimeout), clock),
 		Operator:         store.Topic(adapter.OperatorTopic),
 		Upstreams:        store.Topic(adapter.ServersTopic),
 		Hosts:            store.Topic(adapter.HostsTopic),
@@ -72,19 +72,19 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	go command.watch(ctx, hangup.Signals(), logger, func(settings cherrykeel.EntrySettings) {
+	go command.watchSettings(ctx, hangup.Signals(), logger, func(settings cherrykeel.EntrySettings) {
 		store.SetURL(settings.StoreURL)
 		host.Reload(settings)
 	})
-	return orOver(host.MustExit(), func() error {
+	return runUntil(host.MustExit(), func() error {
 		defer closeOutputs()
 		return host.Run(ctx)
 	})
 }
 
-// orOver returns when a program has run, or when its time is over: what still hangs ends with the process. A reader of
+// runUntil returns when a program has run, or when its time is over: what still hangs ends with the process. A reader of
 // the log that had stalled kept the process for ever, with all requests served.
-func orOver(over <-chan struct{}, program func() error) error {
+func runUntil(over <-chan struct{}, program func() error) error {
 	ended := make(chan error, 1)
 	go func() {
 		ended <- program()
@@ -97,9 +97,9 @@
 	}
 }
 
-// watch reads the settings file again when it is told to, or finds it changed.
-func (command *entryCommand) watch(ctx context.Context, changed <-chan os.Signal, logger *zap.Logger, reload func(cherrykeel.EntrySettings)) {
-	ticker := time.NewTicker(settingsPace)
+// watchSettings reads the settings file again when it is told to, or finds it changed.
+func (command *entryCommand) watchSettings(ctx context.Context, changed <-chan os.Signal, logger *zap.Logger, reload func(cherrykeel.EntrySettings)) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	last, _ := adapter.LoadSettings(command.Config)
 	for {
@@ -123,9 +123,9 @@
 	}
 }
 
-func transport(idle time.Duration) *http.Transport {
+func newTransport(idle time.Duration) *http.Transport {
 	return &http.Transport{
-		DialContext:         conns.ResetOnClose(conns.NewDialer(storeDial, storeSilence)),
+		DialContext:         conns.ResetOnClose(conns.NewDialer(dialTimeout, userTimeout)),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 8,
 		IdleConnTimeout:     idle,
--- a/cmd/cherrykeel/main.go
+++ b/cmd/cherrykeel/main.go
@@ -31,8 +31,8 @@
 	Owner   ownerCommand   `cmd:"" help:"Show who owns a key. Example: cherrykeel owner hanbit/availability hall-7"`
 }
 
-// entryName is the command that reads its settings again when it is sent SIGHUP.
-const entryName = "entry"
+// entryCommandName is the command that reads its settings again when it is sent SIGHUP.
+const entryCommandName = "entry"
 
 func main() {
 	var commands commands
@@ -49,14 +49,14 @@
 		parser.Errorf("%s", err)
 		os.Exit(opctl.ExitInvalid)
 	}
-	if context.Command() != entryName {
+	if context.Command() != entryCommandName {
 		hangup.RestoreDefault()
 	}
-	os.Exit(code(context.Run()))
+	os.Exit(exitCode(context.Run()))
 }
 
-// code prints an error and returns the exit code that it stands for.
-func code(err error) int {
+// exitCode prints an error and returns the exit code that it stands for.
+func exitCode(err error) int {
 	if err == nil {
 		return opctl.ExitDone
 	}
--- a/cmd/cherrykeel/run.go
+++ b/cmd/cherrykeel/run.go
@@ -21,7 +21,7 @@
 	"cherrykeel/opctl"
 )
 
-const metricsInterval = time.Second
+const metricsReportInterval = time.Second
 
 type runCommand struct {
 	Config string `help:"TOML file with the host's addresses, availability zone and platform." required:"" type:"existingfile"`
@@ -71,7 +71,7 @@
 		Separator:       prometheus.DefaultSeparator,
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts,
 	}
-	scope, closer := tally.NewRootScope(options, metricsInterval)
+	scope, closer := tally.NewRootScope(options, metricsReportInterval)
 	return scope, reporter.HTTPHandler(), closer
 }
 
--- a/cmd/measure/load.go
+++ b/cmd/measure/load.go
@@ -9,15 +9,15 @@
 	"cherrykeel/bench"
 )
 
-// busy says how many callers there are, and for how long.
-type busy struct {
+// callerOptions says how many callers there are, and for how long.
+type callerOptions struct {
 	Callers int           `help:"Callers at a time." default:"1"`
 	Length  time.Duration `help:"Time for each way of calling." default:"5s"`
 }
 
 type latencyCommand struct {
 	output
-	busy
+	callerOptions
 }
 
 func (command *latencyCommand) Run() error {
@@ -25,18 +25,18 @@
 	if err != nil {
 		return err
 	}
-	return show(command.output, rows, latencyHeads, latencyLine)
+	return printRows(command.output, rows, latencyColumns, latencyCells)
 }
 
-var latencyHeads = []string{"WAY", "CALLERS", "REQUESTS/S", "MEDIAN", "P99"}
+var latencyColumns = []string{"WAY", "CALLERS", "REQUESTS/S", "MEDIAN", "P99"}
 
-func latencyLine(row bench.LatencyRow) []string {
-	return []string{row.Way, fmt.Sprint(row.Callers), fmt.Sprintf("%.0f", row.PerSecond), short(row.Median), short(row.P99)}
+func latencyCells(row bench.LatencyRow) []string {
+	return []string{row.Way, fmt.Sprint(row.Callers), fmt.Sprintf("%.0f", row.PerSecond), formatDuration(row.Median), formatDuration(row.P99)}
 }
 
 type intentsCommand struct {
 	output
-	busy
+	callerOptions
 }
 
 func (command *intentsCommand) Run() error {
@@ -44,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	return show(command.output, rows, append(latencyHeads, "APPENDS/REQUEST", "APPENDS/S"), func(row bench.IntentsRow) []string {
-		return append(latencyLine(row.LatencyRow), fmt.Sprintf("%.2f", row.AppendsPerRequest), fmt.Sprintf("%.0f", row.AppendsPerSecond))
+	return printRows(command.output, rows, append(latencyColumns, "APPENDS/REQUEST", "APPENDS/S"), func(row bench.IntentsRow) []string {
+		return append(latencyCells(row.LatencyRow), fmt.Sprintf("%.2f", row.AppendsPerRequest), fmt.Sprintf("%.0f", row.AppendsPerSecond))
 	})
 }
 
@@ -69,10 +69,10 @@
 		rows = append(rows, measured...)
 	}
 	heads := []string{"CONDITION", "VERSION", "LOAD", "GOODPUT", "LOOKUP P50", "P99", "SEARCH P50", "P99", "MOST AT ONCE"}
-	return show(command.output, rows, heads, func(row bench.OverloadRow) []string {
+	return printRows(command.output, rows, heads, func(row bench.OverloadRow) []string {
 		return []string{
 			string(row.Condition), row.Version, fmt.Sprintf("%.1f", row.Load), fmt.Sprintf("%.2f", row.Goodput),
-			short(row.LookupMedian), short(row.LookupP99), short(row.SearchMedian), short(row.SearchP99), fmt.Sprint(row.MostAtOnce),
+			formatDuration(row.LookupMedian), formatDuration(row.LookupP99), formatDuration(row.SearchMedian), formatDuration(row.SearchP99), fmt.Sprint(row.MostAtOnce),
 		}
 	})
 }
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	return show(command.output, rows, []string{"WHAT", "OF", "AT", "VALUE", "UNIT"}, func(row bench.SlopeRow) []string {
+	return printRows(command.output, rows, []string{"WHAT", "OF", "AT", "VALUE", "UNIT"}, func(row bench.SlopeRow) []string {
 		return []string{row.What, row.Of, fmt.Sprint(row.At), fmt.Sprintf("%.4g", row.Value), row.Unit}
 	})
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -24,8 +24,8 @@
 	JSON bool `help:"Print JSON for programs."`
 }
 
-// show prints rows as JSON, or as a table with one line a row.
-func show[R any](output output, rows []R, heads []string, line func(row R) []string) error {
+// printRows prints rows as JSON, or as a table with one line a row.
+func printRows[R any](output output, rows []R, heads []string, line func(row R) []string) error {
 	if output.JSON {
 		return json.NewEncoder(os.Stdout).Encode(rows)
 	}
@@ -37,7 +37,7 @@
 	return table.Flush()
 }
 
-func short(duration time.Duration) string {
+func formatDuration(duration time.Duration) string {
 	return duration.Round(10 * time.Microsecond).String()
 }
 
--- a/cmd/measure/owners.go
+++ b/cmd/measure/owners.go
@@ -28,14 +28,14 @@
 		}
 	}
 	heads := []string{"SIZE", "SCENARIO", "VERSION", "KEYS MAX/MEAN", "LOAD MAX/MEAN", "MOVED", "LEAST", "CHURN", "LONGEST GAP", "MEAN GAP", "TWO OWNERS"}
-	return show(command.output, rows, heads, ownersLine)
+	return printRows(command.output, rows, heads, ownersCells)
 }
 
-func ownersLine(row score.Row) []string {
+func ownersCells(row score.Row) []string {
 	line := []string{
 		row.Size, row.Scenario, row.Version,
 		fmt.Sprintf("%.2f", row.KeyImbalance), fmt.Sprintf("%.2f", row.LoadImbalance),
-		fmt.Sprint(row.Moved), fmt.Sprint(row.MinMoved), churn(row),
+		fmt.Sprint(row.Moved), fmt.Sprint(row.MinMoved), formatChurn(row),
 	}
 	if row.Version == "naive" {
 		return append(line, "list's lag", "-", "not kept out")
@@ -43,7 +43,7 @@
 	return append(line, row.LongestGap.String(), row.MeanGap.Round(time.Millisecond).String(), fmt.Sprint(row.OwnerConflicts))
 }
 
-func churn(row score.Row) string {
+func formatChurn(row score.Row) string {
 	if row.MinMoved == 0 {
 		return "-"
 	}
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -34,10 +34,10 @@
 func (commands *commands) Run() error {
 	broken := 0
 	if commands.Kept {
-		return commands.runKept()
+		return commands.runRegressionSeeds()
 	}
 	for i := range commands.Seeds {
-		failures, err := commands.soak(commands.Seed + uint64(i))
+		failures, err := commands.runSeed(commands.Seed + uint64(i))
 		if err != nil {
 			return err
 		}
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// runKept runs each kept seed with its own figures.
-func (commands *commands) runKept() error {
+// runRegressionSeeds runs each kept seed with its own figures.
+func (commands *commands) runRegressionSeeds() error {
 	commands.Kept = false
 	commands.Seeds = 1
 	for _, kept := range soak.RegressionSeeds {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func (commands *commands) soak(seed uint64) (int, error) {
+func (commands *commands) runSeed(seed uint64) (int, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -45,8 +45,8 @@
 	return serve(command.Listen, hosts)
 }
 
-// crashed is the exit code of an upstream that a request has ended.
-const crashed = 2
+// crashExitCode is the exit code of an upstream that a request has ended.
+const crashExitCode = 2
 
 type upstreamCommand struct {
 	Name         string        `help:"Name in the settings." required:""`
@@ -66,7 +66,7 @@
 		Work:          command.Work,
 		EnforceFences: !command.IgnoreFences,
 		EndsOn:        command.EndsOn,
-		End:           func() { os.Exit(crashed) },
+		End:           func() { os.Exit(crashExitCode) },
 	}))
 }
 
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -53,7 +53,7 @@
 	running, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- entry.Run(running) }()
-	err = show(ctx, writer, world, entry)
+	err = showSystem(ctx, writer, world, entry)
 	stop()
 	_, _ = fmt.Fprintln(writer, "stopping without cutting a request")
 	stopped := <-ended
@@ -63,7 +63,7 @@
 	return stopped
 }
 
-func show(ctx context.Context, writer io.Writer, world *World, entry *host.Host) error {
+func showSystem(ctx context.Context, writer io.Writer, world *World, entry *host.Host) error {
 	publication, err := world.Publish(ctx)
 	if err != nil {
 		return err
@@ -75,16 +75,16 @@
 	}
 	caller := resty.New().SetBaseURL("http://" + entry.Address())
 	for _, request := range traffic {
-		printAnswer(ctx, writer, caller, request, 7)
+		printResponse(ctx, writer, caller, request, 7)
 	}
 	printHints(writer, world, entry)
-	send(ctx, caller)
+	sendTraffic(ctx, caller)
 	return nil
 }
 
-func printAnswer(ctx context.Context, writer io.Writer, caller *resty.Client, request request, number int) {
+func printResponse(ctx context.Context, writer io.Writer, caller *resty.Client, request request, number int) {
 	path := fmt.Sprintf(request.path, number)
-	response, err := ask(ctx, caller, request, path)
+	response, err := sendRequest(ctx, caller, request, path)
 	if err != nil {
 		_, _ = fmt.Fprintf(writer, "%-4s %s%s: %v\n", request.method, request.domain, path, err)
 		return
@@ -92,7 +92,7 @@
 	_, _ = fmt.Fprintf(writer, "%-4s %s%s -> %s: %s\n", request.method, request.domain, path, response.Status(), response.String())
 }
 
-func ask(ctx context.Context, caller *resty.Client, request request, path string) (*resty.Response, error) {
+func sendRequest(ctx context.Context, caller *resty.Client, request request, path string) (*resty.Response, error) {
 	outgoing := caller.R().SetContext(ctx).SetHeader("Host", request.domain)
 	if request.method == "POST" {
 		outgoing.SetHeader(cherrykeel.HeaderIdempotencyKey, fmt.Sprintf("demo-%s-%d", path, time.Now().UnixNano()))
@@ -114,11 +114,11 @@
 `, world.Log, world.Hosts, entry.Address(), entry.AdminAddress())
 }
 
-// send keeps a little traffic going until the context ends.
-func send(ctx context.Context, caller *resty.Client) {
+// sendTraffic keeps a little traffic going until the context ends.
+func sendTraffic(ctx context.Context, caller *resty.Client) {
 	for number := 0; ctx.Err() == nil; number++ {
 		for _, request := range traffic {
-			_, _ = ask(ctx, caller, request, fmt.Sprintf(request.path, number%100))
+			_, _ = sendRequest(ctx, caller, request, fmt.Sprintf(request.path, number%100))
 		}
 		select {
 		case <-time.After(trafficPause):
--- a/demo/world.go
+++ b/demo/world.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	startLimit   = 30 * time.Second
-	ownerPoll    = 100 * time.Millisecond
-	platformWait = 10 * time.Second
+	startTimeout      = 30 * time.Second
+	ownerPollInterval = 100 * time.Millisecond
+	platformTimeout   = 10 * time.Second
 	// keyedServices is how many services of the example trees have keys.
 	keyedServices = 2
 )
@@ -32,20 +32,20 @@
 	Hosts string
 	Nodes tree.Nodes
 	// Upstreams and Addresses are by name.
-	Upstreams map[string]*fakes.Upstream
-	Addresses map[string]string
-	adjust    func(options *fakes.UpstreamOptions)
-	log       *fakes.Log
-	servers   []*http.Server
+	Upstreams     map[string]*fakes.Upstream
+	Addresses     map[string]string
+	adjustOptions func(options *fakes.UpstreamOptions)
+	log           *fakes.Log
+	servers       []*http.Server
 }
 
 // NewWorld starts the stand-ins; adjust changes the options of each upstream.
 func NewWorld(adjust func(options *fakes.UpstreamOptions)) (*World, error) {
 	world := &World{
-		Nodes:     tree.Nodes{},
-		Upstreams: map[string]*fakes.Upstream{},
-		Addresses: map[string]string{},
-		adjust:    adjust,
+		Nodes:         tree.Nodes{},
+		Upstreams:     map[string]*fakes.Upstream{},
+		Addresses:     map[string]string{},
+		adjustOptions: adjust,
 	}
 	err := world.start()
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 	world.Hosts = "http://" + hosts
 	for _, name := range []string{"hanbit", "huon"} {
-		err := world.load(name)
+		err := world.loadTree(name)
 		if err != nil {
 			return err
 		}
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// load reads an example tree and starts its upstreams, on addresses of their own.
-func (world *World) load(name string) error {
+// loadTree reads an example tree and starts its upstreams, on addresses of their own.
+func (world *World) loadTree(name string) error {
 	files, err := fs.Sub(examples.Trees, name)
 	if err != nil {
 		return errors.WithStack(err)
@@ -98,7 +98,7 @@
 		list := node.Fields["Upstreams"].([]any)
 		for i, server := range service.Upstreams {
 			options := fakes.UpstreamOptions{Name: server.Name, Slots: service.Slots, QueueLength: service.Slots * 4, EnforceFences: true}
-			world.adjust(&options)
+			world.adjustOptions(&options)
 			upstream := fakes.NewUpstream(options)
 			address, err := world.serve(upstream)
 			if err != nil {
@@ -148,7 +148,7 @@
 
 // Publish publishes the world's tree and waits until it is in force on every host.
 func (world *World) Publish(ctx context.Context) (opctl.Publication, error) {
-	client := opctl.NewClient(world.Log, world.Hosts, platformWait)
+	client := opctl.NewClient(world.Log, world.Hosts, platformTimeout)
 	state, err := client.State(ctx)
 	if err != nil {
 		return opctl.Publication{}, err
@@ -161,12 +161,12 @@
 	if err != nil {
 		return publication, err
 	}
-	return publication, client.AwaitInForce(ctx, &publication, startLimit)
+	return publication, client.AwaitInForce(ctx, &publication, startTimeout)
 }
 
 // AwaitOwners waits until every partition of the keyed services has an owner, by the word of the hosts given.
 func AwaitOwners(ctx context.Context, hosts ...*host.Host) error {
-	limit := time.Now().Add(startLimit)
+	limit := time.Now().Add(startTimeout)
 	for ctx.Err() == nil && time.Now().Before(limit) {
 		settled := map[string]bool{}
 		for _, entry := range hosts {
@@ -179,7 +179,7 @@
 		if len(settled) == keyedServices {
 			return nil
 		}
-		time.Sleep(ownerPoll)
+		time.Sleep(ownerPollInterval)
 	}
-	return errors.Errorf("the keyed services got no owners within %v", startLimit)
+	return errors.Errorf("the keyed services got no owners within %v", startTimeout)
 }
--- a/naive/fold.go
+++ b/naive/fold.go
@@ -12,7 +12,7 @@
 	blocks := map[string]fold.ServiceOwnership{}
 	for i, record := range records {
 		version := int64(i + 1)
-		if record.Change != nil && changeFits(nodes, *record.Change) {
+		if record.Change != nil && hasCurrentBases(nodes, *record.Change) {
 			for _, edit := range record.Change.Edits {
 				if edit.Removed {
 					delete(nodes, edit.Path)
@@ -38,7 +38,7 @@
 	return nodes, blocks
 }
 
-func changeFits(nodes tree.Nodes, change fold.Change) bool {
+func hasCurrentBases(nodes tree.Nodes, change fold.Change) bool {
 	for _, edit := range change.Edits {
 		if nodes[edit.Path].Version != edit.Base {
 			return false
--- a/naive/modulo.go
+++ b/naive/modulo.go
@@ -25,7 +25,7 @@
 }
 
 type roundRobin struct {
-	turn int
+	picks int
 }
 
 // NewRoundRobin returns a Picker that goes round the upstreams, whatever their load and room.
@@ -38,6 +38,6 @@
 	if len(choices) == 0 {
 		return -1
 	}
-	robin.turn++
-	return robin.turn % len(choices)
+	robin.picks++
+	return robin.picks % len(choices)
 }
--- a/opctl/client.go
+++ b/opctl/client.go
@@ -48,19 +48,19 @@
 	return exit.Err
 }
 
-func exit(code int, err error) error {
+func newExitError(code int, err error) error {
 	return &ExitError{Code: code, Err: err}
 }
 
 const (
-	statusTimeout = 2 * time.Second
-	forcePoll     = 100 * time.Millisecond
+	statusTimeout       = 2 * time.Second
+	inForcePollInterval = 100 * time.Millisecond
 )
 
 // Client speaks to the platform and to the hosts.
 type Client struct {
 	log      cherrykeel.Log
-	list     cherrykeel.HostList
+	hostList cherrykeel.HostList
 	http     *resty.Client
 	clock    cherrykeel.Clock
 	follower *follow.Follower
@@ -71,11 +71,11 @@
 func NewClient(log, hosts string, timeout time.Duration) *Client {
 	clock := cherrykeel.SystemClock()
 	client := &Client{
-		log:     remote.NewLog(log, host.Stream),
-		list:    remote.NewHostList(hosts),
-		http:    resty.New().SetTimeout(statusTimeout),
-		clock:   clock,
-		timeout: timeout,
+		log:      remote.NewLog(log, host.Stream),
+		hostList: remote.NewHostList(hosts),
+		http:     resty.New().SetTimeout(statusTimeout),
+		clock:    clock,
+		timeout:  timeout,
 	}
 	client.follower = follow.New(client.log, clock)
 	return client
@@ -91,7 +91,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return nil, exit(ExitUnreachable, errors.Errorf("the log could not be read within %v: %s", client.timeout, client.follower.Status().Reason))
+	return nil, newExitError(ExitUnreachable, errors.Errorf("the log could not be read within %v: %s", client.timeout, client.follower.Status().Reason))
 }
 
 // Plan is what a publish would change.
@@ -114,11 +114,11 @@
 		before := state.Nodes[edit.Path].Fields
 		plan.Edits = append(plan.Edits, PlannedEdit{Edit: edit, Before: before})
 	}
-	return plan, checkHeld(state.Nodes, wanted)
+	return plan, checkKeyedServices(state.Nodes, wanted)
 }
 
-// checkHeld refuses changes that would give keys which a service holds a second owner.
-func checkHeld(inForce, wanted tree.Nodes) error {
+// checkKeyedServices refuses changes that would give keys which a service holds a second owner.
+func checkKeyedServices(inForce, wanted tree.Nodes) error {
 	for path := range wanted {
 		_, exists := inForce[path]
 		if tree.LevelOf(path) != tree.LevelService || !exists {
@@ -149,7 +149,7 @@
 	if before.Partitions == after.Partitions {
 		return nil
 	}
-	return exit(ExitInvalid, errors.Errorf("%s: Partitions is %d in force and cannot become %d; publish the service under another name and move callers", before.Path, before.Partitions, after.Partitions))
+	return newExitError(ExitInvalid, errors.Errorf("%s: Partitions is %d in force and cannot become %d; publish the service under another name and move callers", before.Path, before.Partitions, after.Partitions))
 }
 
 // checkAddresses refuses to move the name of an upstream that checks no fences: hosts read settings at
@@ -165,7 +165,7 @@
 	for _, server := range after.Upstreams {
 		address, known := addresses[server.Name]
 		if known && address != server.Address {
-			return exit(ExitInvalid, errors.Errorf("%s: upstream %s checks no fences and cannot move from %s to %s; publish the new one under another name", before.Path, server.Name, address, server.Address))
+			return newExitError(ExitInvalid, errors.Errorf("%s: upstream %s checks no fences and cannot move from %s to %s; publish the new one under another name", before.Path, server.Name, address, server.Address))
 		}
 	}
 	return nil
@@ -196,19 +196,19 @@
 	defer cancel()
 	verdict, err := client.follower.Propose(wait, record)
 	if err != nil {
-		return publication, exit(ExitUnknown, errors.Wrapf(err, "the change %s may or may not have been taken; ask with `cherrykeel history --id %s`, do not publish again before", record.ID, record.ID))
+		return publication, newExitError(ExitUnknown, errors.Wrapf(err, "the change %s may or may not have been taken; ask with `cherrykeel history --id %s`, do not publish again before", record.ID, record.ID))
 	}
 	publication.Version = verdict.Version
 	publication.Accepted = verdict.Accepted
 	publication.Reason = verdict.Reason
 	if !verdict.Accepted {
-		publication.ConflictingEntry = findEntry(client.follower.State(), verdict.ConflictVersion)
-		return publication, exit(ExitRejected, errors.New(rejection(publication)))
+		publication.ConflictingEntry = findAuditEntry(client.follower.State(), verdict.ConflictVersion)
+		return publication, newExitError(ExitRejected, errors.New(rejectionMessage(publication)))
 	}
 	return publication, nil
 }
 
-func findEntry(state *fold.State, version int64) *fold.AuditEntry {
+func findAuditEntry(state *fold.State, version int64) *fold.AuditEntry {
 	for _, entry := range state.Audit {
 		if entry.Version == version {
 			return &entry
@@ -217,7 +217,7 @@
 	return nil
 }
 
-func rejection(publication Publication) string {
+func rejectionMessage(publication Publication) string {
 	text := "rejected, nothing was changed: " + publication.Reason
 	if lost := publication.ConflictingEntry; lost != nil {
 		text += "; it lost to version " + formatVersion(lost.Version) + " by " + lost.Author + " (" + lost.Reason + ")"
@@ -231,7 +231,7 @@
 	for {
 		statuses, err := client.HostStatuses(ctx)
 		if err != nil {
-			return exit(ExitPartial, errors.Wrap(err, "accepted, but the hosts could not be asked"))
+			return newExitError(ExitPartial, errors.Wrap(err, "accepted, but the hosts could not be asked"))
 		}
 		publication.InForce, publication.Missing = nil, nil
 		for _, status := range statuses {
@@ -245,9 +245,9 @@
 			return nil
 		}
 		if time.Now().After(limit) {
-			return exit(ExitPartial, errors.Errorf("accepted as version %d, but after %v not in force on: %v", publication.Version, wait, publication.Missing))
+			return newExitError(ExitPartial, errors.Errorf("accepted as version %d, but after %v not in force on: %v", publication.Version, wait, publication.Missing))
 		}
-		time.Sleep(forcePoll)
+		time.Sleep(inForcePollInterval)
 	}
 }
 
@@ -261,9 +261,9 @@
 
 // HostStatuses asks every live entry host on the platform's list for its status.
 func (client *Client) HostStatuses(ctx context.Context) ([]HostStatus, error) {
-	members, err := client.list.Members(ctx)
+	members, err := client.hostList.Members(ctx)
 	if err != nil {
-		return nil, exit(ExitUnreachable, err)
+		return nil, newExitError(ExitUnreachable, err)
 	}
 	var statuses []HostStatus
 	for _, member := range members {
@@ -297,22 +297,22 @@
 // Owner asks the hosts who owns a key, and returns the first answer.
 func (client *Client) Owner(ctx context.Context, service, key string) (host.Ownership, error) {
 	var ownership host.Ownership
-	members, err := client.list.Members(ctx)
+	members, err := client.hostList.Members(ctx)
 	if err != nil {
-		return ownership, exit(ExitUnreachable, err)
+		return ownership, newExitError(ExitUnreachable, err)
 	}
 	err = errors.New("no entry host is on the platform's list")
 	for _, member := range members {
 		if member.Role != cherrykeel.RoleEntry || member.Leaving {
 			continue
 		}
-		path := "/owner?service=" + escape(service) + "&key=" + escape(key)
+		path := "/owner?service=" + escapeQuery(service) + "&key=" + escapeQuery(key)
 		err = client.get(ctx, member, path, &ownership)
 		if err == nil {
 			return ownership, nil
 		}
 	}
-	return ownership, exit(ExitUnreachable, err)
+	return ownership, newExitError(ExitUnreachable, err)
 }
 
 // Author returns who is at the keyboard.
--- a/opctl/commands.go
+++ b/opctl/commands.go
@@ -16,7 +16,7 @@
 func Check(writer io.Writer, dir string) (tree.Nodes, error) {
 	nodes, err := tree.LoadDir(dir)
 	if err != nil {
-		return nil, exit(ExitInvalid, err)
+		return nil, newExitError(ExitInvalid, err)
 	}
 	services := 0
 	for path := range nodes {
@@ -32,20 +32,20 @@
 func (client *Client) PlanDir(ctx context.Context, dir string, whole bool) (Plan, error) {
 	nodes, err := tree.LoadDir(dir)
 	if err != nil {
-		return Plan{}, exit(ExitInvalid, err)
+		return Plan{}, newExitError(ExitInvalid, err)
 	}
 	state, err := client.State(ctx)
 	if err != nil {
 		return Plan{}, err
 	}
 	if !whole {
-		keepOthers(nodes, state.Nodes)
+		keepOtherTeams(nodes, state.Nodes)
 	}
 	return MakePlan(state, nodes)
 }
 
-// keepOthers leaves the teams that a directory does not hold as they are.
-func keepOthers(nodes, inForce tree.Nodes) {
+// keepOtherTeams leaves the teams that a directory does not hold as they are.
+func keepOtherTeams(nodes, inForce tree.Nodes) {
 	held := map[string]bool{}
 	for path := range nodes {
 		held[teamOf(path)] = true
@@ -74,7 +74,7 @@
 	for _, field := range tree.Fields {
 		source, err := tree.Explain(state.Nodes, path, field.Name)
 		if err != nil {
-			return nil, exit(ExitInvalid, err)
+			return nil, newExitError(ExitInvalid, err)
 		}
 		sources = append(sources, source)
 	}
@@ -89,7 +89,7 @@
 	}
 	source, err := tree.Explain(state.Nodes, path, field)
 	if err != nil {
-		return source, exit(ExitInvalid, err)
+		return source, newExitError(ExitInvalid, err)
 	}
 	return source, nil
 }
@@ -117,10 +117,10 @@
 	}
 	verdict, known := client.follower.Verdict(id)
 	if !known {
-		return verdict, exit(ExitUnknown, errors.Errorf("the log holds no change %s among its recent records; an append that was on its way may still arrive within its timeout", id))
+		return verdict, newExitError(ExitUnknown, errors.Errorf("the log holds no change %s among its recent records; an append that was on its way may still arrive within its timeout", id))
 	}
 	if !verdict.Accepted {
-		return verdict, exit(ExitRejected, errors.Errorf("the change %s was rejected: %s", id, verdict.Reason))
+		return verdict, newExitError(ExitRejected, errors.Errorf("the change %s was rejected: %s", id, verdict.Reason))
 	}
 	return verdict, nil
 }
@@ -143,10 +143,10 @@
 		return Publication{}, err
 	}
 	if options.Base != 0 && plan.Version != options.Base {
-		entry := findEntry(client.follower.State(), plan.Version)
+		entry := findAuditEntry(client.follower.State(), plan.Version)
 		publication := Publication{ConflictingEntry: entry}
 		publication.Reason = fmt.Sprintf("version %d is in force, --base names %d", plan.Version, options.Base)
-		return publication, exit(ExitRejected, errors.New(rejection(publication)))
+		return publication, newExitError(ExitRejected, errors.New(rejectionMessage(publication)))
 	}
 	if len(plan.Edits) == 0 {
 		return Publication{Version: plan.Version, Reason: "nothing to change"}, nil
--- a/opctl/print.go
+++ b/opctl/print.go
@@ -21,7 +21,7 @@
 	return strconv.FormatInt(version, 10)
 }
 
-func escape(text string) string {
+func escapeQuery(text string) string {
 	return url.QueryEscape(text)
 }
 
@@ -32,7 +32,7 @@
 	return encoder.Encode(value)
 }
 
-func table(writer io.Writer, rows [][]string) {
+func writeTable(writer io.Writer, rows [][]string) {
 	columns := tabwriter.NewWriter(writer, 0, 0, columnGap, ' ', 0)
 	for _, row := range rows {
 		_, _ = fmt.Fprintln(columns, strings.Join(row, "\t"))
@@ -49,14 +49,14 @@
 	return keys
 }
 
-func nodeName(path string) string {
+func formatPath(path string) string {
 	if path == "" {
 		return "(firm)"
 	}
 	return path
 }
 
-func shown(value any) string {
+func formatValue(value any) string {
 	if value == nil {
 		return "-"
 	}
@@ -81,7 +81,7 @@
 	for _, edit := range plan.Edits {
 		rows = append(rows, fieldRows(edit.Path, edit.Before, edit.Fields)...)
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 }
 
 func fieldRows(path string, before, after map[string]any) [][]string {
@@ -94,11 +94,11 @@
 	}
 	var rows [][]string
 	for _, name := range sortedKeys(names) {
-		old, updated := shown(before[name]), shown(after[name])
+		old, updated := formatValue(before[name]), formatValue(after[name])
 		if tree.EqualFields(map[string]any{"": before[name]}, map[string]any{"": after[name]}) {
 			continue
 		}
-		rows = append(rows, []string{nodeName(path), name, old, updated})
+		rows = append(rows, []string{formatPath(path), name, old, updated})
 	}
 	return rows
 }
@@ -113,26 +113,26 @@
 		}
 		rows = append(rows, []string{
 			formatVersion(entry.Version), entry.Time.Format("2006-01-02 15:04:05"), entry.Author,
-			nodeName(entry.Path), entry.Reason, strings.Join(changed, "; "),
+			formatPath(entry.Path), entry.Reason, strings.Join(changed, "; "),
 		})
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 }
 
 // PrintNode writes every field in force at a node and where it comes from.
 func PrintNode(writer io.Writer, sources []tree.Source) {
 	rows := [][]string{{"FIELD", "VALUE", "SET BY"}}
 	for _, source := range sources {
-		rows = append(rows, []string{source.Field, shown(source.Value), setBy(source)})
+		rows = append(rows, []string{source.Field, formatValue(source.Value), formatSource(source)})
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 }
 
-func setBy(source tree.Source) string {
+func formatSource(source tree.Source) string {
 	if source.Default {
 		return "(default)"
 	}
-	return nodeName(source.Path)
+	return formatPath(source.Path)
 }
 
 // PrintStatus writes the hosts and the owners.
@@ -144,26 +144,26 @@
 			rows = append(rows, []string{status.Member.Name, status.Member.Zone, "no answer", "", "", "", "", "", status.Error})
 			continue
 		}
-		rows = append(rows, hostRow(status))
+		rows = append(rows, hostColumns(status))
 		for _, service := range status.Status.Services {
 			if service.Report != nil || services[service.Service].Service == "" {
 				services[service.Service] = service
 			}
 		}
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 	if len(services) == 0 {
 		return
 	}
 	_, _ = fmt.Fprintln(writer)
 	rows = [][]string{{"SERVICE", "KEEPER", "TERM", "OWNERS", "HOT KEYS", "LOST", "PROMOTED"}}
 	for _, path := range sortedKeys(services) {
-		rows = append(rows, serviceRow(services[path]))
+		rows = append(rows, serviceColumns(services[path]))
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 }
 
-func hostRow(status HostStatus) []string {
+func hostColumns(status HostStatus) []string {
 	answer := status.Status
 	log := "up"
 	if !answer.LogUp {
@@ -181,7 +181,7 @@
 	}
 }
 
-func serviceRow(service host.ServiceStatus) []string {
+func serviceColumns(service host.ServiceStatus) []string {
 	var owners []string
 	for _, owner := range sortedKeys(service.Owned) {
 		owners = append(owners, fmt.Sprintf("%s:%d", owner, service.Owned[owner]))
