--- a/opctl/client.go
+++ b/opctl/client.go
@@ -19,23 +19,26 @@
 
 // The exit codes of the commands.
 const (
+	// ExitDone means that the command succeeded.
 	ExitDone = 0
-	// ExitInvalid means that the input was wrong; nothing was sent.
+	// ExitInvalid means that the input is invalid; nothing was sent.
 	ExitInvalid = 1
-	// ExitRejected means that the change lost to another one; nothing was changed.
+	// ExitRejected means that the change conflicts with another one that was accepted before; nothing was changed.
 	ExitRejected = 2
-	// ExitUnknown means that the log took or lost the change; it must be looked up by its id.
+	// ExitUnknown means that the log may or may not contain the change; look it up by its id.
 	ExitUnknown = 3
-	// ExitUnreachable means that the log, the list or every host did not answer; nothing was changed.
+	// ExitUnreachable means that the log, the host list or every host is unreachable; nothing was changed.
 	ExitUnreachable = 4
-	// ExitPartial means that the change is accepted, but not yet in force on every host.
+	// ExitPartial means that the change was accepted, but is not yet in force on every host.
 	ExitPartial = 5
 )
 
-// ExitError is an error that sets the exit code of the program.
+// ExitError is an error with an exit code for the program.
 type ExitError struct {
+	// Code is one of the Exit constants.
 	Code int
-	Err  error
+	// Err is the cause.
+	Err error
 }
 
 // Error implements error.
@@ -53,11 +56,12 @@
 }
 
 const (
+	// statusTimeout bounds each request to a host.
 	statusTimeout       = 2 * time.Second
 	inForcePollInterval = 100 * time.Millisecond
 )
 
-// Client speaks to the platform and to the hosts.
+// Client sends operators' commands to the platform's log and host list, and to the hosts.
 type Client struct {
 	log      cherrykeel.Log
 	hostList cherrykeel.HostList
@@ -67,7 +71,8 @@
 	timeout  time.Duration
 }
 
-// NewClient returns a client; log and hosts are http URLs, timeout bounds each wait for the platform.
+// NewClient returns a client. log and hosts are the HTTP URLs of the platform's log and host list. timeout bounds each
+// wait for the log.
 func NewClient(log, hosts string, timeout time.Duration) *Client {
 	clock := cherrykeel.SystemClock()
 	client := &Client{
@@ -81,11 +86,12 @@
 	return client
 }
 
-// State reads the newest state from the log.
+// State reads the log to its end and returns the state. It starts the follower, which goes on reading until ctx ends;
+// Publish needs that to see its own record.
 func (client *Client) State(ctx context.Context) (*fold.State, error) {
 	go client.follower.Run(ctx)
-	limit := time.Now().Add(client.timeout)
-	for time.Now().Before(limit) {
+	deadline := time.Now().Add(client.timeout)
+	for time.Now().Before(deadline) {
 		if client.follower.Status().CaughtUp {
 			return client.follower.State(), nil
 		}
@@ -94,32 +100,35 @@
 	return nil, newExitError(ExitUnreachable, errors.Errorf("the log could not be read within %v: %s", client.timeout, client.follower.Status().Reason))
 }
 
-// Plan is what a publish would change.
+// Plan holds the changes that a publish would make.
 type Plan struct {
-	// Version is the settings version that the plan was made against.
+	// Version is the settings version in force that the plan was compared with.
 	Version int64
-	Edits   []PlannedEdit
+	// Edits are the changed nodes; the list is empty if nothing would change.
+	Edits []PlannedEdit
 }
 
-// PlannedEdit is one node's change.
+// PlannedEdit is the change of one node of the settings tree.
 type PlannedEdit struct {
 	tree.Edit
+	// Before holds the node's fields in force.
 	Before map[string]any
 }
 
-// MakePlan compares a tree with the one in force.
-func MakePlan(state *fold.State, wanted tree.Nodes) (Plan, error) {
+// MakePlan compares a tree with the one in force. It returns an ExitError with ExitInvalid if the changes would give keys
+// a second owner.
+func MakePlan(state *fold.State, desired tree.Nodes) (Plan, error) {
 	plan := Plan{Version: state.Version}
-	for _, edit := range tree.Diff(state.Nodes, wanted) {
+	for _, edit := range tree.Diff(state.Nodes, desired) {
 		before := state.Nodes[edit.Path].Fields
 		plan.Edits = append(plan.Edits, PlannedEdit{Edit: edit, Before: before})
 	}
-	return plan, checkKeyedServices(state.Nodes, wanted)
+	return plan, checkKeyedServices(state.Nodes, desired)
 }
 
-// checkKeyedServices refuses changes that would give keys which a service holds a second owner.
-func checkKeyedServices(inForce, wanted tree.Nodes) error {
-	for path := range wanted {
+// checkKeyedServices rejects changes to keyed services in force that would give their keys a second owner.
+func checkKeyedServices(inForce, desired tree.Nodes) error {
+	for path := range desired {
 		_, exists := inForce[path]
 		if tree.LevelOf(path) != tree.LevelService || !exists {
 			continue
@@ -128,7 +137,7 @@
 		if err != nil || !before.Keyed {
 			continue
 		}
-		after, err := tree.Resolve(wanted, path)
+		after, err := tree.Resolve(desired, path)
 		if err != nil || !after.Keyed {
 			continue
 		}
@@ -143,8 +152,8 @@
 	return nil
 }
 
-// checkPartitions refuses to change the number of partitions: every key would have another
-// partition, and so another owner, at one moment.
+// checkPartitions rejects a change of the number of partitions: it would move the keys to other partitions, and so to
+// other owners, at once.
 func checkPartitions(before, after *cherrykeel.Service) error {
 	if before.Partitions == after.Partitions {
 		return nil
@@ -152,8 +161,9 @@
 	return newExitError(ExitInvalid, errors.Errorf("%s: Partitions is %d in force and cannot become %d; publish the service under another name and move callers", before.Path, before.Partitions, after.Partitions))
 }
 
-// checkAddresses refuses to move the name of an upstream that checks no fences: hosts read settings at
-// different times, and leases on sending would not tell the two processes apart.
+// checkAddresses rejects a new address for an upstream name, unless the service checks fences before and after the change:
+// hosts read settings at different times, so requests for a key would reach the old process and the new one. Leases do
+// not prevent that, since they refer to the upstream by its name.
 func checkAddresses(before, after *cherrykeel.Service) error {
 	if before.ChecksFences && after.ChecksFences {
 		return nil
@@ -163,28 +173,34 @@
 		addresses[server.Name] = server.Address
 	}
 	for _, server := range after.Upstreams {
-		address, known := addresses[server.Name]
-		if known && address != server.Address {
+		address, exists := addresses[server.Name]
+		if exists && address != server.Address {
 			return newExitError(ExitInvalid, errors.Errorf("%s: upstream %s checks no fences and cannot move from %s to %s; publish the new one under another name", before.Path, server.Name, address, server.Address))
 		}
 	}
 	return nil
 }
 
-// Publication is what became of a publish.
+// Publication is the result of a publish.
 type Publication struct {
-	ID       string
-	Version  int64
+	// ID identifies the change in the log.
+	ID string
+	// Version is the offset of the change in the log plus one, or the version in force if there was nothing to change.
+	Version int64
+	// Accepted reports whether the change was applied. It is false, without an error, if there was nothing to change.
 	Accepted bool
-	Reason   string
-	// ConflictingEntry is the change that was in force instead.
+	// Reason says why the change was rejected, or that there was nothing to change.
+	Reason string
+	// ConflictingEntry is the earlier change that this one conflicts with.
 	ConflictingEntry *fold.AuditEntry `json:"Lost,omitempty"`
-	// InForce and Missing name the hosts on which the change is in force, and is not.
+	// InForce names the hosts on which the change is in force.
 	InForce []string
+	// Missing names the hosts on which it is not in force, or that did not answer.
 	Missing []string
 }
 
-// Publish appends a plan's edits and finds out what became of them.
+// Publish appends a plan's edits to the log and waits for the decision on them. It requires a running follower: call State
+// before. If the outcome stays unknown, the error has ExitUnknown; if the change is rejected, ExitRejected.
 func (client *Client) Publish(ctx context.Context, plan Plan, author, reason string) (Publication, error) {
 	record := fold.Record{Format: fold.Format, ID: uuid.NewString(), Author: author, Time: client.clock.Wall()}
 	record.Change = &fold.Change{Reason: reason, Base: plan.Version}
@@ -192,9 +208,9 @@
 		record.Change.Edits = append(record.Change.Edits, edit.Edit)
 	}
 	publication := Publication{ID: record.ID}
-	wait, cancel := context.WithTimeout(ctx, client.timeout)
+	publishCtx, cancel := context.WithTimeout(ctx, client.timeout)
 	defer cancel()
-	verdict, err := client.follower.Propose(wait, record)
+	verdict, err := client.follower.Propose(publishCtx, record)
 	if err != nil {
 		return publication, newExitError(ExitUnknown, errors.Wrapf(err, "the change %s may or may not have been taken; ask with `cherrykeel history --id %s`, do not publish again before", record.ID, record.ID))
 	}
@@ -219,15 +235,16 @@
 
 func rejectionMessage(publication Publication) string {
 	text := "rejected, nothing was changed: " + publication.Reason
-	if lost := publication.ConflictingEntry; lost != nil {
-		text += "; it lost to version " + formatVersion(lost.Version) + " by " + lost.Author + " (" + lost.Reason + ")"
+	if conflicting := publication.ConflictingEntry; conflicting != nil {
+		text += "; it lost to version " + formatVersion(conflicting.Version) + " by " + conflicting.Author + " (" + conflicting.Reason + ")"
 	}
 	return text + "; run `cherrykeel plan` again to see what remains to be done"
 }
 
-// AwaitInForce waits until a version is in force on every live host, and names those on which it is not.
+// AwaitInForce waits until a publication's version is in force on every entry host that is not leaving. It updates InForce
+// and Missing. After wait it returns an ExitError with ExitPartial.
 func (client *Client) AwaitInForce(ctx context.Context, publication *Publication, wait time.Duration) error {
-	limit := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
 		statuses, err := client.HostStatuses(ctx)
 		if err != nil {
@@ -244,22 +261,25 @@
 		if len(publication.Missing) == 0 {
 			return nil
 		}
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			return newExitError(ExitPartial, errors.Errorf("accepted as version %d, but after %v not in force on: %v", publication.Version, wait, publication.Missing))
 		}
 		time.Sleep(inForcePollInterval)
 	}
 }
 
-// HostStatus is a host on the platform's list and what it says of itself.
+// HostStatus is a host on the platform's list with the status that it reports.
 type HostStatus struct {
+	// Member is the host's entry on the list.
 	Member cherrykeel.Member
 	// Status is nil if the host did not answer.
 	Status *host.Status `json:",omitempty"`
-	Error  string       `json:",omitempty"`
+	// Error says why there is no status.
+	Error string `json:",omitempty"`
 }
 
-// HostStatuses asks every live entry host on the platform's list for its status.
+// HostStatuses requests the status of every entry host on the platform's list that is not leaving. A host that does not
+// answer is in the result with its error.
 func (client *Client) HostStatuses(ctx context.Context) ([]HostStatus, error) {
 	members, err := client.hostList.Members(ctx)
 	if err != nil {
@@ -294,7 +314,7 @@
 	return nil
 }
 
-// Owner asks the hosts who owns a key, and returns the first answer.
+// Owner requests the owner of a key from one host after the other, and returns the first answer.
 func (client *Client) Owner(ctx context.Context, service, key string) (host.Ownership, error) {
 	var ownership host.Ownership
 	members, err := client.hostList.Members(ctx)
@@ -315,7 +335,7 @@
 	return ownership, newExitError(ExitUnreachable, err)
 }
 
-// Author returns who is at the keyboard.
+// Author returns the first of CHERRYKEEL_AUTHOR, USER and LOGNAME that is set in the environment, or "unknown".
 func Author() string {
 	for _, name := range []string{"CHERRYKEEL_AUTHOR", "USER", "LOGNAME"} {
 		if value := os.Getenv(name); value != "" {
--- a/opctl/commands.go
+++ b/opctl/commands.go
@@ -12,7 +12,7 @@
 	"cherrykeel/tree"
 )
 
-// Check reads a tree and says what is wrong with it.
+// Check reads a settings tree from a directory. It prints the number of files and services, or returns what is invalid.
 func Check(writer io.Writer, dir string) (tree.Nodes, error) {
 	nodes, err := tree.LoadDir(dir)
 	if err != nil {
@@ -28,7 +28,8 @@
 	return nodes, nil
 }
 
-// PlanDir compares a tree in a directory with the one in force; only leaves out the teams that the directory does not hold.
+// PlanDir compares the tree in a directory with the one in force. If whole is set, teams that are not in the directory are
+// removed; otherwise they stay as they are.
 func (client *Client) PlanDir(ctx context.Context, dir string, whole bool) (Plan, error) {
 	nodes, err := tree.LoadDir(dir)
 	if err != nil {
@@ -44,14 +45,15 @@
 	return MakePlan(state, nodes)
 }
 
-// keepOtherTeams leaves the teams that a directory does not hold as they are.
+// keepOtherTeams adds to nodes the nodes in force of teams that nodes does not contain. For this, the root node counts as
+// a team.
 func keepOtherTeams(nodes, inForce tree.Nodes) {
-	held := map[string]bool{}
+	present := map[string]bool{}
 	for path := range nodes {
-		held[teamOf(path)] = true
+		present[teamOf(path)] = true
 	}
 	for path, node := range inForce {
-		if !held[teamOf(path)] {
+		if !present[teamOf(path)] {
 			nodes[path] = node
 		}
 	}
@@ -64,7 +66,7 @@
 	return path
 }
 
-// Show returns every field in force at a node and where it is set.
+// Show returns the value in force of every field at a node, and the node that sets it.
 func (client *Client) Show(ctx context.Context, path string) ([]tree.Source, error) {
 	state, err := client.State(ctx)
 	if err != nil {
@@ -81,7 +83,7 @@
 	return sources, nil
 }
 
-// Explain returns where the value of one field comes from.
+// Explain returns the value in force of one field at a node, and the node that sets it.
 func (client *Client) Explain(ctx context.Context, path, field string) (tree.Source, error) {
 	state, err := client.State(ctx)
 	if err != nil {
@@ -94,7 +96,7 @@
 	return source, nil
 }
 
-// History returns the audit trail, the newest first, of one path or of all.
+// History returns the audit entries of one path, or of all paths if all is set, newest first.
 func (client *Client) History(ctx context.Context, path string, all bool) ([]fold.AuditEntry, error) {
 	state, err := client.State(ctx)
 	if err != nil {
@@ -109,14 +111,14 @@
 	return entries, nil
 }
 
-// Outcome tells what became of a change whose publish ended without knowing.
+// Outcome returns the decision on a change whose publish ended with ExitUnknown.
 func (client *Client) Outcome(ctx context.Context, id string) (fold.Verdict, error) {
 	_, err := client.State(ctx)
 	if err != nil {
 		return fold.Verdict{}, err
 	}
-	verdict, known := client.follower.Verdict(id)
-	if !known {
+	verdict, exists := client.follower.Verdict(id)
+	if !exists {
 		return verdict, newExitError(ExitUnknown, errors.Errorf("the log holds no change %s among its recent records; an append that was on its way may still arrive within its timeout", id))
 	}
 	if !verdict.Accepted {
@@ -125,18 +127,22 @@
 	return verdict, nil
 }
 
-// PublishOptions are an operator's wishes for a publish.
+// PublishOptions are the operator's options for a publish.
 type PublishOptions struct {
+	// Author is the name for the audit trail.
 	Author string
+	// Reason is the text for the audit trail.
 	Reason string
-	// Base refuses the publish if another version is in force; 0 takes whatever is.
-	Base  int64
+	// Base is the version that must be in force, or the publish is rejected; 0 allows any version.
+	Base int64
+	// Whole removes teams that are not in the directory.
 	Whole bool
-	// Wait bounds the wait for the change to be in force on every host; 0 does not wait.
+	// Wait bounds the wait until the change is in force on every host; 0 does not wait.
 	Wait time.Duration
 }
 
-// PublishDir publishes the tree in a directory.
+// PublishDir publishes the tree in a directory. If nothing would change, it appends nothing and returns a publication that
+// is not accepted.
 func (client *Client) PublishDir(ctx context.Context, dir string, options PublishOptions) (Publication, error) {
 	plan, err := client.PlanDir(ctx, dir, options.Whole)
 	if err != nil {
@@ -158,7 +164,7 @@
 	return publication, client.AwaitInForce(ctx, &publication, options.Wait)
 }
 
-// PrintPublication writes what became of a publish.
+// PrintPublication writes the result of a publish that ended without an error.
 func PrintPublication(writer io.Writer, publication Publication) {
 	if !publication.Accepted {
 		_, _ = fmt.Fprintf(writer, "nothing to change; version %d is in force\n", publication.Version)
--- a/opctl/plan_test.go
+++ b/opctl/plan_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-var _ = Describe("a plan for a service that holds keys", func() {
+var _ = Describe("a plan for a keyed service", func() {
 	const before, after = "10.0.0.1:80", "10.0.0.2:80"
 
 	plan := func(checksFences bool, name, address string) error {
@@ -37,18 +37,18 @@
 		return err
 	}
 
-	// The caller's key is written by two processes. An operator gives an upstream that checks no fences another
-	// address; a host that reads that late sends to the old process what others send to the new one, under
-	// one name, so that no lease on sending tells them apart.
-	It("does not give an upstream that checks no fences another address under its name", func() {
+	// Guards against two processes that write one key: an upstream without fence checks gets another address, and a
+	// host that reads that late sends to the old process while others send to the new one. Leases refer to the
+	// upstream by its name, so that they do not prevent it.
+	It("rejects another address for an upstream without fence checks that keeps its name", func() {
 		Expect(plan(false, "a", after)).To(MatchError(ContainSubstring("under another name")))
 	})
 
-	It("may replace it by one of another name", func() {
+	It("allows replacing such an upstream by one with another name", func() {
 		Expect(plan(false, "b", after)).To(Succeed())
 	})
 
-	It("may give one that checks fences another address", func() {
+	It("allows another address for an upstream with fence checks", func() {
 		Expect(plan(true, "a", after)).To(Succeed())
 	})
 })
--- a/opctl/print.go
+++ b/opctl/print.go
@@ -15,6 +15,7 @@
 	"cherrykeel/tree"
 )
 
+// columnGap is the number of spaces between columns.
 const columnGap = 2
 
 func formatVersion(version int64) string {
@@ -25,7 +26,7 @@
 	return url.QueryEscape(text)
 }
 
-// PrintJSON writes a value for programs.
+// PrintJSON writes a value as indented JSON.
 func PrintJSON(writer io.Writer, value any) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
@@ -70,7 +71,7 @@
 	return string(data)
 }
 
-// PrintPlan writes what a publish would change.
+// PrintPlan writes a plan as a table with one line per changed field.
 func PrintPlan(writer io.Writer, plan Plan) {
 	if len(plan.Edits) == 0 {
 		_, _ = fmt.Fprintf(writer, "nothing to change; version %d is in force\n", plan.Version)
@@ -103,7 +104,7 @@
 	return rows
 }
 
-// PrintHistory writes audit entries, the newest first.
+// PrintHistory writes audit entries as a table, in the order given.
 func PrintHistory(writer io.Writer, entries []fold.AuditEntry) {
 	rows := [][]string{{"VERSION", "TIME", "AUTHOR", "NODE", "REASON", "CHANGED"}}
 	for _, entry := range entries {
@@ -119,7 +120,7 @@
 	writeTable(writer, rows)
 }
 
-// PrintNode writes every field in force at a node and where it comes from.
+// PrintNode writes the fields of a node as a table with their values and the nodes that set them.
 func PrintNode(writer io.Writer, sources []tree.Source) {
 	rows := [][]string{{"FIELD", "VALUE", "SET BY"}}
 	for _, source := range sources {
@@ -135,7 +136,8 @@
 	return formatPath(source.Path)
 }
 
-// PrintStatus writes the hosts and the owners.
+// PrintStatus writes a table of hosts and a table of keyed services. A service is shown as its keeper reports it, if the
+// keeper is among the hosts.
 func PrintStatus(writer io.Writer, statuses []HostStatus) {
 	rows := [][]string{{"HOST", "ZONE", "READY", "VERSION", "OFFSET", "LOG", "IN FLIGHT", "DIFFERS FROM", "REASON"}}
 	services := map[string]host.ServiceStatus{}
@@ -144,7 +146,7 @@
 			rows = append(rows, []string{status.Member.Name, status.Member.Zone, "no answer", "", "", "", "", "", status.Error})
 			continue
 		}
-		rows = append(rows, hostColumns(status))
+		rows = append(rows, hostRow(status))
 		for _, service := range status.Status.Services {
 			if service.Report != nil || services[service.Service].Service == "" {
 				services[service.Service] = service
@@ -158,12 +160,12 @@
 	_, _ = fmt.Fprintln(writer)
 	rows = [][]string{{"SERVICE", "KEEPER", "TERM", "OWNERS", "HOT KEYS", "LOST", "PROMOTED"}}
 	for _, path := range sortedKeys(services) {
-		rows = append(rows, serviceColumns(services[path]))
+		rows = append(rows, serviceRow(services[path]))
 	}
 	writeTable(writer, rows)
 }
 
-func hostColumns(status HostStatus) []string {
+func hostRow(status HostStatus) []string {
 	answer := status.Status
 	log := "up"
 	if !answer.LogUp {
@@ -181,7 +183,7 @@
 	}
 }
 
-func serviceColumns(service host.ServiceStatus) []string {
+func serviceRow(service host.ServiceStatus) []string {
 	var owners []string
 	for _, owner := range sortedKeys(service.Owned) {
 		owners = append(owners, fmt.Sprintf("%s:%d", owner, service.Owned[owner]))
