--- a/cmd/cherrykeel/entry.go
+++ b/cmd/cherrykeel/entry.go
@@ -22,18 +22,22 @@
 )
 
 const (
-	// dialTimeout and storeSilence end calls to a store that does not answer at all; it is 1 ms away.
+	// dialTimeout and userTimeout bound calls to a peer that does not answer at all: the connection setup, and the time
+	// for which sent bytes stay unacknowledged. The store is 1 ms away.
 	dialTimeout = 500 * time.Millisecond
 	userTimeout = 700 * time.Millisecond
-	// grantIdleTimeout keeps connections for orders shorter than upstreams do.
+	// grantIdleTimeout is shorter than the upstreams' own idle timeout, so that the host closes idle connections for
+	// grants first.
 	grantIdleTimeout = 5 * time.Second
+	// storeIdleTimeout is how long idle connections to the store stay open.
 	storeIdleTimeout = 30 * time.Second
-	// memoryLimitShare is the part of the allowed memory at which the collector works harder.
+	// memoryLimitShare is the share of the allowed memory that is set as the soft limit of the garbage collector.
 	memoryLimitShare = 0.6
-	// settingsPollInterval is how often the settings file is looked at, since it may change without a signal.
+	// settingsPollInterval is how often the settings file is read, since it may change without a signal.
 	settingsPollInterval = 2 * time.Second
 )
 
+// entryCommand runs an entry host on the users' platform.
 type entryCommand struct {
 	Config string `help:"The platform's settings file." env:"CHERRYKEEL_CONFIG" required:""`
 }
@@ -82,33 +86,34 @@
 	})
 }
 
-// runUntil returns when a program has run, or when its time is over: what still hangs ends with the process. A reader of
-// the log that had stalled kept the process for ever, with all requests served.
-func runUntil(over <-chan struct{}, program func() error) error {
+// runUntil runs a function and returns when the function ends or mustExit is closed; what still hangs then ends with the
+// process. Otherwise a stalled reader of the log output could keep the process forever after all requests were served.
+func runUntil(mustExit <-chan struct{}, run func() error) error {
 	ended := make(chan error, 1)
 	go func() {
-		ended <- program()
+		ended <- run()
 	}()
 	select {
 	case err := <-ended:
 		return err
-	case <-over:
+	case <-mustExit:
 		return nil
 	}
 }
 
-// watchSettings reads the settings file again when it is told to, or finds it changed.
-func (command *entryCommand) watchSettings(ctx context.Context, changed <-chan os.Signal, logger *zap.Logger, reload func(cherrykeel.EntrySettings)) {
+// watchSettings reads the settings file on each signal and periodically. It calls reload after a signal, or if the
+// settings differ from the last ones; invalid settings are only logged.
+func (command *entryCommand) watchSettings(ctx context.Context, signals <-chan os.Signal, logger *zap.Logger, reload func(cherrykeel.EntrySettings)) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	last, _ := adapter.LoadSettings(command.Config)
 	for {
-		asked := false
+		signaled := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-changed:
-			asked = true
+		case <-signals:
+			signaled = true
 		case <-ticker.C:
 		}
 		settings, err := adapter.LoadSettings(command.Config)
@@ -116,18 +121,20 @@
 			events.Log(logger, events.SettingsInvalid, zap.Error(err))
 			continue
 		}
-		if asked || settings != last {
+		if signaled || settings != last {
 			last = settings
 			reload(settings)
 		}
 	}
 }
 
-func newTransport(idle time.Duration) *http.Transport {
+// newTransport returns a transport for calls to the store or for grants. Its connections are reset when they are closed,
+// so that a call that was given up is not delivered later.
+func newTransport(idleTimeout time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:         conns.ResetOnClose(conns.NewDialer(dialTimeout, userTimeout)),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 8,
-		IdleConnTimeout:     idle,
+		IdleConnTimeout:     idleTimeout,
 	}
 }
--- a/cmd/cherrykeel/main.go
+++ b/cmd/cherrykeel/main.go
@@ -17,6 +17,7 @@
 3 outcome unknown, look it up with history --id; 4 platform or hosts unreachable, nothing
 was changed; 5 accepted, but not yet in force on every host.`
 
+// commands are the program's subcommands.
 type commands struct {
 	Run     runCommand     `cmd:"" help:"Run an entry host until SIGTERM or Ctrl-C."`
 	Entry   entryCommand   `cmd:"" help:"Run an entry host on the users' platform until SIGTERM."`
@@ -31,7 +32,7 @@
 	Owner   ownerCommand   `cmd:"" help:"Show who owns a key. Example: cherrykeel owner hanbit/availability hall-7"`
 }
 
-// entryCommandName is the command that reads its settings again when it is sent SIGHUP.
+// entryCommandName is the command that rereads its settings on SIGHUP; SIGHUP ends the other ones.
 const entryCommandName = "entry"
 
 func main() {
@@ -55,7 +56,7 @@
 	os.Exit(exitCode(context.Run()))
 }
 
-// exitCode prints an error and returns the exit code that it stands for.
+// exitCode prints an error to stderr and returns its exit code.
 func exitCode(err error) int {
 	if err == nil {
 		return opctl.ExitDone
--- a/cmd/cherrykeel/operate.go
+++ b/cmd/cherrykeel/operate.go
@@ -11,7 +11,7 @@
 	adapter "cherrykeel/platform"
 )
 
-// platform says where the platform is and how to print.
+// platform holds the flags that the operators' commands share: the platform's addresses and the output format.
 type platform struct {
 	Log     string        `help:"URL of the platform's log." env:"CHERRYKEEL_LOG" default:"http://127.0.0.1:9001"`
 	Hosts   string        `help:"URL of the platform's list of hosts." env:"CHERRYKEEL_HOSTS" default:"http://127.0.0.1:9002"`
@@ -23,15 +23,16 @@
 	return opctl.NewClient(platform.Log, platform.Hosts, platform.Timeout)
 }
 
-// print writes a value as JSON, or calls table.
-func (platform *platform) print(value any, table func()) error {
+// print writes a value as JSON if that flag is set, or else calls printText.
+func (platform *platform) print(value any, printText func()) error {
 	if platform.JSON {
 		return opctl.PrintJSON(os.Stdout, value)
 	}
-	table()
+	printText()
 	return nil
 }
 
+// checkCommand checks a settings tree, or a settings file of the users' platform.
 type checkCommand struct {
 	Dir string `arg:"" help:"Directory with firm.toml and TEAM/SERVICE.toml, or a settings file of the users' platform (.json)."`
 }
@@ -53,6 +54,7 @@
 	return nil
 }
 
+// planCommand shows what a publish would change.
 type planCommand struct {
 	platform
 	Dir   string `arg:"" help:"Directory with the settings tree."`
@@ -67,6 +69,7 @@
 	return command.print(plan, func() { opctl.PrintPlan(os.Stdout, plan) })
 }
 
+// publishCommand publishes a settings tree.
 type publishCommand struct {
 	platform
 	Dir    string        `arg:"" help:"Directory with the settings tree."`
@@ -93,13 +96,14 @@
 	if err != nil && !command.JSON {
 		return err
 	}
-	printed := command.print(publication, func() { opctl.PrintPublication(os.Stdout, publication) })
+	printErr := command.print(publication, func() { opctl.PrintPublication(os.Stdout, publication) })
 	if err != nil {
 		return err
 	}
-	return printed
+	return printErr
 }
 
+// showCommand shows the settings in force at a path.
 type showCommand struct {
 	platform
 	Path string `arg:"" optional:"" help:"TEAM or TEAM/SERVICE; the firm if left out."`
@@ -113,6 +117,7 @@
 	return command.print(sources, func() { opctl.PrintNode(os.Stdout, sources) })
 }
 
+// explainCommand shows which level sets a field.
 type explainCommand struct {
 	platform
 	Path  string `arg:"" help:"TEAM or TEAM/SERVICE."`
@@ -125,17 +130,18 @@
 		return err
 	}
 	return command.print(source, func() {
-		where := "is set by " + source.Path
+		origin := "is set by " + source.Path
 		switch {
 		case source.Default:
-			where = "is the default; no level sets it"
+			origin = "is the default; no level sets it"
 		case source.Path == "":
-			where = "is set by the firm"
+			origin = "is set by the firm"
 		}
-		fmt.Printf("%s of %s is %v and %s\n", source.Field, command.Path, source.Value, where)
+		fmt.Printf("%s of %s is %v and %s\n", source.Field, command.Path, source.Value, origin)
 	})
 }
 
+// historyCommand shows the audit trail, or the outcome of one change.
 type historyCommand struct {
 	platform
 	Path string `arg:"" optional:"" help:"Only changes of this node."`
@@ -157,6 +163,7 @@
 	return command.print(entries, func() { opctl.PrintHistory(os.Stdout, entries) })
 }
 
+// statusCommand shows the hosts' status.
 type statusCommand struct {
 	platform
 }
@@ -169,6 +176,7 @@
 	return command.print(statuses, func() { opctl.PrintStatus(os.Stdout, statuses) })
 }
 
+// ownerCommand shows the owner of a key.
 type ownerCommand struct {
 	platform
 	Service string `arg:"" help:"TEAM/SERVICE."`
--- a/cmd/cherrykeel/run.go
+++ b/cmd/cherrykeel/run.go
@@ -21,8 +21,10 @@
 	"cherrykeel/opctl"
 )
 
+// metricsReportInterval is how often the metrics scope passes values on to its reporter.
 const metricsReportInterval = time.Second
 
+// runCommand runs an entry host that is configured by a TOML file.
 type runCommand struct {
 	Config string `help:"TOML file with the host's addresses, availability zone and platform." required:"" type:"existingfile"`
 }
@@ -48,6 +50,7 @@
 	return entry.Run(ctx)
 }
 
+// newLogger returns a logger that writes JSON lines of a level and above.
 func newLogger(level string) (*zap.Logger, error) {
 	config := zap.NewProductionConfig()
 	config.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -63,6 +66,7 @@
 	return config.Build()
 }
 
+// newMetrics returns the root scope of metrics and the handler that exposes them to Prometheus.
 func newMetrics() (tally.Scope, http.Handler, io.Closer) {
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: prom.NewRegistry()})
 	options := tally.ScopeOptions{
@@ -75,6 +79,7 @@
 	return scope, reporter.HTTPHandler(), closer
 }
 
+// demoCommand runs the demo in this process.
 type demoCommand struct {
 	For time.Duration `help:"Stop by itself after this time; 0s runs until Ctrl-C." default:"0s"`
 }
