--- a/cmd/cherrykeel/docs_test.go
+++ b/cmd/cherrykeel/docs_test.go
@@ -39,7 +39,7 @@
 		Expect(strings.Count(text, "\n| ")).To(Equal(rows + 2))
 	})
 
-	It("list no event that no program logs", func() {
+	It("do not list events that no program logs", func() {
 		source, err := os.ReadFile("../../events/events.go")
 		Expect(err).NotTo(HaveOccurred())
 		used := ""
@@ -56,7 +56,7 @@
 		}
 		sink, err := os.ReadFile("../../events/sink.go")
 		Expect(err).NotTo(HaveOccurred())
-		// The sink reports its own losses, since a logger above it would lose the report too.
+		// The sink logs its own dropped lines, since a logger on top of it could drop that line too.
 		used += strings.ReplaceAll(string(sink), " LinesDropped.", " events.LinesDropped.")
 		names := regexp.MustCompile(`(?m)^\s+(\w+)\s+= define`).FindAllStringSubmatch(string(source), -1)
 		Expect(names).To(HaveLen(len(events.All)))
--- a/cmd/cherrykeel/transport_test.go
+++ b/cmd/cherrykeel/transport_test.go
@@ -13,11 +13,11 @@
 	adapter "cherrykeel/platform"
 )
 
-var _ = Describe("connections for orders", func() {
-	// A link is cut while a grant is on its way. The host gives the grant up; if it only closes the connection, its
-	// kernel sends the bytes again until the link is back, and the upstream takes a grant that nobody counts with.
-	// A reset drops what was not delivered.
-	It("are reset when an order is given up", func() {
+var _ = Describe("connections for grants", func() {
+	// Guards against an upstream that gets a grant after the host has given it up: if the network fails during the
+	// request and the host only closes the connection, its kernel retransmits the bytes until the network is back. A
+	// reset discards what was not delivered.
+	It("are reset when a grant is given up", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
