--- a/cmd/soak/doc.go
+++ b/cmd/soak/doc.go
@@ -1,2 +1,3 @@
-// Command soak runs entry hosts under seeded faults; see docs/SOAK.md.
+// Command soak runs entry hosts as processes under seeded faults and reports which guarantees they broke. docs/SOAK.md
+// explains how to read a failure.
 package main
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -15,6 +15,7 @@
 	"cherrykeel/platform/soak"
 )
 
+// commands are the program's flags; it has no subcommands.
 type commands struct {
 	Seed      uint64        `help:"The first seed; it chooses the faults and the callers' requests." default:"1"`
 	Seeds     int           `help:"How many seeds are run, one after the other." default:"1"`
@@ -31,8 +32,9 @@
 	Keep      bool          `help:"Keep the hosts' logs of seeds that fail."`
 }
 
+// Run runs the seeds one after the other and returns an error if any guarantee was broken.
 func (commands *commands) Run() error {
-	broken := 0
+	totalFailures := 0
 	if commands.Kept {
 		return commands.runRegressionSeeds()
 	}
@@ -41,21 +43,21 @@
 		if err != nil {
 			return err
 		}
-		broken += failures
+		totalFailures += failures
 	}
-	if broken > 0 {
-		return errors.Errorf("%d promises broken", broken)
+	if totalFailures > 0 {
+		return errors.Errorf("%d promises broken", totalFailures)
 	}
 	return nil
 }
 
-// runRegressionSeeds runs each kept seed with its own figures.
+// runRegressionSeeds runs each regression seed with its own number of hosts and duration, up to the first one that fails.
 func (commands *commands) runRegressionSeeds() error {
 	commands.Kept = false
 	commands.Seeds = 1
-	for _, kept := range soak.RegressionSeeds {
-		fmt.Println("kept:", kept.Cause)
-		commands.Seed, commands.Hosts, commands.For = kept.Seed, kept.Hosts, kept.Duration
+	for _, regression := range soak.RegressionSeeds {
+		fmt.Println("kept:", regression.Cause)
+		commands.Seed, commands.Hosts, commands.For = regression.Seed, regression.Hosts, regression.Duration
 		err := commands.Run()
 		if err != nil {
 			return err
@@ -64,6 +66,8 @@
 	return nil
 }
 
+// runSeed runs one seed in a temporary directory and returns the number of failures. The directory stays if the
+// run ends with an error, or if Keep is set and there are failures.
 func (commands *commands) runSeed(seed uint64) (int, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
