--- a/cmd/standin/doc.go
+++ b/cmd/standin/doc.go
@@ -1,2 +1,3 @@
-// Command standin runs a stand-in of the platform's log, of its list of hosts, or of an upstream.
+// Command standin runs a stand-in for the platform's log, for its host list, or for an upstream. Faults can be injected
+// over HTTP; docs/PROTOCOLS.md describes how.
 package main
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -16,12 +16,14 @@
 	"cherrykeel/fakes"
 )
 
+// commands are the program's subcommands.
 type commands struct {
 	Log      logCommand      `cmd:"" help:"The append-only log. Example: standin log --listen 127.0.0.1:9001"`
 	Hosts    hostsCommand    `cmd:"" help:"The lagging list of hosts. Example: standin hosts --listen 127.0.0.1:9002"`
 	Upstream upstreamCommand `cmd:"" help:"A server that holds keys. Example: standin upstream --name hall-01 --listen 127.0.0.1:7101"`
 }
 
+// logCommand runs a stand-in for the platform's log.
 type logCommand struct {
 	Listen           string `help:"IP and port." default:"127.0.0.1:9001"`
 	Retention        int    `help:"Records that each stream keeps; 0 keeps all."`
@@ -34,6 +36,7 @@
 	return serve(command.Listen, log)
 }
 
+// hostsCommand runs a stand-in for the platform's host list.
 type hostsCommand struct {
 	Listen string        `help:"IP and port." default:"127.0.0.1:9002"`
 	Lag    time.Duration `help:"Time until a change shows." default:"1s"`
@@ -45,9 +48,10 @@
 	return serve(command.Listen, hosts)
 }
 
-// crashExitCode is the exit code of an upstream that a request has ended.
+// crashExitCode is the exit code of an upstream that crashes on a request.
 const crashExitCode = 2
 
+// upstreamCommand runs a stand-in for an upstream.
 type upstreamCommand struct {
 	Name         string        `help:"Name in the settings." required:""`
 	Listen       string        `help:"IP and port." required:""`
@@ -70,13 +74,13 @@
 	}))
 }
 
-// serve answers until SIGTERM or Ctrl-C.
+// serve prints its address and serves HTTP until SIGTERM or Ctrl-C.
 func serve(address string, handler http.Handler) error {
-	socket, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	fmt.Println("listening on", socket.Addr())
+	fmt.Println("listening on", listener.Addr())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	server := &http.Server{Handler: handler}
@@ -84,7 +88,7 @@
 		<-ctx.Done()
 		_ = server.Close()
 	}()
-	err = server.Serve(socket)
+	err = server.Serve(listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
