--- a/cmd/measure/load.go
+++ b/cmd/measure/load.go
@@ -9,12 +9,13 @@
 	"cherrykeel/bench"
 )
 
-// callerOptions says how many callers there are, and for how long.
+// callerOptions holds the flags for the number of callers and the duration.
 type callerOptions struct {
 	Callers int           `help:"Callers at a time." default:"1"`
 	Length  time.Duration `help:"Time for each way of calling." default:"5s"`
 }
 
+// latencyCommand measures latency and request rate through one host, and of an upstream that is called directly.
 type latencyCommand struct {
 	output
 	callerOptions
@@ -34,6 +35,7 @@
 	return []string{row.Way, fmt.Sprint(row.Callers), fmt.Sprintf("%.0f", row.PerSecond), formatDuration(row.Median), formatDuration(row.P99)}
 }
 
+// intentsCommand measures what it costs to prevent repeated execution by records in the log.
 type intentsCommand struct {
 	output
 	callerOptions
@@ -49,6 +51,7 @@
 	})
 }
 
+// overloadCommand measures goodput and latency at several loads, in each condition.
 type overloadCommand struct {
 	output
 	Loads     []float64     `help:"Offered loads, over the capacity." default:"0.5,0.9,1.5,3"`
@@ -68,8 +71,8 @@
 		}
 		rows = append(rows, measured...)
 	}
-	heads := []string{"CONDITION", "VERSION", "LOAD", "GOODPUT", "LOOKUP P50", "P99", "SEARCH P50", "P99", "MOST AT ONCE"}
-	return printRows(command.output, rows, heads, func(row bench.OverloadRow) []string {
+	columns := []string{"CONDITION", "VERSION", "LOAD", "GOODPUT", "LOOKUP P50", "P99", "SEARCH P50", "P99", "MOST AT ONCE"}
+	return printRows(command.output, rows, columns, func(row bench.OverloadRow) []string {
 		return []string{
 			string(row.Condition), row.Version, fmt.Sprintf("%.1f", row.Load), fmt.Sprintf("%.2f", row.Goodput),
 			formatDuration(row.LookupMedian), formatDuration(row.LookupP99), formatDuration(row.SearchMedian), formatDuration(row.SearchP99), fmt.Sprint(row.MostAtOnce),
@@ -77,6 +80,7 @@
 	})
 }
 
+// slopesCommand measures how state, messages and processor time grow with the size of a deployment.
 type slopesCommand struct {
 	output
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -11,6 +11,7 @@
 	"github.com/alecthomas/kong"
 )
 
+// commands are the program's subcommands.
 type commands struct {
 	Owners   ownersCommand   `cmd:"" default:"withargs" help:"Imbalance, churn and unavailable time of keyed services. Example: measure owners --size huon"`
 	Latency  latencyCommand  `cmd:"" help:"Requests a second and latency through one host, beside the stand-in called directly. Example: measure latency --callers 1"`
@@ -19,20 +20,20 @@
 	Slopes   slopesCommand   `cmd:"" help:"How state, messages and processor time grow with size. Example: measure slopes"`
 }
 
-// output says how a command prints its rows.
+// output holds the flag for the output format.
 type output struct {
 	JSON bool `help:"Print JSON for programs."`
 }
 
-// printRows prints rows as JSON, or as a table with one line a row.
-func printRows[R any](output output, rows []R, heads []string, line func(row R) []string) error {
+// printRows prints rows as JSON, or as a table with a header of column names and the cells of each row.
+func printRows[R any](output output, rows []R, columns []string, cells func(row R) []string) error {
 	if output.JSON {
 		return json.NewEncoder(os.Stdout).Encode(rows)
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, strings.Join(heads, "\t"))
+	_, _ = fmt.Fprintln(table, strings.Join(columns, "\t"))
 	for _, row := range rows {
-		_, _ = fmt.Fprintln(table, strings.Join(line(row), "\t"))
+		_, _ = fmt.Fprintln(table, strings.Join(cells(row), "\t"))
 	}
 	return table.Flush()
 }
--- a/cmd/measure/owners.go
+++ b/cmd/measure/owners.go
@@ -8,6 +8,7 @@
 	"cherrykeel/score"
 )
 
+// ownersCommand measures imbalance, churn and unavailable time of keyed services in seeded scenarios.
 type ownersCommand struct {
 	output
 	Size     string `help:"Only this user's size." enum:"hanbit,huon,all" default:"all"`
@@ -27,22 +28,23 @@
 			}
 		}
 	}
-	heads := []string{"SIZE", "SCENARIO", "VERSION", "KEYS MAX/MEAN", "LOAD MAX/MEAN", "MOVED", "LEAST", "CHURN", "LONGEST GAP", "MEAN GAP", "TWO OWNERS"}
-	return printRows(command.output, rows, heads, ownersCells)
+	columns := []string{"SIZE", "SCENARIO", "VERSION", "KEYS MAX/MEAN", "LOAD MAX/MEAN", "MOVED", "LEAST", "CHURN", "LONGEST GAP", "MEAN GAP", "TWO OWNERS"}
+	return printRows(command.output, rows, columns, ownersCells)
 }
 
 func ownersCells(row score.Row) []string {
-	line := []string{
+	cells := []string{
 		row.Size, row.Scenario, row.Version,
 		fmt.Sprintf("%.2f", row.KeyImbalance), fmt.Sprintf("%.2f", row.LoadImbalance),
 		fmt.Sprint(row.Moved), fmt.Sprint(row.MinMoved), formatChurn(row),
 	}
 	if row.Version == "naive" {
-		return append(line, "list's lag", "-", "not kept out")
+		return append(cells, "list's lag", "-", "not kept out")
 	}
-	return append(line, row.LongestGap.String(), row.MeanGap.Round(time.Millisecond).String(), fmt.Sprint(row.OwnerConflicts))
+	return append(cells, row.LongestGap.String(), row.MeanGap.Round(time.Millisecond).String(), fmt.Sprint(row.OwnerConflicts))
 }
 
+// formatChurn returns the number of moved partitions relative to the number that had to move, or "-" if none had to.
 func formatChurn(row score.Row) string {
 	if row.MinMoved == 0 {
 		return "-"
