--- a/demo/demo.go
+++ b/demo/demo.go
@@ -13,13 +13,15 @@
 	"cherrykeel/host"
 )
 
+// trafficPause is the pause after each round of requests.
 const trafficPause = 100 * time.Millisecond
 
-// request is one kind of traffic that the demo sends.
+// request is a kind of request that the demo sends.
 type request struct {
 	domain string
 	method string
-	path   string
+	// path is a format with one integer, so that requests have different keys.
+	path string
 }
 
 var traffic = []request{
@@ -33,11 +35,12 @@
 	{domain: "huon.example", method: "GET", path: "/search/street-%d"},
 }
 
-// Run shows the system at work until the context ends, or for a time if that is not 0.
-func Run(ctx context.Context, writer io.Writer, limit time.Duration) error {
-	if limit > 0 {
+// Run starts the system, prints some answers and hints to writer, and sends traffic until ctx ends or duration is over;
+// duration 0 has no limit. The host then shuts down gracefully.
+func Run(ctx context.Context, writer io.Writer, duration time.Duration) error {
+	if duration > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, limit)
+		ctx, cancel = context.WithTimeout(ctx, duration)
 		defer cancel()
 	}
 	world, err := NewWorld(func(*fakes.UpstreamOptions) {})
@@ -50,19 +53,21 @@
 	if err != nil {
 		return err
 	}
-	running, stop := context.WithCancel(context.Background())
+	hostCtx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- entry.Run(running) }()
+	go func() { ended <- entry.Run(hostCtx) }()
 	err = showSystem(ctx, writer, world, entry)
 	stop()
 	_, _ = fmt.Fprintln(writer, "stopping without cutting a request")
-	stopped := <-ended
+	hostErr := <-ended
 	if err != nil {
 		return err
 	}
-	return stopped
+	return hostErr
 }
 
+// showSystem publishes the example trees, waits for owners, prints one answer for each kind of request, and sends traffic
+// until the context ends.
 func showSystem(ctx context.Context, writer io.Writer, world *World, entry *host.Host) error {
 	publication, err := world.Publish(ctx)
 	if err != nil {
@@ -92,6 +97,7 @@
 	_, _ = fmt.Fprintf(writer, "%-4s %s%s -> %s: %s\n", request.method, request.domain, path, response.Status(), response.String())
 }
 
+// sendRequest sends a request with the given path. Each POST gets an idempotency key of its own.
 func sendRequest(ctx context.Context, caller *resty.Client, request request, path string) (*resty.Response, error) {
 	outgoing := caller.R().SetContext(ctx).SetHeader("Host", request.domain)
 	if request.method == "POST" {
@@ -114,7 +120,7 @@
 `, world.Log, world.Hosts, entry.Address(), entry.AdminAddress())
 }
 
-// sendTraffic keeps a little traffic going until the context ends.
+// sendTraffic sends one request of each kind per round until the context ends.
 func sendTraffic(ctx context.Context, caller *resty.Client) {
 	for number := 0; ctx.Err() == nil; number++ {
 		for _, request := range traffic {
--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,3 +1,3 @@
-// Package demo runs the whole path in one process: stand-ins of the platform and
-// of upstreams, an entry host, both users' trees and a little traffic.
+// Package demo runs a complete system in one process: stand-ins for the platform and for upstreams, an entry host, both
+// example trees and a little traffic. Benchmarks use its World as well.
 package demo
--- a/demo/world.go
+++ b/demo/world.go
@@ -18,34 +18,40 @@
 )
 
 const (
+	// startTimeout bounds the wait for settings in force on all hosts, and the wait for owners.
 	startTimeout      = 30 * time.Second
 	ownerPollInterval = 100 * time.Millisecond
-	platformTimeout   = 10 * time.Second
-	// keyedServices is how many services of the example trees have keys.
+	// platformTimeout bounds each wait for the log when settings are published.
+	platformTimeout = 10 * time.Second
+	// keyedServices is the number of keyed services in the example trees.
 	keyedServices = 2
 )
 
-// World holds the stand-ins of the outside systems, all in this process, and the example trees with their addresses.
+// World holds stand-ins for the external systems, all in this process, and the example trees with the stand-ins'
+// addresses.
 type World struct {
-	// Log and Hosts are http URLs.
-	Log   string
+	// Log is the HTTP URL of the log.
+	Log string
+	// Hosts is the HTTP URL of the host list.
 	Hosts string
+	// Nodes holds both example trees.
 	Nodes tree.Nodes
-	// Upstreams and Addresses are by name.
-	Upstreams     map[string]*fakes.Upstream
+	// Upstreams holds the upstreams by name.
+	Upstreams map[string]*fakes.Upstream
+	// Addresses holds the upstreams' IP addresses and ports by name.
 	Addresses     map[string]string
 	adjustOptions func(options *fakes.UpstreamOptions)
 	log           *fakes.Log
 	servers       []*http.Server
 }
 
-// NewWorld starts the stand-ins; adjust changes the options of each upstream.
-func NewWorld(adjust func(options *fakes.UpstreamOptions)) (*World, error) {
+// NewWorld starts the stand-ins. adjustOptions may change the options of each upstream before it starts.
+func NewWorld(adjustOptions func(options *fakes.UpstreamOptions)) (*World, error) {
 	world := &World{
 		Nodes:         tree.Nodes{},
 		Upstreams:     map[string]*fakes.Upstream{},
 		Addresses:     map[string]string{},
-		adjustOptions: adjust,
+		adjustOptions: adjustOptions,
 	}
 	err := world.start()
 	if err != nil {
@@ -76,7 +82,7 @@
 	return nil
 }
 
-// loadTree reads an example tree and starts its upstreams, on addresses of their own.
+// loadTree reads an example tree, starts its upstreams on free ports, and enters their addresses into the tree.
 func (world *World) loadTree(name string) error {
 	files, err := fs.Sub(examples.Trees, name)
 	if err != nil {
@@ -95,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		list := node.Fields["Upstreams"].([]any)
+		upstreams := node.Fields["Upstreams"].([]any)
 		for i, server := range service.Upstreams {
 			options := fakes.UpstreamOptions{Name: server.Name, Slots: service.Slots, QueueLength: service.Slots * 4, EnforceFences: true}
 			world.adjustOptions(&options)
@@ -106,24 +112,25 @@
 			}
 			world.Upstreams[server.Name] = upstream
 			world.Addresses[server.Name] = address
-			list[i].(map[string]any)["Address"] = address
+			upstreams[i].(map[string]any)["Address"] = address
 		}
 	}
 	return nil
 }
 
+// serve starts an HTTP server on a free port and returns its address.
 func (world *World) serve(handler http.Handler) (string, error) {
-	socket, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
 	server := &http.Server{Handler: handler}
 	world.servers = append(world.servers, server)
-	go func() { _ = server.Serve(socket) }()
-	return socket.Addr().String(), nil
+	go func() { _ = server.Serve(listener) }()
+	return listener.Addr().String(), nil
 }
 
-// Appends returns how many records a stream of the log has been given.
+// Appends returns the number of records that have been appended to a stream of the log.
 func (world *World) Appends(stream string) int64 {
 	return world.log.Appends(stream)
 }
@@ -135,7 +142,7 @@
 	}
 }
 
-// Config returns the configuration of an entry host in this world, on addresses of its own.
+// Config returns the configuration of an entry host in this world that listens on free ports.
 func (world *World) Config(name, zone string) config.Config {
 	entry := config.Default()
 	entry.Name = name
@@ -146,7 +153,7 @@
 	return entry
 }
 
-// Publish publishes the world's tree and waits until it is in force on every host.
+// Publish publishes the world's trees and waits until they are in force on every host.
 func (world *World) Publish(ctx context.Context) (opctl.Publication, error) {
 	client := opctl.NewClient(world.Log, world.Hosts, platformTimeout)
 	state, err := client.State(ctx)
@@ -164,10 +171,11 @@
 	return publication, client.AwaitInForce(ctx, &publication, startTimeout)
 }
 
-// AwaitOwners waits until every partition of the keyed services has an owner, by the word of the hosts given.
+// AwaitOwners waits until the keepers among the given hosts report that every partition of the keyed services has an owner
+// and that the leases match the placement.
 func AwaitOwners(ctx context.Context, hosts ...*host.Host) error {
-	limit := time.Now().Add(startTimeout)
-	for ctx.Err() == nil && time.Now().Before(limit) {
+	deadline := time.Now().Add(startTimeout)
+	for ctx.Err() == nil && time.Now().Before(deadline) {
 		settled := map[string]bool{}
 		for _, entry := range hosts {
 			for _, service := range entry.Status().Services {
