--- a/naive/doc.go
+++ b/naive/doc.go
@@ -1,4 +1,3 @@
-// Package naive holds the plain versions that the measures and tests compare
-// with: owners by hash modulo the list of upstreams, without leases; round robin;
-// retries without a budget. It is pure.
+// Package naive holds simple versions with which benchmarks and tests compare the real ones: a placement by partition
+// modulo the number of upstreams, a picker by round robin, and a fold of a complete list of records. It is pure.
 package naive
--- a/naive/fold.go
+++ b/naive/fold.go
@@ -5,11 +5,11 @@
 	"cherrykeel/tree"
 )
 
-// Fold folds a whole list of records at once, in the plainest way, for comparison with fold.State.
-// It returns the nodes and, by service, the term and the keeper.
+// Fold folds a complete list of records at once, in the simplest way, for comparison with fold.State. It returns the
+// settings nodes and, by service, the term, the keeper and the sequence.
 func Fold(records []fold.Record) (tree.Nodes, map[string]fold.ServiceOwnership) {
 	nodes := tree.Nodes{}
-	blocks := map[string]fold.ServiceOwnership{}
+	ownerships := map[string]fold.ServiceOwnership{}
 	for i, record := range records {
 		version := int64(i + 1)
 		if record.Change != nil && hasCurrentBases(nodes, *record.Change) {
@@ -21,23 +21,24 @@
 				}
 			}
 		}
-		if record.Claim != nil && blocks[record.Claim.Service].Term == record.Claim.Term {
-			block := blocks[record.Claim.Service]
-			block.Term = version
-			block.Keeper = record.Author
-			blocks[record.Claim.Service] = block
+		if record.Claim != nil && ownerships[record.Claim.Service].Term == record.Claim.Term {
+			ownership := ownerships[record.Claim.Service]
+			ownership.Term = version
+			ownership.Keeper = record.Author
+			ownerships[record.Claim.Service] = ownership
 		}
 		if record.Assign != nil {
-			block := blocks[record.Assign.Service]
-			if block.Term == record.Assign.Term && block.Sequence == record.Assign.Base {
-				block.Sequence = version
-				blocks[record.Assign.Service] = block
+			ownership := ownerships[record.Assign.Service]
+			if ownership.Term == record.Assign.Term && ownership.Sequence == record.Assign.Base {
+				ownership.Sequence = version
+				ownerships[record.Assign.Service] = ownership
 			}
 		}
 	}
-	return nodes, blocks
+	return nodes, ownerships
 }
 
+// hasCurrentBases reports whether each edit is based on the version in force of its node.
 func hasCurrentBases(nodes tree.Nodes, change fold.Change) bool {
 	for _, edit := range change.Edits {
 		if nodes[edit.Path].Version != edit.Base {
--- a/naive/modulo.go
+++ b/naive/modulo.go
@@ -6,12 +6,13 @@
 
 type modulo struct{}
 
-// NewModulo returns a Placer that numbers the upstreams and takes partitions modulo their count.
+// NewModulo returns a Placer that gives each partition to the candidate at the partition's number modulo the number of
+// candidates, without leases.
 func NewModulo() cherrykeel.Placer {
 	return modulo{}
 }
 
-// Place implements cherrykeel.Placer; it knows neither the last placement nor the load.
+// Place implements cherrykeel.Placer. It ignores the previous placement and the load.
 func (modulo) Place(_ cherrykeel.Placement, partitions int, candidates []cherrykeel.Candidate, _ cherrykeel.Demand, _ int) cherrykeel.Placement {
 	placement := cherrykeel.Placement{Owners: make([]string, partitions), Successors: make([]string, partitions), HotKeys: map[string]string{}}
 	if len(candidates) == 0 {
@@ -28,12 +29,12 @@
 	picks int
 }
 
-// NewRoundRobin returns a Picker that goes round the upstreams, whatever their load and room.
+// NewRoundRobin returns a Picker that picks the upstreams in turn and ignores their load and capacity.
 func NewRoundRobin() cherrykeel.Picker {
 	return &roundRobin{}
 }
 
-// Pick implements cherrykeel.Picker.
+// Pick implements cherrykeel.Picker. It returns -1 if there are no choices.
 func (robin *roundRobin) Pick(_ string, choices []cherrykeel.Choice, _ float64) int {
 	if len(choices) == 0 {
 		return -1
