--- a/cmd/cherrykeel/docs_test.go
+++ b/cmd/cherrykeel/docs_test.go
@@ -22,7 +22,7 @@
 	RunSpecs(t, "docs")
 }
 
-func read(name string) string {
+func readDocument(name string) string {
 	text, err := os.ReadFile("../../docs/" + name)
 	Expect(err).NotTo(HaveOccurred())
 	return string(text)
@@ -30,7 +30,7 @@
 
 var _ = Describe("the documents", func() {
 	It("list each event with its number, level and text, and no other", func() {
-		text := read("EVENTS.md")
+		text := readDocument("EVENTS.md")
 		rows := 0
 		for _, event := range events.All {
 			Expect(text).To(ContainSubstring(fmt.Sprintf("| %d | %s | %s |", event.Number, event.Level, event.Text)))
@@ -39,7 +39,7 @@
 		Expect(strings.Count(text, "\n| ")).To(Equal(rows + 2))
 	})
 
-	It("list no event that no program logs", func() {
+	It("do not list events that no program logs", func() {
 		source, err := os.ReadFile("../../events/events.go")
 		Expect(err).NotTo(HaveOccurred())
 		used := ""
@@ -56,7 +56,7 @@
 		}
 		sink, err := os.ReadFile("../../events/sink.go")
 		Expect(err).NotTo(HaveOccurred())
-		// The sink reports its own losses, since a logger above it would lose the report too.
+		// The sink logs its own dropped lines, since a logger on top of it could drop that line too.
 		used += strings.ReplaceAll(string(sink), " LinesDropped.", " events.LinesDropped.")
 		names := regexp.MustCompile(`(?m)^\s+(\w+)\s+= define`).FindAllStringSubmatch(string(source), -1)
 		Expect(names).To(HaveLen(len(events.All)))
@@ -66,14 +66,14 @@
 	})
 
 	It("list each setting with its type, unit, default, range and levels", func() {
-		text := read("SETTINGS.md")
+		text := readDocument("SETTINGS.md")
 		for _, field := range tree.Fields {
 			Expect(text).To(ContainSubstring(field.Row()))
 		}
 	})
 
 	It("list each field of a host's configuration", func() {
-		text := read("SETTINGS.md")
+		text := readDocument("SETTINGS.md")
 		kind := reflect.TypeOf(config.Config{})
 		for i := range kind.NumField() {
 			Expect(text).To(ContainSubstring("| " + kind.Field(i).Name + " |"))
--- a/cmd/cherrykeel/entry.go
+++ b/cmd/cherrykeel/entry.go
@@ -22,18 +22,22 @@
 )
 
 const (
-	// storeDial and storeSilence end calls to a store that does not answer at all; it is 1 ms away.
-	storeDial    = 500 * time.Millisecond
-	storeSilence = 700 * time.Millisecond
-	// orderIdle keeps connections for orders shorter than upstreams do.
-	orderIdle = 5 * time.Second
-	storeIdle = 30 * time.Second
-	// memoryShare is the part of the allowed memory at which the collector works harder.
-	memoryShare = 0.6
-	// settingsPace is how often the settings file is looked at, since it may change without a signal.
-	settingsPace = 2 * time.Second
+	// dialTimeout and userTimeout bound calls to a peer that does not answer at all: the connection setup, and the time
+	// for which sent bytes stay unacknowledged. The store is 1 ms away.
+	dialTimeout = 500 * time.Millisecond
+	userTimeout = 700 * time.Millisecond
+	// grantIdleTimeout is shorter than the upstreams' own idle timeout, so that the host closes idle connections for
+	// grants first.
+	grantIdleTimeout = 5 * time.Second
+	// storeIdleTimeout is how long idle connections to the store stay open.
+	storeIdleTimeout = 30 * time.Second
+	// memoryLimitShare is the share of the allowed memory that is set as the soft limit of the garbage collector.
+	memoryLimitShare = 0.6
+	// settingsPollInterval is how often the settings file is read, since it may change without a signal.
+	settingsPollInterval = 2 * time.Second
 )
 
+// entryCommand runs an entry host on the users' platform.
 type entryCommand struct {
 	Config string `help:"The platform's settings file." env:"CHERRYKEEL_CONFIG" required:""`
 }
@@ -43,15 +47,15 @@
 	if err != nil {
 		return &opctl.ExitError{Code: opctl.ExitInvalid, Err: err}
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryBytes)))
 	sink := events.NewSink(os.Stdout)
 	logger := events.NewLogger(sink, zapcore.InfoLevel)
 	scope, handler, closer := newMetrics()
 	clock := cherrykeel.BootTimeClock()
-	store := adapter.NewStore(settings.StoreURL, transport(storeIdle))
+	store := adapter.NewStore(settings.StoreURL, newTransport(storeIdleTimeout))
 	host := entry.New(settings, entry.Platform{
 		Dialect:          adapter.Dialect(),
-		Granter:          adapter.NewGranter(transport(orderIdle), clock),
+		Granter:          adapter.NewGranter(newTransport(grantIdleTimeout), clock),
 		Operator:         store.Topic(adapter.OperatorTopic),
 		Upstreams:        store.Topic(adapter.ServersTopic),
 		Hosts:            store.Topic(adapter.HostsTopic),
@@ -72,43 +76,44 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	go command.watch(ctx, hangup.Signals(), logger, func(settings cherrykeel.EntrySettings) {
+	go command.watchSettings(ctx, hangup.Signals(), logger, func(settings cherrykeel.EntrySettings) {
 		store.SetURL(settings.StoreURL)
 		host.Reload(settings)
 	})
-	return orOver(host.MustExit(), func() error {
+	return runUntil(host.MustExit(), func() error {
 		defer closeOutputs()
 		return host.Run(ctx)
 	})
 }
 
-// orOver returns when a program has run, or when its time is over: what still hangs ends with the process. A reader of
-// the log that had stalled kept the process for ever, with all requests served.
-func orOver(over <-chan struct{}, program func() error) error {
+// runUntil runs a function and returns when the function ends or mustExit is closed; what still hangs then ends with the
+// process. Otherwise a stalled reader of the log output could keep the process forever after all requests were served.
+func runUntil(mustExit <-chan struct{}, run func() error) error {
 	ended := make(chan error, 1)
 	go func() {
-		ended <- program()
+		ended <- run()
 	}()
 	select {
 	case err := <-ended:
 		return err
-	case <-over:
+	case <-mustExit:
 		return nil
 	}
 }
 
-// watch reads the settings file again when it is told to, or finds it changed.
-func (command *entryCommand) watch(ctx context.Context, changed <-chan os.Signal, logger *zap.Logger, reload func(cherrykeel.EntrySettings)) {
-	ticker := time.NewTicker(settingsPace)
+// watchSettings reads the settings file on each signal and periodically. It calls reload after a signal, or if the
+// settings differ from the last ones; invalid settings are only logged.
+func (command *entryCommand) watchSettings(ctx context.Context, signals <-chan os.Signal, logger *zap.Logger, reload func(cherrykeel.EntrySettings)) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	last, _ := adapter.LoadSettings(command.Config)
 	for {
-		asked := false
+		signaled := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-changed:
-			asked = true
+		case <-signals:
+			signaled = true
 		case <-ticker.C:
 		}
 		settings, err := adapter.LoadSettings(command.Config)
@@ -116,18 +121,20 @@
 			events.Log(logger, events.SettingsInvalid, zap.Error(err))
 			continue
 		}
-		if asked || settings != last {
+		if signaled || settings != last {
 			last = settings
 			reload(settings)
 		}
 	}
 }
 
-func transport(idle time.Duration) *http.Transport {
+// newTransport returns a transport for calls to the store or for grants. Its connections are reset when they are closed,
+// so that a call that was given up is not delivered later.
+func newTransport(idleTimeout time.Duration) *http.Transport {
 	return &http.Transport{
-		DialContext:         conns.ResetOnClose(conns.NewDialer(storeDial, storeSilence)),
+		DialContext:         conns.ResetOnClose(conns.NewDialer(dialTimeout, userTimeout)),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 8,
-		IdleConnTimeout:     idle,
+		IdleConnTimeout:     idleTimeout,
 	}
 }
--- a/cmd/cherrykeel/main.go
+++ b/cmd/cherrykeel/main.go
@@ -17,6 +17,7 @@
 3 outcome unknown, look it up with history --id; 4 platform or hosts unreachable, nothing
 was changed; 5 accepted, but not yet in force on every host.`
 
+// commands are the program's subcommands.
 type commands struct {
 	Run     runCommand     `cmd:"" help:"Run an entry host until SIGTERM or Ctrl-C."`
 	Entry   entryCommand   `cmd:"" help:"Run an entry host on the users' platform until SIGTERM."`
@@ -31,8 +32,8 @@
 	Owner   ownerCommand   `cmd:"" help:"Show who owns a key. Example: cherrykeel owner hanbit/availability hall-7"`
 }
 
-// entryName is the command that reads its settings again when it is sent SIGHUP.
-const entryName = "entry"
+// entryCommandName is the command that rereads its settings on SIGHUP; SIGHUP ends the other ones.
+const entryCommandName = "entry"
 
 func main() {
 	var commands commands
@@ -49,14 +50,14 @@
 		parser.Errorf("%s", err)
 		os.Exit(opctl.ExitInvalid)
 	}
-	if context.Command() != entryName {
+	if context.Command() != entryCommandName {
 		hangup.RestoreDefault()
 	}
-	os.Exit(code(context.Run()))
+	os.Exit(exitCode(context.Run()))
 }
 
-// code prints an error and returns the exit code that it stands for.
-func code(err error) int {
+// exitCode prints an error to stderr and returns its exit code.
+func exitCode(err error) int {
 	if err == nil {
 		return opctl.ExitDone
 	}
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -13,13 +13,15 @@
 	"cherrykeel/host"
 )
 
+// trafficPause is the pause after each round of requests.
 const trafficPause = 100 * time.Millisecond
 
-// request is one kind of traffic that the demo sends.
+// request is a kind of request that the demo sends.
 type request struct {
 	domain string
 	method string
-	path   string
+	// path is a format with one integer, so that requests have different keys.
+	path string
 }
 
 var traffic = []request{
@@ -33,11 +35,12 @@
 	{domain: "huon.example", method: "GET", path: "/search/street-%d"},
 }
 
-// Run shows the system at work until the context ends, or for a time if that is not 0.
-func Run(ctx context.Context, writer io.Writer, limit time.Duration) error {
-	if limit > 0 {
+// Run starts the system, prints some answers and hints to writer, and sends traffic until ctx ends or duration is over;
+// duration 0 has no limit. The host then shuts down gracefully.
+func Run(ctx context.Context, writer io.Writer, duration time.Duration) error {
+	if duration > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, limit)
+		ctx, cancel = context.WithTimeout(ctx, duration)
 		defer cancel()
 	}
 	world, err := NewWorld(func(*fakes.UpstreamOptions) {})
@@ -50,20 +53,22 @@
 	if err != nil {
 		return err
 	}
-	running, stop := context.WithCancel(context.Background())
+	hostCtx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- entry.Run(running) }()
-	err = show(ctx, writer, world, entry)
+	go func() { ended <- entry.Run(hostCtx) }()
+	err = showSystem(ctx, writer, world, entry)
 	stop()
 	_, _ = fmt.Fprintln(writer, "stopping without cutting a request")
-	stopped := <-ended
+	hostErr := <-ended
 	if err != nil {
 		return err
 	}
-	return stopped
+	return hostErr
 }
 
-func show(ctx context.Context, writer io.Writer, world *World, entry *host.Host) error {
+// showSystem publishes the example trees, waits for owners, prints one answer for each kind of request, and sends traffic
+// until the context ends.
+func showSystem(ctx context.Context, writer io.Writer, world *World, entry *host.Host) error {
 	publication, err := world.Publish(ctx)
 	if err != nil {
 		return err
@@ -75,16 +80,16 @@
 	}
 	caller := resty.New().SetBaseURL("http://" + entry.Address())
 	for _, request := range traffic {
-		printAnswer(ctx, writer, caller, request, 7)
+		printResponse(ctx, writer, caller, request, 7)
 	}
 	printHints(writer, world, entry)
-	send(ctx, caller)
+	sendTraffic(ctx, caller)
 	return nil
 }
 
-func printAnswer(ctx context.Context, writer io.Writer, caller *resty.Client, request request, number int) {
+func printResponse(ctx context.Context, writer io.Writer, caller *resty.Client, request request, number int) {
 	path := fmt.Sprintf(request.path, number)
-	response, err := ask(ctx, caller, request, path)
+	response, err := sendRequest(ctx, caller, request, path)
 	if err != nil {
 		_, _ = fmt.Fprintf(writer, "%-4s %s%s: %v\n", request.method, request.domain, path, err)
 		return
@@ -92,7 +97,8 @@
 	_, _ = fmt.Fprintf(writer, "%-4s %s%s -> %s: %s\n", request.method, request.domain, path, response.Status(), response.String())
 }
 
-func ask(ctx context.Context, caller *resty.Client, request request, path string) (*resty.Response, error) {
+// sendRequest sends a request with the given path. Each POST gets an idempotency key of its own.
+func sendRequest(ctx context.Context, caller *resty.Client, request request, path string) (*resty.Response, error) {
 	outgoing := caller.R().SetContext(ctx).SetHeader("Host", request.domain)
 	if request.method == "POST" {
 		outgoing.SetHeader(cherrykeel.HeaderIdempotencyKey, fmt.Sprintf("demo-%s-%d", path, time.Now().UnixNano()))
@@ -114,11 +120,11 @@
 `, world.Log, world.Hosts, entry.Address(), entry.AdminAddress())
 }
 
-// send keeps a little traffic going until the context ends.
-func send(ctx context.Context, caller *resty.Client) {
+// sendTraffic sends one request of each kind per round until the context ends.
+func sendTraffic(ctx context.Context, caller *resty.Client) {
 	for number := 0; ctx.Err() == nil; number++ {
 		for _, request := range traffic {
-			_, _ = ask(ctx, caller, request, fmt.Sprintf(request.path, number%100))
+			_, _ = sendRequest(ctx, caller, request, fmt.Sprintf(request.path, number%100))
 		}
 		select {
 		case <-time.After(trafficPause):
--- a/opctl/print.go
+++ b/opctl/print.go
@@ -15,24 +15,25 @@
 	"cherrykeel/tree"
 )
 
+// columnGap is the number of spaces between columns.
 const columnGap = 2
 
 func formatVersion(version int64) string {
 	return strconv.FormatInt(version, 10)
 }
 
-func escape(text string) string {
+func escapeQuery(text string) string {
 	return url.QueryEscape(text)
 }
 
-// PrintJSON writes a value for programs.
+// PrintJSON writes a value as indented JSON.
 func PrintJSON(writer io.Writer, value any) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-func table(writer io.Writer, rows [][]string) {
+func writeTable(writer io.Writer, rows [][]string) {
 	columns := tabwriter.NewWriter(writer, 0, 0, columnGap, ' ', 0)
 	for _, row := range rows {
 		_, _ = fmt.Fprintln(columns, strings.Join(row, "\t"))
@@ -49,14 +50,14 @@
 	return keys
 }
 
-func nodeName(path string) string {
+func formatPath(path string) string {
 	if path == "" {
 		return "(firm)"
 	}
 	return path
 }
 
-func shown(value any) string {
+func formatValue(value any) string {
 	if value == nil {
 		return "-"
 	}
@@ -70,7 +71,7 @@
 	return string(data)
 }
 
-// PrintPlan writes what a publish would change.
+// PrintPlan writes a plan as a table with one line per changed field.
 func PrintPlan(writer io.Writer, plan Plan) {
 	if len(plan.Edits) == 0 {
 		_, _ = fmt.Fprintf(writer, "nothing to change; version %d is in force\n", plan.Version)
@@ -81,7 +82,7 @@
 	for _, edit := range plan.Edits {
 		rows = append(rows, fieldRows(edit.Path, edit.Before, edit.Fields)...)
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 }
 
 func fieldRows(path string, before, after map[string]any) [][]string {
@@ -94,16 +95,16 @@
 	}
 	var rows [][]string
 	for _, name := range sortedKeys(names) {
-		old, updated := shown(before[name]), shown(after[name])
+		old, updated := formatValue(before[name]), formatValue(after[name])
 		if tree.EqualFields(map[string]any{"": before[name]}, map[string]any{"": after[name]}) {
 			continue
 		}
-		rows = append(rows, []string{nodeName(path), name, old, updated})
+		rows = append(rows, []string{formatPath(path), name, old, updated})
 	}
 	return rows
 }
 
-// PrintHistory writes audit entries, the newest first.
+// PrintHistory writes audit entries as a table, in the order given.
 func PrintHistory(writer io.Writer, entries []fold.AuditEntry) {
 	rows := [][]string{{"VERSION", "TIME", "AUTHOR", "NODE", "REASON", "CHANGED"}}
 	for _, entry := range entries {
@@ -113,29 +114,30 @@
 		}
 		rows = append(rows, []string{
 			formatVersion(entry.Version), entry.Time.Format("2006-01-02 15:04:05"), entry.Author,
-			nodeName(entry.Path), entry.Reason, strings.Join(changed, "; "),
+			formatPath(entry.Path), entry.Reason, strings.Join(changed, "; "),
 		})
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 }
 
-// PrintNode writes every field in force at a node and where it comes from.
+// PrintNode writes the fields of a node as a table with their values and the nodes that set them.
 func PrintNode(writer io.Writer, sources []tree.Source) {
 	rows := [][]string{{"FIELD", "VALUE", "SET BY"}}
 	for _, source := range sources {
-		rows = append(rows, []string{source.Field, shown(source.Value), setBy(source)})
+		rows = append(rows, []string{source.Field, formatValue(source.Value), formatSource(source)})
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 }
 
-func setBy(source tree.Source) string {
+func formatSource(source tree.Source) string {
 	if source.Default {
 		return "(default)"
 	}
-	return nodeName(source.Path)
+	return formatPath(source.Path)
 }
 
-// PrintStatus writes the hosts and the owners.
+// PrintStatus writes a table of hosts and a table of keyed services. A service is shown as its keeper reports it, if the
+// keeper is among the hosts.
 func PrintStatus(writer io.Writer, statuses []HostStatus) {
 	rows := [][]string{{"HOST", "ZONE", "READY", "VERSION", "OFFSET", "LOG", "IN FLIGHT", "DIFFERS FROM", "REASON"}}
 	services := map[string]host.ServiceStatus{}
@@ -151,7 +153,7 @@
 			}
 		}
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 	if len(services) == 0 {
 		return
 	}
@@ -160,7 +162,7 @@
 	for _, path := range sortedKeys(services) {
 		rows = append(rows, serviceRow(services[path]))
 	}
-	table(writer, rows)
+	writeTable(writer, rows)
 }
 
 func hostRow(status HostStatus) []string {
