--- a/bench/overload.go
+++ b/bench/overload.go
@@ -37,11 +37,11 @@
 const (
 	Healthy  Condition = "healthy"
 	OneSlow  Condition = "one slow upstream"
-	OneLying Condition = "one lying upstream"
+	OneMisreporting Condition = "one lying upstream"
 )
 
 // Conditions lists all.
-var Conditions = []Condition{Healthy, OneSlow, OneLying}
+var Conditions = []Condition{Healthy, OneSlow, OneMisreporting}
 
 // OverloadRow is what one load gave.
 type OverloadRow struct {
@@ -102,7 +102,7 @@
 
 // Ours and Naive name the versions that Overload compares.
 const (
-	Ours  = "ours"
+	ThroughHosts  = "ours"
 	Naive = "round robin, blind retry"
 )
 
@@ -142,10 +142,10 @@
 	}
 	defer arena.close()
 	// Hosts that have just started know neither shares of slots nor how long requests take.
-	arena.offer(warmLoad, Ours, warmTime)
+	arena.offer(warmLoad, ThroughHosts, warmTime)
 	var rows []OverloadRow
 	for _, load := range loads {
-		for _, version := range []string{Ours, Naive} {
+		for _, version := range []string{ThroughHosts, Naive} {
 			arena.setCondition(condition)
 			row := arena.offer(load, version, length)
 			row.Condition = condition
@@ -164,7 +164,7 @@
 		if chosen && condition == OneSlow {
 			faults.Work = 5 * work
 		}
-		if chosen && condition == OneLying {
+		if chosen && condition == OneMisreporting {
 			// It claims to be idle and sheds most of what it gets.
 			faults.Load = 0
 			faults.Shed = 0.8
