--- a/fakes/address.go
+++ b/fakes/address.go
@@ -17,13 +17,13 @@
 func FreeAddress() string {
 	for {
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(lastPort-firstPort))
-		if free(address) {
+		if isFree(address) {
 			return address
 		}
 	}
 }
 
-func free(address string) bool {
+func isFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
--- a/fakes/callers.go
+++ b/fakes/callers.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// askTimeout bounds one request, so that a spec ends whatever becomes of it.
-const askTimeout = time.Minute
+// requestTimeout bounds one request, so that a spec ends whatever becomes of it.
+const requestTimeout = time.Minute
 
 // Callers ask all the time, each until it fails once.
 type Callers struct {
 	answered atomic.Int64
-	asking   sync.WaitGroup
+	running  sync.WaitGroup
 	mutex    sync.Mutex
 	failures []error
 }
 
 // StartCallers lets so many callers ask.
-func StartCallers(count int, ask func() error) *Callers {
+func StartCallers(count int, request func() error) *Callers {
 	callers := &Callers{}
 	for range count {
-		callers.asking.Go(func() { callers.run(ask) })
+		callers.running.Go(func() { callers.run(request) })
 	}
 	return callers
 }
 
-func (callers *Callers) run(ask func() error) {
-	err := ask()
+func (callers *Callers) run(request func() error) {
+	err := request()
 	for err == nil {
 		callers.answered.Add(1)
-		err = ask()
+		err = request()
 	}
 	callers.mutex.Lock()
 	defer callers.mutex.Unlock()
@@ -46,13 +46,13 @@
 
 // Failures returns how each of them failed, once all have.
 func (callers *Callers) Failures() []error {
-	callers.asking.Wait()
+	callers.running.Wait()
 	return callers.failures
 }
 
 // AskAnew returns a caller's request to a URL, each on a connection of its own, that is answered when it was read whole.
 func AskAnew(url string) func() error {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: askTimeout}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: requestTimeout}
 	return func() error {
 		response, err := client.Get(url)
 		if err != nil {
--- a/fakes/hosts.go
+++ b/fakes/hosts.go
@@ -16,24 +16,24 @@
 	Lag time.Duration
 }
 
-type listing struct {
-	member  cherrykeel.Member
-	visible time.Time
+type entryVersion struct {
+	member    cherrykeel.Member
+	visibleAt time.Time
 }
 
 // Hosts is the stand-in of the platform's lagging list.
 type Hosts struct {
 	mutex    sync.Mutex
-	listings map[string][]listing
+	listings map[string][]entryVersion
 	faults   HostsFaults
 	mux      *http.ServeMux
 }
 
 // NewHosts returns an empty list.
 func NewHosts() *Hosts {
-	hosts := &Hosts{listings: map[string][]listing{}, mux: http.NewServeMux()}
+	hosts := &Hosts{listings: map[string][]entryVersion{}, mux: http.NewServeMux()}
 	hosts.mux.HandleFunc("GET /members", hosts.list)
-	hosts.mux.HandleFunc("PUT /members/{name}", hosts.put)
+	hosts.mux.HandleFunc("PUT /members/{name}", hosts.update)
 	hosts.mux.HandleFunc("DELETE /members/{name}", hosts.remove)
 	hosts.mux.HandleFunc("POST /faults", func(writer http.ResponseWriter, request *http.Request) {
 		var faults HostsFaults
@@ -74,16 +74,16 @@
 	writeJSON(writer, members)
 }
 
-func latest(history []listing, now time.Time) (cherrykeel.Member, bool) {
+func latest(history []entryVersion, now time.Time) (cherrykeel.Member, bool) {
 	for i := len(history) - 1; i >= 0; i-- {
-		if !history[i].visible.After(now) {
+		if !history[i].visibleAt.After(now) {
 			return history[i].member, true
 		}
 	}
 	return cherrykeel.Member{}, false
 }
 
-func (hosts *Hosts) put(writer http.ResponseWriter, request *http.Request) {
+func (hosts *Hosts) update(writer http.ResponseWriter, request *http.Request) {
 	var member cherrykeel.Member
 	if readJSON(writer, request, &member) {
 		hosts.change(writer, request.PathValue("name"), member)
@@ -102,8 +102,8 @@
 		return
 	}
 	now := time.Now()
-	history := append(hosts.listings[name], listing{member: member, visible: now.Add(hosts.faults.Lag)})
-	for len(history) > 1 && !history[1].visible.After(now) {
+	history := append(hosts.listings[name], entryVersion{member: member, visibleAt: now.Add(hosts.faults.Lag)})
+	for len(history) > 1 && !history[1].visibleAt.After(now) {
 		history = history[1:]
 	}
 	hosts.listings[name] = history
--- a/fakes/log.go
+++ b/fakes/log.go
@@ -42,18 +42,18 @@
 
 // Log is the stand-in of the platform's append-only log, held in memory.
 type Log struct {
-	mutex   sync.Mutex
-	streams map[string]*stream
-	faults  LogFaults
-	grown   chan struct{}
-	second  int64
-	appends int
-	mux     *http.ServeMux
+	mutex           sync.Mutex
+	streams         map[string]*stream
+	faults          LogFaults
+	changed         chan struct{}
+	rateSecond      int64
+	appendsInSecond int
+	mux             *http.ServeMux
 }
 
 // NewLog returns an empty log.
 func NewLog() *Log {
-	log := &Log{streams: map[string]*stream{}, grown: make(chan struct{}), mux: http.NewServeMux()}
+	log := &Log{streams: map[string]*stream{}, changed: make(chan struct{}), mux: http.NewServeMux()}
 	log.mux.HandleFunc("POST /streams/{stream}/records", log.append)
 	log.mux.HandleFunc("GET /streams/{stream}/records", log.read)
 	log.mux.HandleFunc("POST /faults", func(writer http.ResponseWriter, request *http.Request) {
@@ -79,7 +79,7 @@
 	for _, stream := range log.streams {
 		log.trim(stream)
 	}
-	log.wake()
+	log.wakeReaders()
 }
 
 // Appends returns how many records have ever been appended to a stream.
@@ -89,9 +89,9 @@
 	return log.stream(name).next()
 }
 
-func (log *Log) wake() {
-	close(log.grown)
-	log.grown = make(chan struct{})
+func (log *Log) wakeReaders() {
+	close(log.changed)
+	log.changed = make(chan struct{})
 }
 
 func (log *Log) stream(name string) *stream {
@@ -147,7 +147,7 @@
 		log.faults.RefuseAppends--
 		return faults, -1
 	}
-	if log.overRate() {
+	if log.exceedsRate() {
 		return faults, -1
 	}
 	if faults.LoseReplies > 0 {
@@ -157,18 +157,18 @@
 	offset := stream.next()
 	stream.records = append(stream.records, data)
 	log.trim(stream)
-	log.wake()
+	log.wakeReaders()
 	return faults, offset
 }
 
-func (log *Log) overRate() bool {
+func (log *Log) exceedsRate() bool {
 	second := time.Now().Unix()
-	if second != log.second {
-		log.second = second
-		log.appends = 0
+	if second != log.rateSecond {
+		log.rateSecond = second
+		log.appendsInSecond = 0
 	}
-	log.appends++
-	return log.faults.AppendsPerSecond > 0 && log.appends > log.faults.AppendsPerSecond
+	log.appendsInSecond++
+	return log.faults.AppendsPerSecond > 0 && log.appendsInSecond > log.faults.AppendsPerSecond
 }
 
 func (log *Log) read(writer http.ResponseWriter, request *http.Request) {
@@ -206,5 +206,5 @@
 	for offset := start; offset < stream.next() && len(reply.Records) < readLimit; offset++ {
 		reply.Records = append(reply.Records, remote.ReadRecord{Offset: offset, Data: stream.records[offset-stream.first]})
 	}
-	return reply, log.faults, log.grown
+	return reply, log.faults, log.changed
 }
--- a/fakes/owned.go
+++ b/fakes/owned.go
@@ -9,13 +9,13 @@
 
 // Ownership is what an upstream holds for one service. It reads no clock and takes no lock.
 type Ownership struct {
-	boot       string
-	service    string
-	fence      cherrykeel.Fence
-	until      time.Duration
-	partitions map[int]bool
-	hotKeys    map[string]bool
-	exceptKeys map[string]bool
+	incarnation string
+	service     string
+	fence       cherrykeel.Fence
+	until       time.Duration
+	partitions  map[int]bool
+	hotKeys     map[string]bool
+	exceptKeys  map[string]bool
 	// inFlight counts requests, so that what is taken away is given up only when they have ended.
 	inFlight map[Work]int
 	// lapses counts the leases that have ended and were followed by another.
@@ -31,24 +31,24 @@
 }
 
 // NewOwnership returns an ownership of nothing; boot names the upstream's process.
-func NewOwnership(boot, service string) *Ownership {
+func NewOwnership(incarnation, service string) *Ownership {
 	return &Ownership{
-		boot:       boot,
-		service:    service,
-		partitions: map[int]bool{},
-		hotKeys:    map[string]bool{},
-		exceptKeys: map[string]bool{},
-		inFlight:   map[Work]int{},
+		incarnation: incarnation,
+		service:     service,
+		partitions:  map[int]bool{},
+		hotKeys:     map[string]bool{},
+		exceptKeys:  map[string]bool{},
+		inFlight:    map[Work]int{},
 	}
 }
 
 // Owns reports whether the upstream may act for a key at its own time now.
 func (ownership *Ownership) Owns(now time.Duration, partition int, key string) bool {
-	return now < ownership.until && ownership.granted(partition, key)
+	return now < ownership.until && ownership.isGranted(partition, key)
 }
 
-// granted reports whether the last grant names the key, alone or with its partition.
-func (ownership *Ownership) granted(partition int, key string) bool {
+// isGranted reports whether the last grant names the key, alone or with its partition.
+func (ownership *Ownership) isGranted(partition int, key string) bool {
 	if ownership.hotKeys[key] {
 		return true
 	}
@@ -85,12 +85,12 @@
 func (ownership *Ownership) Grant(grant cherrykeel.Grant, now time.Duration) cherrykeel.Holding {
 	reason := ""
 	switch {
-	case grant.Incarnation != ownership.boot:
+	case grant.Incarnation != ownership.incarnation:
 		reason = "the grant is for another start of this process"
 	case grant.Fence.Less(ownership.fence):
 		reason = "the fence is older than the one held"
 	default:
-		ownership.take(now, grant)
+		ownership.apply(now, grant)
 	}
 	holding := ownership.Holding(now)
 	holding.Accepted = reason == ""
@@ -98,7 +98,7 @@
 	return holding
 }
 
-func (ownership *Ownership) take(now time.Duration, grant cherrykeel.Grant) {
+func (ownership *Ownership) apply(now time.Duration, grant cherrykeel.Grant) {
 	lapsed := now >= ownership.until
 	ownership.fence = grant.Fence
 	ownership.until = grant.Until
@@ -113,11 +113,11 @@
 	for _, partition := range grant.Partitions {
 		ownership.partitions[partition] = true
 	}
-	ownership.hotKeys = textSet(grant.HotKeys)
-	ownership.exceptKeys = textSet(grant.ExceptKeys)
+	ownership.hotKeys = stringSet(grant.HotKeys)
+	ownership.exceptKeys = stringSet(grant.ExceptKeys)
 }
 
-func textSet(list []string) map[string]bool {
+func stringSet(list []string) map[string]bool {
 	set := make(map[string]bool, len(list))
 	for _, text := range list {
 		set[text] = true
@@ -129,7 +129,7 @@
 func (ownership *Ownership) Holding(now time.Duration) cherrykeel.Holding {
 	holding := cherrykeel.Holding{
 		Service:     ownership.service,
-		Incarnation: ownership.boot,
+		Incarnation: ownership.incarnation,
 		Now:         now,
 		Fence:       ownership.fence,
 		Until:       ownership.until,
@@ -141,7 +141,7 @@
 		holding.HotKeys = append(holding.HotKeys, key)
 	}
 	for work := range ownership.inFlight {
-		if ownership.Lapsed(work, now) || ownership.granted(work.partition, work.key) {
+		if ownership.Lapsed(work, now) || ownership.isGranted(work.partition, work.key) {
 			// What outlasted its lease takes no effect any more, and others may have the key.
 			continue
 		}
@@ -158,14 +158,14 @@
 }
 
 func (upstream *Upstream) grant(writer http.ResponseWriter, request *http.Request) {
-	upstream.frozen()
+	upstream.waitWhileFrozen()
 	var grant cherrykeel.Grant
 	if !readJSON(writer, request, &grant) {
 		return
 	}
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
-	holding := upstream.owned(grant.Service).Grant(grant, upstream.now())
+	holding := upstream.ownershipOf(grant.Service).Grant(grant, upstream.now())
 	if holding.Accepted && !grant.Partial {
 		upstream.options.Registers.forget(upstream)
 	}
@@ -173,16 +173,16 @@
 }
 
 func (upstream *Upstream) holding(writer http.ResponseWriter, request *http.Request) {
-	upstream.frozen()
+	upstream.waitWhileFrozen()
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
-	writeJSON(writer, upstream.owned(request.URL.Query().Get("service")).Holding(upstream.now()))
+	writeJSON(writer, upstream.ownershipOf(request.URL.Query().Get("service")).Holding(upstream.now()))
 }
 
-func (upstream *Upstream) owned(service string) *Ownership {
+func (upstream *Upstream) ownershipOf(service string) *Ownership {
 	held, exists := upstream.services[service]
 	if !exists {
-		held = NewOwnership(upstream.boot, service)
+		held = NewOwnership(upstream.incarnation, service)
 		upstream.services[service] = held
 	}
 	return held
--- a/fakes/register.go
+++ b/fakes/register.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-type cached struct {
+type cachedValue struct {
 	term  int64
 	value string
 }
@@ -16,12 +16,12 @@
 type Registers struct {
 	mutex  sync.Mutex
 	stored map[string]string
-	copies map[*Upstream]map[string]cached
+	copies map[*Upstream]map[string]cachedValue
 }
 
 // NewRegisters returns empty registers.
 func NewRegisters() *Registers {
-	return &Registers{stored: map[string]string{}, copies: map[*Upstream]map[string]cached{}}
+	return &Registers{stored: map[string]string{}, copies: map[*Upstream]map[string]cachedValue{}}
 }
 
 // access reads the key's text, or sets it to the body of a PUT or POST.
@@ -34,12 +34,12 @@
 	}
 	copies, exists := registers.copies[upstream]
 	if !exists {
-		copies = map[string]cached{}
+		copies = map[string]cachedValue{}
 		registers.copies[upstream] = copies
 	}
 	current, known := copies[name]
 	if !known || current.term != term {
-		current = cached{term: term, value: registers.stored[name]}
+		current = cachedValue{term: term, value: registers.stored[name]}
 	}
 	if call.method == http.MethodPut || call.method == http.MethodPost {
 		current.value = string(call.body)
--- a/fakes/upstream.go
+++ b/fakes/upstream.go
@@ -15,8 +15,8 @@
 	"cherrykeel"
 )
 
-// coldFactor is how many times its usual work a request takes on an upstream that has just started.
-const coldFactor = 9
+// slowStartFactor is how many times its usual work a request takes on an upstream that has just started.
+const slowStartFactor = 9
 
 // UpstreamFaults are the faults of the upstream stand-in; counts say how many of the next requests they hit.
 type UpstreamFaults struct {
@@ -66,19 +66,19 @@
 
 // Upstream is the stand-in of a server that holds keys.
 type Upstream struct {
-	options  UpstreamOptions
-	boot     string
-	clock    cherrykeel.Clock
-	slots    chan struct{}
-	mux      *http.ServeMux
-	mutex    sync.Mutex
-	services map[string]*Ownership
-	faults   UpstreamFaults
-	thawed   time.Time
-	ordered  time.Time
-	waiting  int
-	// most is the most requests held at a time.
-	most     int
+	options     UpstreamOptions
+	incarnation string
+	clock       cherrykeel.Clock
+	slots       chan struct{}
+	mux         *http.ServeMux
+	mutex       sync.Mutex
+	services    map[string]*Ownership
+	faults      UpstreamFaults
+	frozenUntil time.Time
+	faultsSetAt time.Time
+	held        int
+	// maxHeld is the most requests held at a time.
+	maxHeld  int
 	runs     map[string]int
 	repeats  map[string]int
 	lastBody []byte
@@ -91,20 +91,20 @@
 		options.Registers = NewRegisters()
 	}
 	upstream := &Upstream{
-		options:  options,
-		boot:     uuid.NewString(),
-		clock:    cherrykeel.BootTimeClock(),
-		slots:    make(chan struct{}, options.Slots),
-		mux:      http.NewServeMux(),
-		services: map[string]*Ownership{},
-		faults:   UpstreamFaults{Load: -1},
-		runs:     map[string]int{},
-		repeats:  map[string]int{},
+		options:     options,
+		incarnation: uuid.NewString(),
+		clock:       cherrykeel.BootTimeClock(),
+		slots:       make(chan struct{}, options.Slots),
+		mux:         http.NewServeMux(),
+		services:    map[string]*Ownership{},
+		faults:      UpstreamFaults{Load: -1},
+		runs:        map[string]int{},
+		repeats:     map[string]int{},
 	}
 	upstream.mux.HandleFunc("PUT /.well-known/ownership", upstream.grant)
 	upstream.mux.HandleFunc("GET /.well-known/ownership", upstream.holding)
-	upstream.mux.HandleFunc("POST /standin/faults", upstream.order)
-	upstream.mux.HandleFunc("GET /standin/runs", upstream.report)
+	upstream.mux.HandleFunc("POST /standin/faults", upstream.handleFaults)
+	upstream.mux.HandleFunc("GET /standin/runs", upstream.reportRuns)
 	upstream.mux.HandleFunc("/", upstream.serve)
 	return upstream
 }
@@ -118,7 +118,7 @@
 	return time.Duration(upstream.clock.Now())
 }
 
-func (upstream *Upstream) order(writer http.ResponseWriter, request *http.Request) {
+func (upstream *Upstream) handleFaults(writer http.ResponseWriter, request *http.Request) {
 	faults := UpstreamFaults{Load: -1}
 	if readJSON(writer, request, &faults) {
 		upstream.SetFaults(faults)
@@ -131,8 +131,8 @@
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
 	upstream.faults = faults
-	upstream.ordered = time.Now()
-	upstream.thawed = upstream.ordered.Add(faults.Freeze)
+	upstream.faultsSetAt = time.Now()
+	upstream.frozenUntil = upstream.faultsSetAt.Add(faults.Freeze)
 }
 
 // RunReport says what truly ran.
@@ -142,7 +142,7 @@
 	Repeats  map[string]int
 }
 
-func (upstream *Upstream) report(writer http.ResponseWriter, _ *http.Request) {
+func (upstream *Upstream) reportRuns(writer http.ResponseWriter, _ *http.Request) {
 	writeJSON(writer, upstream.Runs())
 }
 
@@ -164,16 +164,16 @@
 func (upstream *Upstream) MostAtOnce() int {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
-	most := upstream.most
-	upstream.most = upstream.waiting
+	most := upstream.maxHeld
+	upstream.maxHeld = upstream.held
 	return most
 }
 
-// frozen returns when the upstream is not frozen any more.
-func (upstream *Upstream) frozen() {
+// waitWhileFrozen returns when the upstream is not frozen any more.
+func (upstream *Upstream) waitWhileFrozen() {
 	for {
 		upstream.mutex.Lock()
-		left := time.Until(upstream.thawed)
+		left := time.Until(upstream.frozenUntil)
 		upstream.mutex.Unlock()
 		if left <= 0 {
 			return
@@ -183,7 +183,7 @@
 }
 
 func (upstream *Upstream) serve(writer http.ResponseWriter, request *http.Request) {
-	upstream.frozen()
+	upstream.waitWhileFrozen()
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		abort()
@@ -191,7 +191,7 @@
 	writer.Header().Set(cherrykeel.HeaderRequest, request.Header.Get(cherrykeel.HeaderRequest))
 	writer.Header().Set(cherrykeel.HeaderLoad, strconv.FormatFloat(upstream.load(), 'f', 3, 64))
 	call := newCall(request, body)
-	if reason := upstream.begin(&call); reason != "" {
+	if reason := upstream.admit(&call); reason != "" {
 		upstream.refuse(writer, reason)
 		return
 	}
@@ -205,15 +205,15 @@
 
 // run works on a call and gives its place free before anybody is told.
 func (upstream *Upstream) run(ctx context.Context, call call) ([]byte, string) {
-	defer upstream.end(call)
-	if !upstream.work(ctx) {
+	defer upstream.finish(call)
+	if !upstream.process(ctx) {
 		abort()
 	}
 	if upstream.options.EndsOn != "" && call.path == upstream.options.EndsOn {
 		upstream.options.End()
 		abort()
 	}
-	return upstream.effect(call)
+	return upstream.execute(call)
 }
 
 func (upstream *Upstream) load() float64 {
@@ -222,7 +222,7 @@
 	if upstream.faults.Load >= 0 {
 		return upstream.faults.Load
 	}
-	return float64(len(upstream.slots)+upstream.waiting) / float64(cap(upstream.slots))
+	return float64(len(upstream.slots)+upstream.held) / float64(cap(upstream.slots))
 }
 
 func (upstream *Upstream) refuse(writer http.ResponseWriter, reason string) {
@@ -264,7 +264,7 @@
 	}
 }
 
-func (upstream *Upstream) begin(call *call) string {
+func (upstream *Upstream) admit(call *call) string {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
 	switch {
@@ -272,25 +272,25 @@
 		return "draining"
 	case !upstream.mayAct(*call):
 		return "owner"
-	case upstream.waiting >= upstream.options.QueueLength+cap(upstream.slots):
+	case upstream.held >= upstream.options.QueueLength+cap(upstream.slots):
 		return "shed"
 	case upstream.faults.Shed > 0 && rand.Float64() < upstream.faults.Shed:
 		return "shed"
 	}
-	upstream.waiting++
-	upstream.most = max(upstream.most, upstream.waiting)
+	upstream.held++
+	upstream.maxHeld = max(upstream.maxHeld, upstream.held)
 	if call.partition >= 0 {
-		call.work = upstream.owned(call.service).Begin(call.partition, call.key)
+		call.work = upstream.ownershipOf(call.service).Begin(call.partition, call.key)
 	}
 	return ""
 }
 
-func (upstream *Upstream) end(call call) {
+func (upstream *Upstream) finish(call call) {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
-	upstream.waiting--
+	upstream.held--
 	if call.partition >= 0 {
-		upstream.owned(call.service).End(call.work)
+		upstream.ownershipOf(call.service).End(call.work)
 	}
 }
 
@@ -298,11 +298,11 @@
 	if call.partition < 0 || !upstream.options.EnforceFences || upstream.faults.IgnoreFences {
 		return true
 	}
-	return upstream.owned(call.service).Owns(upstream.now(), call.partition, call.key)
+	return upstream.ownershipOf(call.service).Owns(upstream.now(), call.partition, call.key)
 }
 
-// work holds a slot for the time of the work; false means that the caller went away first.
-func (upstream *Upstream) work(ctx context.Context) bool {
+// process holds a slot for the time of the work; false means that the caller went away first.
+func (upstream *Upstream) process(ctx context.Context) bool {
 	select {
 	case upstream.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -310,30 +310,30 @@
 	}
 	defer func() { <-upstream.slots }()
 	upstream.mutex.Lock()
-	duration := upstream.options.Work + upstream.faults.Work + upstream.coldWork()
+	duration := upstream.options.Work + upstream.faults.Work + upstream.slowStartDelay()
 	upstream.mutex.Unlock()
 	if duration > 0 {
 		time.Sleep(duration)
 	}
-	upstream.frozen()
+	upstream.waitWhileFrozen()
 	return ctx.Err() == nil
 }
 
-// coldWork is what a request takes more because the upstream has just started.
-func (upstream *Upstream) coldWork() time.Duration {
-	left := upstream.faults.SlowStart - time.Since(upstream.ordered)
+// slowStartDelay is what a request takes more because the upstream has just started.
+func (upstream *Upstream) slowStartDelay() time.Duration {
+	left := upstream.faults.SlowStart - time.Since(upstream.faultsSetAt)
 	if left <= 0 {
 		return 0
 	}
 	share := float64(left) / float64(upstream.faults.SlowStart)
-	return time.Duration(share * coldFactor * float64(upstream.options.Work))
+	return time.Duration(share * slowStartFactor * float64(upstream.options.Work))
 }
 
-// effect runs the request; an owner whose lease has lapsed meanwhile refuses, so nothing runs after the lease.
-func (upstream *Upstream) effect(call call) ([]byte, string) {
+// execute runs the request; an owner whose lease has lapsed meanwhile refuses, so nothing runs after the lease.
+func (upstream *Upstream) execute(call call) ([]byte, string) {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
-	held := upstream.owned(call.service)
+	held := upstream.ownershipOf(call.service)
 	lapsed := held.Lapsed(call.work, upstream.now())
 	if call.partition >= 0 && upstream.options.EnforceFences && !upstream.faults.IgnoreFences && lapsed {
 		return nil, "owner"
