--- a/fault/proxy.go
+++ b/fault/proxy.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// inUsePatience is for how long an address that is in use is tried again. A process that this one starts has a copy
+	// inUseTimeout is for how long an address that is in use is tried again. A process that this one starts has a copy
 	// of each open socket until it runs its own program, and on a busy machine that takes a while; only then is the
 	// address of a listener that was closed meanwhile free.
-	inUsePatience = 10 * time.Second
-	inUsePause    = 5 * time.Millisecond
+	inUseTimeout       = 10 * time.Second
+	inUseRetryInterval = 5 * time.Millisecond
 )
 
 // Rules say what happens to connections; the zero value passes everything on.
@@ -50,7 +50,7 @@
 
 // ListenAt returns a proxy to a target, on a given address; it waits for an address that is still in use.
 func ListenAt(address, target string) (*Proxy, error) {
-	listener, err := listenOnceFree(address)
+	listener, err := listenWhenFree(address)
 	if err != nil {
 		return nil, err
 	}
@@ -59,14 +59,14 @@
 	return proxy, nil
 }
 
-func listenOnceFree(address string) (net.Listener, error) {
-	until := time.Now().Add(inUsePatience)
+func listenWhenFree(address string) (net.Listener, error) {
+	until := time.Now().Add(inUseTimeout)
 	for {
 		listener, err := net.Listen("tcp", address)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(until) {
 			return listener, err
 		}
-		time.Sleep(inUsePause)
+		time.Sleep(inUseRetryInterval)
 	}
 }
 
@@ -140,8 +140,8 @@
 		reset(caller)
 		return
 	}
-	proxy.keep(caller, true)
-	proxy.keep(callee, true)
+	proxy.track(caller, true)
+	proxy.track(callee, true)
 	var both sync.WaitGroup
 	both.Go(func() { proxy.copy(callee, caller, true) })
 	both.Go(func() { proxy.copy(caller, callee, false) })
@@ -150,10 +150,10 @@
 	_ = callee.Close()
 }
 
-func (proxy *Proxy) keep(conn net.Conn, kept bool) {
+func (proxy *Proxy) track(conn net.Conn, open bool) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
-	if kept {
+	if open {
 		proxy.conns[conn] = true
 		return
 	}
@@ -162,12 +162,12 @@
 
 // copy passes bytes on in one direction until one side ends.
 func (proxy *Proxy) copy(to, from net.Conn, up bool) {
-	defer proxy.keep(from, false)
+	defer proxy.track(from, false)
 	buffer := make([]byte, 32<<10)
 	passed := 0
 	for {
 		count, err := from.Read(buffer)
-		if count > 0 && !proxy.pass(to, buffer[:count], up, &passed) {
+		if count > 0 && !proxy.forward(to, buffer[:count], up, &passed) {
 			reset(from)
 			reset(to)
 			return
@@ -185,10 +185,10 @@
 	}
 }
 
-// pass writes data by the rules; it reports false when the connection is to be reset.
-func (proxy *Proxy) pass(to net.Conn, data []byte, up bool, passed *int) bool {
+// forward writes data by the rules; it reports false when the connection is to be reset.
+func (proxy *Proxy) forward(to net.Conn, data []byte, up bool, passed *int) bool {
 	for len(data) > 0 {
-		rules := proxy.awaitFlow(up)
+		rules := proxy.awaitUnstalled(up)
 		time.Sleep(rules.Delay)
 		piece := data
 		if rules.Chunk > 0 {
@@ -211,8 +211,8 @@
 	return true
 }
 
-// awaitFlow returns the rules once they let bytes pass in a direction.
-func (proxy *Proxy) awaitFlow(up bool) Rules {
+// awaitUnstalled returns the rules once they let bytes pass in a direction.
+func (proxy *Proxy) awaitUnstalled(up bool) Rules {
 	for {
 		rules, changed, _ := proxy.current()
 		if up && !rules.StallUp || !up && !rules.StallDown {
