--- a/bench/intents.go
+++ b/bench/intents.go
@@ -47,7 +47,7 @@
 		return IntentsRow{}, err
 	}
 	defer world.Close()
-	roomy(world)
+	raiseLimits(world)
 	world.Nodes["huon/fees"].Fields["RepeatGuard"] = string(guard)
 	entry := host.New(world.Config("bench-1", "hobart-a"))
 	stop, err := runHosts(ctx, world, entry)
@@ -65,7 +65,7 @@
 		outgoing.Header.Set(cherrykeel.HeaderIdempotencyKey, fmt.Sprint("fee-", keys.Add(1)))
 		return outgoing, nil
 	}
-	latency, err := load(next, callers, length)
+	latency, err := measureLoad(next, callers, length)
 	if err != nil {
 		return IntentsRow{}, err
 	}
--- a/bench/latency.go
+++ b/bench/latency.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	maxLatency = time.Minute
-	digits     = 3
-	manySlots  = 512
+	maxLatency        = time.Minute
+	significantDigits = 3
+	manySlots         = 512
 )
 
 // LatencyRow is what one way of calling gave.
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	defer world.Close()
-	roomy(world)
+	raiseLimits(world)
 	entry := host.New(world.Config("bench-1", "seoul-a"))
 	stop, err := runHosts(ctx, world, entry)
 	if err != nil {
@@ -62,7 +62,7 @@
 		name string
 		make func(number int) (*http.Request, error)
 	}{{"direct", direct}, {"through one host", through}, {"direct, again", direct}, {"through, again", through}} {
-		row, err := load(way.make, callers, length)
+		row, err := measureLoad(way.make, callers, length)
 		if err != nil {
 			return nil, err
 		}
@@ -72,8 +72,8 @@
 	return rows, nil
 }
 
-// roomy lifts the slots and connections of the trees, so that the path is measured and not the waiting.
-func roomy(world *demo.World) {
+// raiseLimits lifts the slots and connections of the trees, so that the path is measured and not the waiting.
+func raiseLimits(world *demo.World) {
 	for path, node := range world.Nodes {
 		if path == "hanbit" || path == "huon" {
 			node.Fields["Slots"] = int64(manySlots)
@@ -119,8 +119,8 @@
 	return stop, nil
 }
 
-// load keeps a number of callers busy for a time.
-func load(next func(number int) (*http.Request, error), callers int, length time.Duration) (LatencyRow, error) {
+// measureLoad keeps a number of callers busy for a time.
+func measureLoad(next func(number int) (*http.Request, error), callers int, length time.Duration) (LatencyRow, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	defer client.CloseIdleConnections()
 	var failed atomic.Pointer[error]
@@ -128,11 +128,11 @@
 	histograms := make([]*hdrhistogram.Histogram, callers)
 	begun := time.Now()
 	for caller := range callers {
-		histogram := hdrhistogram.New(1, int64(maxLatency), digits)
+		histogram := hdrhistogram.New(1, int64(maxLatency), significantDigits)
 		histograms[caller] = histogram
 		running.Go(func() {
 			for number := caller; time.Since(begun) < length; number += callers {
-				err := timed(client, next, number, histogram)
+				err := timeRequest(client, next, number, histogram)
 				if err != nil {
 					failed.Store(&err)
 					return
@@ -144,7 +144,7 @@
 	if err := failed.Load(); err != nil {
 		return LatencyRow{}, *err
 	}
-	total := hdrhistogram.New(1, int64(maxLatency), digits)
+	total := hdrhistogram.New(1, int64(maxLatency), significantDigits)
 	for _, histogram := range histograms {
 		total.Merge(histogram)
 	}
@@ -156,7 +156,7 @@
 	}, nil
 }
 
-func timed(client *http.Client, next func(number int) (*http.Request, error), number int, histogram *hdrhistogram.Histogram) error {
+func timeRequest(client *http.Client, next func(number int) (*http.Request, error), number int, histogram *hdrhistogram.Histogram) error {
 	outgoing, err := next(number)
 	if err != nil {
 		return err
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	work      = 20 * time.Millisecond
-	loadHosts = 4
-	zones     = 4
-	warmLoad  = 0.3
-	warmTime  = 2 * time.Second
+	processingTime = 20 * time.Millisecond
+	hostCount      = 4
+	zones          = 4
+	warmUpLoad     = 0.3
+	warmUpTime     = 2 * time.Second
 )
 
 // Condition is what is wrong with the upstreams while load is put on them.
@@ -35,8 +35,8 @@
 
 // The conditions that Overload knows.
 const (
-	Healthy  Condition = "healthy"
-	OneSlow  Condition = "one slow upstream"
+	Healthy         Condition = "healthy"
+	OneSlow         Condition = "one slow upstream"
 	OneMisreporting Condition = "one lying upstream"
 )
 
@@ -60,8 +60,8 @@
 
 // tally counts what callers got.
 type tally struct {
-	// ends is when the load ends; answers after it count for nothing.
-	ends     time.Time
+	// endsAt is when the load ends; answers after it count for nothing.
+	endsAt   time.Time
 	good     atomic.Int64
 	mutex    sync.Mutex
 	lookups  *hdrhistogram.Histogram
@@ -70,14 +70,14 @@
 
 func newTally(ends time.Time) *tally {
 	return &tally{
-		ends:     ends,
-		lookups:  hdrhistogram.New(1, int64(maxLatency), digits),
-		searches: hdrhistogram.New(1, int64(maxLatency), digits),
+		endsAt:   ends,
+		lookups:  hdrhistogram.New(1, int64(maxLatency), significantDigits),
+		searches: hdrhistogram.New(1, int64(maxLatency), significantDigits),
 	}
 }
 
 func (tally *tally) add(lookup bool, took time.Duration) {
-	if time.Now().After(tally.ends) {
+	if time.Now().After(tally.endsAt) {
 		return
 	}
 	tally.good.Add(1)
@@ -90,8 +90,8 @@
 	_ = tally.searches.RecordValue(int64(took))
 }
 
-// arena is a world under load on one service's upstreams, from lookups, which are urgent, and searches.
-type arena struct {
+// setup is a world under load on one service's upstreams, from lookups, which are urgent, and searches.
+type setup struct {
 	world   *demo.World
 	entries []*host.Host
 	stop    func()
@@ -102,69 +102,69 @@
 
 // Ours and Naive name the versions that Overload compares.
 const (
-	ThroughHosts  = "ours"
-	Naive = "round robin, blind retry"
+	ThroughHosts = "ours"
+	Naive        = "round robin, blind retry"
 )
 
-func newArena(ctx context.Context) (*arena, error) {
-	world, err := demo.NewWorld(func(options *fakes.UpstreamOptions) { options.Work = work })
+func newSetup(ctx context.Context) (*setup, error) {
+	world, err := demo.NewWorld(func(options *fakes.UpstreamOptions) { options.Work = processingTime })
 	if err != nil {
 		return nil, err
 	}
-	arena := &arena{world: world, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}, slots: 3, servers: 8}
-	for i := range loadHosts {
-		arena.entries = append(arena.entries, host.New(world.Config(fmt.Sprintf("bench-%d", i+1), fmt.Sprintf("seoul-%c", 'a'+i%zones))))
+	setup := &setup{world: world, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}, slots: 3, servers: 8}
+	for i := range hostCount {
+		setup.entries = append(setup.entries, host.New(world.Config(fmt.Sprintf("bench-%d", i+1), fmt.Sprintf("seoul-%c", 'a'+i%zones))))
 	}
-	arena.stop, err = runHosts(ctx, world, arena.entries...)
+	setup.stop, err = runHosts(ctx, world, setup.entries...)
 	if err != nil {
 		world.Close()
 		return nil, err
 	}
-	return arena, nil
+	return setup, nil
 }
 
-func (arena *arena) close() {
-	arena.client.CloseIdleConnections()
-	arena.stop()
-	arena.world.Close()
+func (setup *setup) close() {
+	setup.client.CloseIdleConnections()
+	setup.stop()
+	setup.world.Close()
 }
 
 // capacity is how many requests a second one service's upstreams can answer.
-func (arena *arena) capacity() float64 {
-	return float64(arena.servers*arena.slots) / work.Seconds()
+func (setup *setup) capacity() float64 {
+	return float64(setup.servers*setup.slots) / processingTime.Seconds()
 }
 
 // Overload puts each load on the system for a time, ours and the naive version.
 func Overload(ctx context.Context, condition Condition, loads []float64, length time.Duration) ([]OverloadRow, error) {
-	arena, err := newArena(ctx)
+	setup, err := newSetup(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer arena.close()
+	defer setup.close()
 	// Hosts that have just started know neither shares of slots nor how long requests take.
-	arena.offer(warmLoad, ThroughHosts, warmTime)
+	setup.offer(warmUpLoad, ThroughHosts, warmUpTime)
 	var rows []OverloadRow
 	for _, load := range loads {
 		for _, version := range []string{ThroughHosts, Naive} {
-			arena.setCondition(condition)
-			row := arena.offer(load, version, length)
+			setup.setCondition(condition)
+			row := setup.offer(load, version, length)
 			row.Condition = condition
 			rows = append(rows, row)
-			arena.setCondition(Healthy)
+			setup.setCondition(Healthy)
 			time.Sleep(time.Second)
 		}
 	}
 	return rows, nil
 }
 
-func (arena *arena) setCondition(condition Condition) {
-	for name, upstream := range arena.world.Upstreams {
+func (setup *setup) setCondition(condition Condition) {
+	for name, upstream := range setup.world.Upstreams {
 		faults := fakes.UpstreamFaults{Load: -1}
-		chosen := strings.HasSuffix(name, "-01")
-		if chosen && condition == OneSlow {
-			faults.Work = 5 * work
+		affected := strings.HasSuffix(name, "-01")
+		if affected && condition == OneSlow {
+			faults.Work = 5 * processingTime
 		}
-		if chosen && condition == OneMisreporting {
+		if affected && condition == OneMisreporting {
 			// It claims to be idle and sheds most of what it gets.
 			faults.Load = 0
 			faults.Shed = 0.8
@@ -174,11 +174,11 @@
 }
 
 // offer sends requests at a steady rate, whether or not earlier ones have been answered.
-func (arena *arena) offer(load float64, version string, length time.Duration) OverloadRow {
-	arena.mostAtOnce()
-	robin := naive.NewRoundRobin()
-	var robinMutex sync.Mutex
-	rate := load * arena.capacity()
+func (setup *setup) offer(load float64, version string, length time.Duration) OverloadRow {
+	setup.mostAtOnce()
+	roundRobin := naive.NewRoundRobin()
+	var roundRobinMutex sync.Mutex
+	rate := load * setup.capacity()
 	pause := time.Duration(float64(time.Second) / rate)
 	begun := time.Now()
 	total := newTally(begun.Add(length))
@@ -188,20 +188,20 @@
 		time.Sleep(time.Until(due))
 		running.Go(func() {
 			if version == Naive {
-				robinMutex.Lock()
-				turn := robin.Pick("", nil, 0)
-				robinMutex.Unlock()
-				arena.sendNaive(total, number+turn)
+				roundRobinMutex.Lock()
+				turn := roundRobin.Pick("", nil, 0)
+				roundRobinMutex.Unlock()
+				setup.sendNaive(total, number+turn)
 				return
 			}
-			arena.send(total, number)
+			setup.send(total, number)
 		})
 	}
 	running.Wait()
 	return OverloadRow{
 		Version: version, Load: load,
-		MostAtOnce:   arena.mostAtOnce(),
-		Goodput:      float64(total.good.Load()) / length.Seconds() / arena.capacity(),
+		MostAtOnce:   setup.mostAtOnce(),
+		Goodput:      float64(total.good.Load()) / length.Seconds() / setup.capacity(),
 		LookupMedian: time.Duration(total.lookups.ValueAtQuantile(50)),
 		LookupP99:    time.Duration(total.lookups.ValueAtQuantile(99)),
 		SearchMedian: time.Duration(total.searches.ValueAtQuantile(50)),
@@ -209,51 +209,51 @@
 	}
 }
 
-// patience is how long callers wait for an answer.
-const patience = 3 * time.Second
+// requestTimeout is how long callers wait for an answer.
+const requestTimeout = 3 * time.Second
 
 // lookupEvery is how often a request is a lookup; the others are searches.
 const lookupEvery = 5
 
-func lookup(number int) bool {
+func isLookup(number int) bool {
 	return number%lookupEvery == 0
 }
 
-func (arena *arena) send(total *tally, number int) {
-	entry := arena.entries[rand.IntN(len(arena.entries))]
+func (setup *setup) send(total *tally, number int) {
+	entry := setup.entries[rand.IntN(len(setup.entries))]
 	begun := time.Now()
-	err := arena.ask("http://"+entry.Address(), number)
+	err := setup.sendRequest("http://"+entry.Address(), number)
 	if err == nil {
-		total.add(lookup(number), time.Since(begun))
+		total.add(isLookup(number), time.Since(begun))
 	}
 }
 
 // sendNaive goes round the upstreams itself and tries three times, whatever the answer.
-func (arena *arena) sendNaive(total *tally, number int) {
+func (setup *setup) sendNaive(total *tally, number int) {
 	begun := time.Now()
 	for attempt := range 3 {
-		name := fmt.Sprintf("archive-%02d", (number+attempt)%arena.servers+1)
-		err := arena.ask("http://"+arena.world.Addresses[name], number)
+		name := fmt.Sprintf("archive-%02d", (number+attempt)%setup.servers+1)
+		err := setup.sendRequest("http://"+setup.world.Addresses[name], number)
 		if err == nil {
-			total.add(lookup(number), time.Since(begun))
+			total.add(isLookup(number), time.Since(begun))
 			return
 		}
 	}
 }
 
-func (arena *arena) ask(base string, number int) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (setup *setup) sendRequest(base string, number int) error {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	outgoing, err := request(base, number)
 	if err != nil {
 		return err
 	}
 	outgoing.Header.Set(cherrykeel.HeaderPriority, "u=7")
-	if lookup(number) {
+	if isLookup(number) {
 		outgoing.Header.Set(cherrykeel.HeaderPriority, "u=0")
 	}
-	outgoing.Header.Set(cherrykeel.HeaderTimeout, strconv.FormatInt(patience.Milliseconds(), 10))
-	response, err := arena.client.Do(outgoing.WithContext(ctx))
+	outgoing.Header.Set(cherrykeel.HeaderTimeout, strconv.FormatInt(requestTimeout.Milliseconds(), 10))
+	response, err := setup.client.Do(outgoing.WithContext(ctx))
 	if err != nil {
 		return errors.WithStack(err)
 	}
@@ -266,9 +266,9 @@
 }
 
 // mostAtOnce is the most requests that one of the service's upstreams has held at a time since the last call.
-func (arena *arena) mostAtOnce() int {
+func (setup *setup) mostAtOnce() int {
 	most := 0
-	for name, upstream := range arena.world.Upstreams {
+	for name, upstream := range setup.world.Upstreams {
 		if strings.HasPrefix(name, "archive") {
 			most = max(most, upstream.MostAtOnce())
 		}
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -31,7 +31,7 @@
 const (
 	slopePartitions = 1024
 	slopeUpstreams  = 10
-	perTeam         = 8
+	servicesPerTeam = 8
 	rounds          = 200
 )
 
@@ -58,8 +58,8 @@
 	return rows, nil
 }
 
-// heap returns the bytes in use after a collection.
-func heap() float64 {
+// heapInUse returns the bytes in use after a collection.
+func heapInUse() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
@@ -74,11 +74,11 @@
 	return float64(time.Since(begun).Microseconds()) / float64(calls)
 }
 
-func slopeTree(services int) []tree.Edit {
+func slopeEdits(services int) []tree.Edit {
 	edits := []tree.Edit{{Path: "", Fields: map[string]any{"Timeout": "5s"}}}
 	for service := range services {
-		team := fmt.Sprintf("team-%d", service/perTeam)
-		if service%perTeam == 0 {
+		team := fmt.Sprintf("team-%d", service/servicesPerTeam)
+		if service%servicesPerTeam == 0 {
 			edits = append(edits, tree.Edit{Path: team, Fields: map[string]any{"Domains": []any{team + ".example"}}})
 		}
 		var servers []any
@@ -102,7 +102,7 @@
 
 // stateSlope measures the fold with a number of keyed services.
 func stateSlope(services int) ([]SlopeRow, error) {
-	before := heap()
+	before := heapInUse()
 	state := fold.NewState()
 	offset := int64(0)
 	apply := func(record fold.Record) error {
@@ -115,11 +115,11 @@
 		offset++
 		return err
 	}
-	edits := slopeTree(services)
+	edits := slopeEdits(services)
 	err := apply(fold.Record{ID: "tree", Change: &fold.Change{Edits: edits}})
 	placement := place.New().Place(cherrykeel.Placement{}, slopePartitions, slopeCandidates(), cherrykeel.Demand{}, slopePartitions)
 	for service := range services {
-		path := fmt.Sprintf("team-%d/s%d", service/perTeam, service)
+		path := fmt.Sprintf("team-%d/s%d", service/servicesPerTeam, service)
 		if err == nil {
 			err = apply(fold.Record{ID: "claim", Author: "host", Claim: &fold.Claim{Service: path, Witnesses: []string{"a", "b", "c", "d", "e"}}})
 		}
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	used := heap() - before
+	used := heapInUse() - before
 	snapshot, err := state.Snapshot()
 	if err != nil {
 		return nil, err
@@ -172,23 +172,23 @@
 	}
 	witness := lease.NewWitness(0)
 	witness.RecordCaughtUp(0)
-	kept := keeper.New("host", "a/b", witness, place.New())
+	serviceKeeper := keeper.New("host", "a/b", witness, place.New())
 	placement := place.New().Place(cherrykeel.Placement{}, partitions, slopeCandidates(), cherrykeel.Demand{}, partitions)
 	block := fold.ServiceOwnership{Term: 1, Keeper: "host", Witnesses: []string{"host"}, Sequence: 1, LeaseLength: 900 * time.Millisecond, Placement: placement}
 	now := cherrykeel.Instant(time.Second)
 	grants, grantBytes, largest := 0, 0, 0
 	tick := func(int) {
 		now = now.Add(20 * time.Millisecond)
-		actions := kept.Tick(keeper.Input{Now: now, Block: block, Service: service, Hosts: []keeper.Host{{Name: "host"}}, ClaimedTerm: 1})
+		actions := serviceKeeper.Tick(keeper.Input{Now: now, Block: block, Service: service, Hosts: []keeper.Host{{Name: "host"}}, ClaimedTerm: 1})
 		for _, name := range actions.RequestConfirmation {
-			kept.RecordConfirmation(name, 1, now)
+			serviceKeeper.RecordConfirmation(name, 1, now)
 		}
 		for _, order := range actions.Orders {
 			data, _ := json.Marshal(order.Grant)
 			grants++
 			grantBytes += len(data)
 			largest = max(largest, len(data))
-			kept.RecordAnswer(order, answer(order, placement, now), now)
+			serviceKeeper.RecordAnswer(order, acceptingAnswer(order, placement, now), now)
 		}
 	}
 	perCall(rounds, tick)
@@ -208,8 +208,8 @@
 	}, nil
 }
 
-// answer is what an upstream says that took an order.
-func answer(order lease.Order, placement cherrykeel.Placement, now cherrykeel.Instant) cherrykeel.Holding {
+// acceptingAnswer is what an upstream says that took an order.
+func acceptingAnswer(order lease.Order, placement cherrykeel.Placement, now cherrykeel.Instant) cherrykeel.Holding {
 	holding := cherrykeel.Holding{Incarnation: "boot", Now: now.Sub(0), Accepted: !order.Query, Fence: order.Grant.Fence, Until: order.Grant.Until}
 	for partition, owner := range placement.Owners {
 		if owner == order.Lessee {
