--- a/fakes/address.go
+++ b/fakes/address.go
@@ -6,14 +6,14 @@
 	"net"
 )
 
-// The ports of FreeAddress lie below those that the system gives to outgoing connections: one of these took a port
-// between its choice and the start of the program that was to listen there.
+// firstPort and lastPort bound the ports that FreeAddress returns. They lie below the system's range for outgoing
+// connections: otherwise such a connection can take the port before the program that will listen on it has started.
 const (
 	firstPort = 12000
 	lastPort  = 32000
 )
 
-// FreeAddress returns an address on loopback at which nobody listens, over TCP or UDP.
+// FreeAddress returns a loopback address whose port is unused over TCP and UDP. It does not reserve the port.
 func FreeAddress() string {
 	for {
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(lastPort-firstPort))
@@ -23,6 +23,7 @@
 	}
 }
 
+// isFree reports whether the address can be listened on over TCP and UDP.
 func isFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/fakes/callers.go
+++ b/fakes/callers.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// requestTimeout bounds one request, so that a spec ends whatever becomes of it.
+// requestTimeout bounds one request, so that a spec ends even if its request is never answered.
 const requestTimeout = time.Minute
 
-// Callers ask all the time, each until it fails once.
+// Callers send requests one after another, each caller until its first failure.
 type Callers struct {
 	answered atomic.Int64
 	running  sync.WaitGroup
+	// mutex guards failures while callers run.
 	mutex    sync.Mutex
 	failures []error
 }
 
-// StartCallers lets so many callers ask.
+// StartCallers starts count callers that call request in a loop.
 func StartCallers(count int, request func() error) *Callers {
 	callers := &Callers{}
 	for range count {
@@ -28,6 +29,7 @@
 	return callers
 }
 
+// run calls request until it fails, then records the failure.
 func (callers *Callers) run(request func() error) {
 	err := request()
 	for err == nil {
@@ -39,18 +41,19 @@
 	callers.failures = append(callers.failures, err)
 }
 
-// Answered returns how often they were answered so far.
+// Answered returns the number of successful requests of all callers so far.
 func (callers *Callers) Answered() int64 {
 	return callers.answered.Load()
 }
 
-// Failures returns how each of them failed, once all have.
+// Failures waits until every caller has failed and returns one error per caller.
 func (callers *Callers) Failures() []error {
 	callers.running.Wait()
 	return callers.failures
 }
 
-// AskAnew returns a caller's request to a URL, each on a connection of its own, that is answered when it was read whole.
+// AskAnew returns a function for StartCallers that sends a GET request to the URL on a new connection. It succeeds once
+// the whole body has been read, whatever the status.
 func AskAnew(url string) func() error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: requestTimeout}
 	return func() error {
--- a/fakes/clock.go
+++ b/fakes/clock.go
@@ -7,30 +7,30 @@
 	"cherrykeel"
 )
 
-// Clock stands still until it is moved; its time of day is zero.
+// Clock is a manual clock: it advances only by calls of Advance. Its wall time is always the zero time.
 type Clock struct {
 	mutex sync.Mutex
 	now   cherrykeel.Instant
 }
 
-// NewClock returns a clock that shows an instant.
+// NewClock returns a clock set to an instant.
 func NewClock(now cherrykeel.Instant) *Clock {
 	return &Clock{now: now}
 }
 
-// Now implements cherrykeel.Clock.
+// Now returns the current instant and implements cherrykeel.Clock.
 func (clock *Clock) Now() cherrykeel.Instant {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
 	return clock.now
 }
 
-// Wall implements cherrykeel.Clock.
+// Wall returns the zero time and implements cherrykeel.Clock.
 func (clock *Clock) Wall() time.Time {
 	return time.Time{}
 }
 
-// Advance moves the clock forward.
+// Advance moves the clock forward by a duration.
 func (clock *Clock) Advance(by time.Duration) {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
--- a/fakes/doc.go
+++ b/fakes/doc.go
@@ -1,4 +1,4 @@
-// Package fakes holds small stand-ins for the outside systems: the platform's
-// log, its list of hosts, and an upstream. Each is an http.Handler whose faults
-// are ordered over HTTP; docs/PROTOCOLS.md describes them.
+// Package fakes contains stand-ins for the outside systems: the platform's log, its list of hosts, and an upstream. Each
+// of these is an http.Handler, and faults are injected into it over HTTP; docs/PROTOCOLS.md describes the requests. The
+// package also has helpers for tests: a manual clock, callers that keep sending requests, and free addresses.
 package fakes
--- a/fakes/hosts.go
+++ b/fakes/hosts.go
@@ -9,21 +9,24 @@
 	"cherrykeel"
 )
 
-// HostsFaults are the faults of the list stand-in.
+// HostsFaults are the faults that the stand-in of the hosts list can inject.
 type HostsFaults struct {
+	// Outage answers every read and change with 503.
 	Outage bool
-	// Lag is how long the list takes to show a change.
+	// Lag is the time until a change appears in the list.
 	Lag time.Duration
 }
 
+// entryVersion is a member's entry after one change; a removed member has an empty entry.
 type entryVersion struct {
 	member    cherrykeel.Member
 	visibleAt time.Time
 }
 
-// Hosts is the stand-in of the platform's lagging list.
+// Hosts is the stand-in of the platform's list of hosts, which shows changes with a delay.
 type Hosts struct {
-	mutex    sync.Mutex
+	mutex sync.Mutex
+	// listings has each member's latest visible version and all later ones, oldest first.
 	listings map[string][]entryVersion
 	faults   HostsFaults
 	mux      *http.ServeMux
@@ -45,18 +48,19 @@
 	return hosts
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP serves the list, its changes and its faults, and implements http.Handler.
 func (hosts *Hosts) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	hosts.mux.ServeHTTP(writer, request)
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults. A changed lag applies to later changes of the list.
 func (hosts *Hosts) SetFaults(faults HostsFaults) {
 	hosts.mutex.Lock()
 	defer hosts.mutex.Unlock()
 	hosts.faults = faults
 }
 
+// list answers with the visible members, ordered by name.
 func (hosts *Hosts) list(writer http.ResponseWriter, _ *http.Request) {
 	hosts.mutex.Lock()
 	defer hosts.mutex.Unlock()
@@ -74,6 +78,7 @@
 	writeJSON(writer, members)
 }
 
+// latest returns the newest version that is visible at now; false means that none is.
 func latest(history []entryVersion, now time.Time) (cherrykeel.Member, bool) {
 	for i := len(history) - 1; i >= 0; i-- {
 		if !history[i].visibleAt.After(now) {
@@ -83,6 +88,7 @@
 	return cherrykeel.Member{}, false
 }
 
+// update handles a request that adds or replaces a member.
 func (hosts *Hosts) update(writer http.ResponseWriter, request *http.Request) {
 	var member cherrykeel.Member
 	if readJSON(writer, request, &member) {
@@ -90,10 +96,12 @@
 	}
 }
 
+// remove handles a request that removes a member.
 func (hosts *Hosts) remove(writer http.ResponseWriter, request *http.Request) {
 	hosts.change(writer, request.PathValue("name"), cherrykeel.Member{})
 }
 
+// change appends a version to the member's history and drops the versions that a visible one has replaced.
 func (hosts *Hosts) change(writer http.ResponseWriter, name string, member cherrykeel.Member) {
 	hosts.mutex.Lock()
 	defer hosts.mutex.Unlock()
--- a/fakes/log.go
+++ b/fakes/log.go
@@ -12,40 +12,48 @@
 )
 
 const (
-	readLimit     = 1000
+	// readLimit is the largest number of records in one answer to a read.
+	readLimit = 1000
+	// maxAppendSize is the largest record, in bytes.
 	maxAppendSize = 8 << 20
 )
 
-// LogFaults are the faults of the log stand-in.
+// LogFaults are the faults that the stand-in of the log can inject.
 type LogFaults struct {
-	// Outage refuses everything.
+	// Outage answers every read and append with 503.
 	Outage bool
-	// LoseReplies is how many of the next appends take effect without an answer.
+	// LoseReplies is the number of next appends that take effect but get no answer: their connections are closed.
 	LoseReplies int
-	// RefuseAppends is how many of the next appends fail without effect and without an answer.
+	// RefuseAppends is the number of next appends that get no answer and have no effect.
 	RefuseAppends int
-	Delay         time.Duration
-	// Retention is how many records each stream keeps; 0 keeps all.
+	// Delay is the time before the answer to a read, or to an append, which has taken effect by then.
+	Delay time.Duration
+	// Retention is the number of newest records that each stream keeps; 0 keeps all.
 	Retention int
-	// AppendsPerSecond is refused with 429 when exceeded; 0 has no limit.
+	// AppendsPerSecond is the limit on appends to all streams above which they are refused with 429; 0 means no limit.
 	AppendsPerSecond int
 }
 
+// stream holds the retained records of one stream.
 type stream struct {
+	// first is the offset of the first retained record.
 	first   int64
 	records []json.RawMessage
 }
 
+// next returns the offset that the next append gets.
 func (stream *stream) next() int64 {
 	return stream.first + int64(len(stream.records))
 }
 
 // Log is the stand-in of the platform's append-only log, held in memory.
 type Log struct {
-	mutex           sync.Mutex
-	streams         map[string]*stream
-	faults          LogFaults
-	changed         chan struct{}
+	mutex   sync.Mutex
+	streams map[string]*stream
+	faults  LogFaults
+	// changed is closed and replaced at each append and change of faults; waiting reads then check again.
+	changed chan struct{}
+	// appendsInSecond counts the appends within rateSecond, a Unix time.
 	rateSecond      int64
 	appendsInSecond int
 	mux             *http.ServeMux
@@ -66,12 +74,12 @@
 	return log
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP serves appends, reads and faults, and implements http.Handler.
 func (log *Log) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	log.mux.ServeHTTP(writer, request)
 }
 
-// SetFaults replaces the faults; readers that wait are woken.
+// SetFaults replaces all faults, trims the streams to the new retention and wakes waiting reads.
 func (log *Log) SetFaults(faults LogFaults) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -82,18 +90,20 @@
 	log.wakeReaders()
 }
 
-// Appends returns how many records have ever been appended to a stream.
+// Appends returns the number of records appended to a stream so far, including those no longer retained.
 func (log *Log) Appends(name string) int64 {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	return log.stream(name).next()
 }
 
+// wakeReaders makes waiting reads check again; the caller holds the mutex.
 func (log *Log) wakeReaders() {
 	close(log.changed)
 	log.changed = make(chan struct{})
 }
 
+// stream returns the stream of a name and creates it if needed; the caller holds the mutex.
 func (log *Log) stream(name string) *stream {
 	found, exists := log.streams[name]
 	if !exists {
@@ -103,6 +113,7 @@
 	return found
 }
 
+// trim drops the oldest records beyond the retention; the caller holds the mutex.
 func (log *Log) trim(stream *stream) {
 	excess := len(stream.records) - log.faults.Retention
 	if log.faults.Retention == 0 || excess <= 0 {
@@ -112,13 +123,14 @@
 	stream.records = append([]json.RawMessage(nil), stream.records[excess:]...)
 }
 
+// append handles an append and injects the faults that apply to it.
 func (log *Log) append(writer http.ResponseWriter, request *http.Request) {
 	data, err := io.ReadAll(io.LimitReader(request.Body, maxAppendSize+1))
 	if err != nil {
 		abort()
 	}
 	if len(data) > maxAppendSize || !json.Valid(data) {
-		http.Error(writer, "a record is JSON of at most 8 MiB", http.StatusBadRequest)
+		http.Error(writer, "record must be valid JSON of at most 8 MiB", http.StatusBadRequest)
 		return
 	}
 	faults, offset := log.store(request.PathValue("stream"), data)
@@ -135,7 +147,8 @@
 	}
 }
 
-// store returns the faults as they were for this append, and its offset or -1.
+// store appends the record unless a fault prevents it. It returns the faults that apply to this append, and the record's
+// offset, or -1 if nothing was stored.
 func (log *Log) store(name string, data []byte) (LogFaults, int64) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -161,6 +174,7 @@
 	return faults, offset
 }
 
+// exceedsRate counts an append and reports whether it exceeds AppendsPerSecond; the caller holds the mutex.
 func (log *Log) exceedsRate() bool {
 	second := time.Now().Unix()
 	if second != log.rateSecond {
@@ -171,6 +185,8 @@
 	return log.faults.AppendsPerSecond > 0 && log.appendsInSecond > log.faults.AppendsPerSecond
 }
 
+// read answers with the records from an offset on. If there are none, it waits up to the request's wait, in
+// milliseconds, for an append.
 func (log *Log) read(writer http.ResponseWriter, request *http.Request) {
 	from, _ := strconv.ParseInt(request.URL.Query().Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(request.URL.Query().Get("wait"))
@@ -197,6 +213,8 @@
 	}
 }
 
+// load returns the retained records from an offset on, at most readLimit, with the faults and the channel that is closed
+// at the next change.
 func (log *Log) load(name string, from int64) (remote.ReadReply, LogFaults, chan struct{}) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
--- a/fakes/owned.go
+++ b/fakes/owned.go
@@ -7,30 +7,32 @@
 	"cherrykeel"
 )
 
-// Ownership is what an upstream holds for one service. It reads no clock and takes no lock.
+// Ownership is an upstream's side of the lease protocol for one service: the keys granted to it and the requests that
+// use them. It reads no clock, callers pass the upstream's own time, and it is not safe for concurrent use.
 type Ownership struct {
 	incarnation string
 	service     string
 	fence       cherrykeel.Fence
-	until       time.Duration
-	partitions  map[int]bool
-	hotKeys     map[string]bool
-	exceptKeys  map[string]bool
-	// inFlight counts requests, so that what is taken away is given up only when they have ended.
+	// until is the end of the lease, by the upstream's own time.
+	until      time.Duration
+	partitions map[int]bool
+	hotKeys    map[string]bool
+	exceptKeys map[string]bool
+	// inFlight counts running requests. Keys that a new grant no longer names count as held until their requests end.
 	inFlight map[Work]int
-	// lapses counts the leases that have ended and were followed by another.
+	// lapses counts the leases that lapsed before the next grant arrived. It tells the current lease from earlier ones.
 	lapses int
 }
 
-// Work is a request that an upstream has begun.
+// Work identifies a running request by its partition, its key and the lease under which it began.
 type Work struct {
 	partition int
 	key       string
-	// lapses names the lease under which it began.
+	// lapses is Ownership.lapses at the time when the request began.
 	lapses int
 }
 
-// NewOwnership returns an ownership of nothing; boot names the upstream's process.
+// NewOwnership returns an ownership without keys; incarnation identifies the upstream's process.
 func NewOwnership(incarnation, service string) *Ownership {
 	return &Ownership{
 		incarnation: incarnation,
@@ -42,12 +44,12 @@
 	}
 }
 
-// Owns reports whether the upstream may act for a key at its own time now.
+// Owns reports whether the lease is valid at the upstream's own time now and covers the key.
 func (ownership *Ownership) Owns(now time.Duration, partition int, key string) bool {
 	return now < ownership.until && ownership.isGranted(partition, key)
 }
 
-// isGranted reports whether the last grant names the key, alone or with its partition.
+// isGranted reports whether the last full grant covers the key, as a hot key or by its partition.
 func (ownership *Ownership) isGranted(partition int, key string) bool {
 	if ownership.hotKeys[key] {
 		return true
@@ -55,14 +57,14 @@
 	return ownership.partitions[partition] && !ownership.exceptKeys[key]
 }
 
-// Begin counts a request until End.
+// Begin counts a request as running until End is called with the returned value.
 func (ownership *Ownership) Begin(partition int, key string) Work {
 	work := Work{partition: partition, key: key, lapses: ownership.lapses}
 	ownership.inFlight[work]++
 	return work
 }
 
-// End ends a request that Begin has counted.
+// End stops counting a request that Begin has counted.
 func (ownership *Ownership) End(work Work) {
 	ownership.inFlight[work]--
 	if ownership.inFlight[work] == 0 {
@@ -70,25 +72,26 @@
 	}
 }
 
-// Lapsed reports whether the lease under which work began has ended at the upstream's own time now. It stays
-// so when another lease begins: the key may have had another owner in between, whose work this would undo.
+// Lapsed reports whether the lease under which the request began has ended at the upstream's own time now. A new lease
+// does not change that: another upstream may have owned the key in between, and the request would overwrite its changes.
 func (ownership *Ownership) Lapsed(work Work, now time.Duration) bool {
 	return work.lapses != ownership.lapses || now >= ownership.until
 }
 
-// Term returns the term of the newest grant.
+// Term returns the term of the newest accepted grant.
 func (ownership *Ownership) Term() int64 {
 	return ownership.fence.Term
 }
 
-// Grant takes a grant, or refuses it if it is for another process or has an old fence.
+// Grant applies a grant, or refuses it if it is for another incarnation or its fence is lower than the current one. The
+// result has the reason for a refusal, and what is held afterwards.
 func (ownership *Ownership) Grant(grant cherrykeel.Grant, now time.Duration) cherrykeel.Holding {
 	reason := ""
 	switch {
 	case grant.Incarnation != ownership.incarnation:
-		reason = "the grant is for another start of this process"
+		reason = "the grant is for another incarnation of this process"
 	case grant.Fence.Less(ownership.fence):
-		reason = "the fence is older than the one held"
+		reason = "the fence is lower than the current one"
 	default:
 		ownership.apply(now, grant)
 	}
@@ -98,6 +101,7 @@
 	return holding
 }
 
+// apply replaces fence, lease and keys by those of a grant. A partial grant only extends a valid lease.
 func (ownership *Ownership) apply(now time.Duration, grant cherrykeel.Grant) {
 	lapsed := now >= ownership.until
 	ownership.fence = grant.Fence
@@ -108,7 +112,7 @@
 	if lapsed {
 		ownership.lapses++
 	}
-	// A lapsed lease has nothing left to extend: others may own its keys by now.
+	// The keys of a lapsed lease may have other owners by now, so even a partial grant replaces them.
 	ownership.partitions = map[int]bool{}
 	for _, partition := range grant.Partitions {
 		ownership.partitions[partition] = true
@@ -117,6 +121,7 @@
 	ownership.exceptKeys = stringSet(grant.ExceptKeys)
 }
 
+// stringSet returns the list as a set.
 func stringSet(list []string) map[string]bool {
 	set := make(map[string]bool, len(list))
 	for _, text := range list {
@@ -125,7 +130,8 @@
 	return set
 }
 
-// Holding lists what is owned, and what has been taken away but is still worked on.
+// Holding returns what the upstream holds at its own time now: the granted keys, and keys that the last grant no longer
+// names but that running requests still use.
 func (ownership *Ownership) Holding(now time.Duration) cherrykeel.Holding {
 	holding := cherrykeel.Holding{
 		Service:     ownership.service,
@@ -142,13 +148,14 @@
 	}
 	for work := range ownership.inFlight {
 		if ownership.Lapsed(work, now) || ownership.isGranted(work.partition, work.key) {
-			// What outlasted its lease takes no effect any more, and others may have the key.
+			// A request whose lease has lapsed no longer takes effect, and one for a granted key is already listed.
 			continue
 		}
 		if !ownership.partitions[work.partition] {
 			holding.Partitions = append(holding.Partitions, work.partition)
 		}
-		// The key may go to the owner of its partition, which need not change for that.
+		// The key is listed by itself too: a hot key can be transferred to its partition's owner while the partition
+		// stays where it is.
 		holding.HotKeys = append(holding.HotKeys, work.key)
 	}
 	for key := range ownership.exceptKeys {
@@ -157,6 +164,7 @@
 	return holding
 }
 
+// grant handles a grant from a keeper. A full grant also drops the upstream's copies of register values.
 func (upstream *Upstream) grant(writer http.ResponseWriter, request *http.Request) {
 	upstream.waitWhileFrozen()
 	var grant cherrykeel.Grant
@@ -172,6 +180,7 @@
 	writeJSON(writer, holding)
 }
 
+// holding handles a request for what the upstream holds of a service.
 func (upstream *Upstream) holding(writer http.ResponseWriter, request *http.Request) {
 	upstream.waitWhileFrozen()
 	upstream.mutex.Lock()
@@ -179,6 +188,7 @@
 	writeJSON(writer, upstream.ownershipOf(request.URL.Query().Get("service")).Holding(upstream.now()))
 }
 
+// ownershipOf returns the ownership for a service and creates it if needed; the caller holds the mutex.
 func (upstream *Upstream) ownershipOf(service string) *Ownership {
 	held, exists := upstream.services[service]
 	if !exists {
--- a/fakes/register.go
+++ b/fakes/register.go
@@ -5,26 +5,28 @@
 	"sync"
 )
 
+// cachedValue is an upstream's copy of a key's value, with the term in which it was read.
 type cachedValue struct {
 	term  int64
 	value string
 }
 
-// Registers holds one text for each key, as the state that owners share over time.
-// Each owner reads a key once in a term and then trusts its own copy, as a real
-// owner would; so two owners at one moment show as lost or stale values.
+// Registers is the storage that the upstreams of a service share, with one text value per key. Like a real owner, an
+// upstream reads a key once per term and then uses its own copy. If two upstreams own a key at the same time, this shows
+// as lost or stale values.
 type Registers struct {
 	mutex  sync.Mutex
 	stored map[string]string
 	copies map[*Upstream]map[string]cachedValue
 }
 
-// NewRegisters returns empty registers.
+// NewRegisters returns registers without values.
 func NewRegisters() *Registers {
 	return &Registers{stored: map[string]string{}, copies: map[*Upstream]map[string]cachedValue{}}
 }
 
-// access reads the key's text, or sets it to the body of a PUT or POST.
+// access returns the key's value, after setting it to the body if the call is a PUT or POST. Without a key it returns
+// "-".
 func (registers *Registers) access(upstream *Upstream, term int64, call call) string {
 	registers.mutex.Lock()
 	defer registers.mutex.Unlock()
@@ -49,7 +51,7 @@
 	return current.value
 }
 
-// forget drops what an upstream has read of a service, when it is given or loses keys.
+// forget drops all copies of an upstream, so that it reads the stored values again after its keys have changed.
 func (registers *Registers) forget(upstream *Upstream) {
 	registers.mutex.Lock()
 	defer registers.mutex.Unlock()
--- a/fakes/upstream.go
+++ b/fakes/upstream.go
@@ -15,77 +15,92 @@
 	"cherrykeel"
 )
 
-// slowStartFactor is how many times its usual work a request takes on an upstream that has just started.
+// slowStartFactor is the additional processing time of a request at the beginning of a slow start, as a multiple of
+// UpstreamOptions.Work.
 const slowStartFactor = 9
 
-// UpstreamFaults are the faults of the upstream stand-in; counts say how many of the next requests they hit.
+// UpstreamFaults are the faults that the stand-in of an upstream can inject. Counts are numbers of next answers.
 type UpstreamFaults struct {
-	// Freeze stops everything, control included, until it is ended by the next order or has passed.
+	// Freeze suspends requests and grants for this time, or until the faults are replaced. Requests to replace the
+	// faults or to read the runs are still answered.
 	Freeze time.Duration
-	// Truncate breaks an answer off in the middle.
+	// Truncate closes the connection in the middle of the answer.
 	Truncate int
-	// Cross answers with the id and body of another request.
+	// Cross answers with the request id and body of the previous answer.
 	Cross int
-	// Reset closes the connection after the request ran.
+	// Reset closes the connection without an answer after the request has run.
 	Reset int
-	// Work is added to each request.
+	// Work is added to the processing time of each request.
 	Work time.Duration
-	// SlowStart makes requests take up to a slot's tenfold work, less and less, until it has passed.
+	// SlowStart makes requests take ten times UpstreamOptions.Work at first; the time falls linearly to the usual one
+	// within this duration.
 	SlowStart time.Duration
-	// Shed is the share of requests that is refused.
+	// Shed is the share of requests, 0 to 1, that are shed.
 	Shed float64
-	// Load is reported instead of the true load when it is not negative.
+	// Load is reported instead of the true load unless it is negative.
 	Load float64
-	// IgnoreFences acts on every request, whoever owns the key.
+	// IgnoreFences runs requests also for keys that the upstream does not own.
 	IgnoreFences bool
-	Draining     bool
+	// Draining refuses all requests with the reason "draining".
+	Draining bool
 }
 
-// Run is one execution of a request, as the upstream saw it.
+// Run is one execution of a request by an upstream.
 type Run struct {
 	Request   string
 	RepeatKey string
 	Key       string
 }
 
-// UpstreamOptions describe an upstream stand-in.
+// UpstreamOptions configure the stand-in of an upstream.
 type UpstreamOptions struct {
-	Name        string
-	Slots       int
+	// Name begins each answer.
+	Name string
+	// Slots is the number of requests that run at the same time.
+	Slots int
+	// QueueLength is the number of requests that may wait for a slot; more are shed.
 	QueueLength int
-	// Work is the time that a request takes in its slot.
+	// Work is the processing time of a request.
 	Work time.Duration
-	// Registers is shared by the upstreams of a service that keep its state; nil gives an own one.
+	// Registers is the storage shared with other upstreams; nil creates one for this upstream alone.
 	Registers *Registers
-	// EnforceFences refuses requests for keys that are not owned.
+	// EnforceFences refuses requests for keys that the upstream does not own.
 	EnforceFences bool
-	// EndsOn, if set, is a path under which the process ends as soon as it begins to run a request; End ends it.
+	// EndsOn, if set, is a path and query; a request for it makes the upstream crash, by a call of End, after its
+	// processing time and without having run.
 	EndsOn string
-	End    func()
+	// End ends the process; it is needed if EndsOn is set.
+	End func()
 }
 
-// Upstream is the stand-in of a server that holds keys.
+// Upstream is the stand-in of an upstream that owns keys. It counts the requests that it runs, so that tests can compare
+// them with what callers received.
 type Upstream struct {
 	options     UpstreamOptions
 	incarnation string
 	clock       cherrykeel.Clock
-	slots       chan struct{}
-	mux         *http.ServeMux
+	// slots has one element per running request; its capacity is the number of slots.
+	slots chan struct{}
+	mux   *http.ServeMux
+	// mutex guards the fields below. Lock order: this mutex, then that of Registers.
 	mutex       sync.Mutex
 	services    map[string]*Ownership
 	faults      UpstreamFaults
 	frozenUntil time.Time
 	faultsSetAt time.Time
-	held        int
-	// maxHeld is the most requests held at a time.
-	maxHeld  int
-	runs     map[string]int
-	repeats  map[string]int
+	// held is the number of admitted requests that have not ended, running or waiting for a slot.
+	held int
+	// maxHeld is the largest value of held since the last call of MostAtOnce.
+	maxHeld int
+	// runs counts executions by request id, repeats by Idempotency-Key.
+	runs    map[string]int
+	repeats map[string]int
+	// lastBody and lastID are those of the previous answer, for the fault Cross.
 	lastBody []byte
 	lastID   string
 }
 
-// NewUpstream returns an upstream that has just started and owns nothing.
+// NewUpstream returns an upstream with a new incarnation that owns no keys and has no faults.
 func NewUpstream(options UpstreamOptions) *Upstream {
 	if options.Registers == nil {
 		options.Registers = NewRegisters()
@@ -109,15 +124,17 @@
 	return upstream
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP serves requests, grants, faults and reports of runs, and implements http.Handler.
 func (upstream *Upstream) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	upstream.mux.ServeHTTP(writer, request)
 }
 
+// now returns the upstream's own time, since the boot of its machine.
 func (upstream *Upstream) now() time.Duration {
 	return time.Duration(upstream.clock.Now())
 }
 
+// handleFaults handles a request that replaces the faults. Without a load in it, the true load is reported.
 func (upstream *Upstream) handleFaults(writer http.ResponseWriter, request *http.Request) {
 	faults := UpstreamFaults{Load: -1}
 	if readJSON(writer, request, &faults) {
@@ -126,7 +143,7 @@
 	}
 }
 
-// SetFaults replaces the faults; a freeze starts now.
+// SetFaults replaces all faults; Freeze and SlowStart count from this call.
 func (upstream *Upstream) SetFaults(faults UpstreamFaults) {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
@@ -135,18 +152,20 @@
 	upstream.frozenUntil = upstream.faultsSetAt.Add(faults.Freeze)
 }
 
-// RunReport says what truly ran.
+// RunReport has the number of executions of each request.
 type RunReport struct {
-	// Requests counts runs by request id, Repeats by Idempotency-Key.
+	// Requests counts executions by request id.
 	Requests map[string]int
-	Repeats  map[string]int
+	// Repeats counts executions by Idempotency-Key.
+	Repeats map[string]int
 }
 
+// reportRuns answers with the report of Runs.
 func (upstream *Upstream) reportRuns(writer http.ResponseWriter, _ *http.Request) {
 	writeJSON(writer, upstream.Runs())
 }
 
-// Runs returns what truly ran.
+// Runs returns how often each request has run.
 func (upstream *Upstream) Runs() RunReport {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
@@ -160,7 +179,7 @@
 	return report
 }
 
-// MostAtOnce returns the most requests that were held at a time since the last call.
+// MostAtOnce returns the largest number of requests held at the same time, running or waiting, since the last call.
 func (upstream *Upstream) MostAtOnce() int {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
@@ -169,7 +188,7 @@
 	return most
 }
 
-// waitWhileFrozen returns when the upstream is not frozen any more.
+// waitWhileFrozen blocks until the fault Freeze has ended. It checks every 10 ms, as a change of faults can end it.
 func (upstream *Upstream) waitWhileFrozen() {
 	for {
 		upstream.mutex.Lock()
@@ -182,6 +201,7 @@
 	}
 }
 
+// serve handles a caller's request: it admits, runs and answers it, or refuses it with a reason.
 func (upstream *Upstream) serve(writer http.ResponseWriter, request *http.Request) {
 	upstream.waitWhileFrozen()
 	body, err := io.ReadAll(request.Body)
@@ -203,7 +223,8 @@
 	upstream.reply(writer, call, answer)
 }
 
-// run works on a call and gives its place free before anybody is told.
+// run processes a call and returns its answer, or the reason for a refusal. The call no longer holds a slot or counts as
+// held when the answer is sent.
 func (upstream *Upstream) run(ctx context.Context, call call) ([]byte, string) {
 	defer upstream.finish(call)
 	if !upstream.process(ctx) {
@@ -216,6 +237,8 @@
 	return upstream.execute(call)
 }
 
+// load returns the load to report: running and waiting requests over slots. A running request counts twice, in its slot
+// and as held.
 func (upstream *Upstream) load() float64 {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
@@ -225,6 +248,7 @@
 	return float64(len(upstream.slots)+upstream.held) / float64(cap(upstream.slots))
 }
 
+// refuse answers that the request was not run, with 421 if the upstream does not own the key and 503 otherwise.
 func (upstream *Upstream) refuse(writer http.ResponseWriter, reason string) {
 	status := http.StatusServiceUnavailable
 	if reason == "owner" {
@@ -234,19 +258,22 @@
 	http.Error(writer, "refused: "+reason, status)
 }
 
-// call is one request on its way through the upstream.
+// call is one caller's request.
 type call struct {
 	id        string
 	repeatKey string
 	service   string
 	key       string
+	// partition is -1 if the request has no valid partition header.
 	partition int
 	method    string
 	path      string
 	body      []byte
-	work      Work
+	// work is set by admit if there is a partition.
+	work Work
 }
 
+// newCall returns a request's call, with the id, service, key and partition that the host's headers give.
 func newCall(request *http.Request, body []byte) call {
 	partition, err := strconv.Atoi(request.Header.Get(cherrykeel.HeaderPartition))
 	if err != nil {
@@ -264,6 +291,7 @@
 	}
 }
 
+// admit counts the call as held. If it cannot be held, admit returns the reason for the refusal instead.
 func (upstream *Upstream) admit(call *call) string {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
@@ -285,6 +313,7 @@
 	return ""
 }
 
+// finish stops counting a call as held.
 func (upstream *Upstream) finish(call call) {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
@@ -294,6 +323,7 @@
 	}
 }
 
+// mayAct reports whether the fences allow the call; the caller holds the mutex.
 func (upstream *Upstream) mayAct(call call) bool {
 	if call.partition < 0 || !upstream.options.EnforceFences || upstream.faults.IgnoreFences {
 		return true
@@ -301,7 +331,7 @@
 	return upstream.ownershipOf(call.service).Owns(upstream.now(), call.partition, call.key)
 }
 
-// process holds a slot for the time of the work; false means that the caller went away first.
+// process acquires a slot and holds it for the processing time. It returns false if the caller has disconnected.
 func (upstream *Upstream) process(ctx context.Context) bool {
 	select {
 	case upstream.slots <- struct{}{}:
@@ -319,7 +349,7 @@
 	return ctx.Err() == nil
 }
 
-// slowStartDelay is what a request takes more because the upstream has just started.
+// slowStartDelay returns the additional processing time by the fault SlowStart; the caller holds the mutex.
 func (upstream *Upstream) slowStartDelay() time.Duration {
 	left := upstream.faults.SlowStart - time.Since(upstream.faultsSetAt)
 	if left <= 0 {
@@ -329,7 +359,8 @@
 	return time.Duration(share * slowStartFactor * float64(upstream.options.Work))
 }
 
-// execute runs the request; an owner whose lease has lapsed meanwhile refuses, so nothing runs after the lease.
+// execute runs the request and returns its answer. If the lease has lapsed since the request was admitted, it refuses
+// instead, as another upstream may own the key by now.
 func (upstream *Upstream) execute(call call) ([]byte, string) {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
@@ -347,6 +378,7 @@
 	return []byte(answer), ""
 }
 
+// reply sends the answer, altered by the faults Reset, Cross and Truncate.
 func (upstream *Upstream) reply(writer http.ResponseWriter, call call, answer []byte) {
 	upstream.mutex.Lock()
 	faults := upstream.faults
