--- a/fakes/upstream_test.go
+++ b/fakes/upstream_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	service  = "test/keys"
-	generous = 30 * time.Second
-	short    = 20 * time.Millisecond
+	service           = "test/keys"
+	eventuallyTimeout = 30 * time.Second
+	short             = 20 * time.Millisecond
 )
 
 func TestFakes(t *testing.T) {
@@ -38,8 +38,8 @@
 	return call(upstream, httptest.NewRequest(http.MethodGet, "/.well-known/ownership?service="+service, nil))
 }
 
-// give lets the upstream own a partition for a time.
-func give(upstream *fakes.Upstream, sequence int64, partition int, length time.Duration) cherrykeel.Holding {
+// grant grants the upstream a partition for a lease of the given length.
+func grant(upstream *fakes.Upstream, sequence int64, partition int, length time.Duration) cherrykeel.Holding {
 	now := holding(upstream)
 	body, err := json.Marshal(cherrykeel.Grant{
 		Service:     service,
@@ -49,18 +49,18 @@
 		Partitions:  []int{partition},
 	})
 	Expect(err).NotTo(HaveOccurred())
-	given := call(upstream, httptest.NewRequest(http.MethodPut, "/.well-known/ownership", bytes.NewReader(body)))
-	Expect(given.Accepted).To(BeTrue())
-	return given
+	granted := call(upstream, httptest.NewRequest(http.MethodPut, "/.well-known/ownership", bytes.NewReader(body)))
+	Expect(granted.Accepted).To(BeTrue())
+	return granted
 }
 
-var _ = Describe("an upstream that checks fences", func() {
-	// A caller's write is at work when the lease ends; the key goes to another upstream, whose caller writes it
-	// too. The first upstream then gets a new lease, without the key. If only the lease of the moment counted,
-	// the old write would take effect under it and undo the other.
-	It("refuses what it began under a lease that has ended, though it has another one", func() {
+var _ = Describe("an upstream that enforces fences", func() {
+	// Guards against a lost update: a write is running when its lease ends, another upstream gets the key and writes it,
+	// and the first upstream gets a new lease without the key. If only the current lease counted, the first write would
+	// take effect under it and overwrite the second.
+	It("refuses a request that began under an ended lease, even after a new grant", func() {
 		upstream := fakes.NewUpstream(fakes.UpstreamOptions{Name: "a", Slots: 1, EnforceFences: true, Work: 20 * short})
-		given := give(upstream, 1, 3, 5*short)
+		granted := grant(upstream, 1, 3, 5*short)
 		request := httptest.NewRequest(http.MethodPost, "/", nil)
 		request.Header.Set(cherrykeel.HeaderService, service)
 		request.Header.Set(cherrykeel.HeaderKey, "key")
@@ -71,9 +71,9 @@
 			defer close(ended)
 			upstream.ServeHTTP(recorder, request)
 		}()
-		Eventually(func() time.Duration { return holding(upstream).Now }).WithTimeout(generous).Should(BeNumerically(">", given.Until))
-		give(upstream, 2, 0, time.Hour)
-		Eventually(ended).WithTimeout(generous).Should(BeClosed())
+		Eventually(func() time.Duration { return holding(upstream).Now }).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", granted.Until))
+		grant(upstream, 2, 0, time.Hour)
+		Eventually(ended).WithTimeout(eventuallyTimeout).Should(BeClosed())
 		Expect(recorder.Code).To(Equal(http.StatusMisdirectedRequest))
 	})
 })
