--- a/fault/doc.go
+++ b/fault/doc.go
@@ -1,3 +1,3 @@
-// Package fault is a TCP proxy for tests that loses, delays, cuts and stalls what
-// passes between two processes, one way or both.
+// Package fault contains a TCP proxy for tests. It refuses, resets, delays and stalls the connections between two
+// processes, in one direction or both.
 package fault
--- a/fault/proxy.go
+++ b/fault/proxy.go
@@ -11,44 +11,51 @@
 )
 
 const (
-	// inUseTimeout is for how long an address that is in use is tried again. A process that this one starts has a copy
-	// of each open socket until it runs its own program, and on a busy machine that takes a while; only then is the
-	// address of a listener that was closed meanwhile free.
-	inUseTimeout       = 10 * time.Second
+	// inUseTimeout is the time for which listening on an address that is in use is tried again. A child process has a
+	// copy of each open socket from its fork until it executes its program, so the address of a closed listener can stay
+	// in use for that time, which is long on a busy machine.
+	inUseTimeout = 10 * time.Second
+	// inUseRetryInterval is the pause between two attempts to listen.
 	inUseRetryInterval = 5 * time.Millisecond
 )
 
-// Rules say what happens to connections; the zero value passes everything on.
+// Rules are the faults of a proxy's connections; the zero value forwards everything unchanged. "Up" is the direction to
+// the target, "down" the direction from it.
 type Rules struct {
-	// Refuse closes new connections at once.
+	// Refuse resets new connections at once.
 	Refuse bool
-	// StallUp and StallDown hold back what goes to, or comes from, the target.
-	StallUp   bool
+	// StallUp holds back the bytes to the target until the rules change.
+	StallUp bool
+	// StallDown holds back the bytes from the target until the rules change.
 	StallDown bool
-	// CutUpAfter and CutDownAfter reset a connection once so many bytes have passed; 0 never does.
-	CutUpAfter   int
+	// CutUpAfter resets a connection after this number of bytes to the target; 0 never resets.
+	CutUpAfter int
+	// CutDownAfter resets a connection after this number of bytes from the target; 0 never resets.
 	CutDownAfter int
-	Delay        time.Duration
-	// Chunk passes bytes on in pieces of this size, each after Delay; 0 passes them on as they come.
+	// Delay is the time before each piece is written, in both directions.
+	Delay time.Duration
+	// Chunk is the largest size of a piece, in bytes; 0 forwards bytes in the pieces in which they are read.
 	Chunk int
 }
 
-// Proxy passes TCP connections on to a target.
+// Proxy forwards TCP connections to a target according to its rules.
 type Proxy struct {
 	target   string
 	listener net.Listener
 	mutex    sync.Mutex
 	rules    Rules
-	changed  chan struct{}
-	conns    map[net.Conn]bool
+	// changed is closed and replaced when the rules change.
+	changed chan struct{}
+	// conns has the open connections to callers and to the target.
+	conns map[net.Conn]bool
 }
 
-// Listen returns a proxy to a target, on an address of its own.
+// Listen starts a proxy to a target, on an unused loopback port.
 func Listen(target string) (*Proxy, error) {
 	return ListenAt("127.0.0.1:0", target)
 }
 
-// ListenAt returns a proxy to a target, on a given address; it waits for an address that is still in use.
+// ListenAt starts a proxy to a target, on a given address. While the address is in use, it waits up to 10 s for it.
 func ListenAt(address, target string) (*Proxy, error) {
 	listener, err := listenWhenFree(address)
 	if err != nil {
@@ -59,6 +66,7 @@
 	return proxy, nil
 }
 
+// listenWhenFree listens on an address, and tries again while the address is in use.
 func listenWhenFree(address string) (net.Listener, error) {
 	until := time.Now().Add(inUseTimeout)
 	for {
@@ -70,19 +78,19 @@
 	}
 }
 
-// Address returns where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (proxy *Proxy) Address() string {
 	return proxy.listener.Addr().String()
 }
 
-// SetTarget changes where new connections go.
+// SetTarget replaces the target of new connections; open connections keep theirs.
 func (proxy *Proxy) SetTarget(target string) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
 	proxy.target = target
 }
 
-// Set replaces the rules, for standing connections too.
+// Set replaces the rules, also for open connections.
 func (proxy *Proxy) Set(rules Rules) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
@@ -91,7 +99,7 @@
 	proxy.changed = make(chan struct{})
 }
 
-// Reset breaks all standing connections.
+// Reset resets all open connections.
 func (proxy *Proxy) Reset() {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
@@ -100,12 +108,13 @@
 	}
 }
 
-// Close stops the proxy.
+// Close stops listening and resets all open connections.
 func (proxy *Proxy) Close() {
 	_ = proxy.listener.Close()
 	proxy.Reset()
 }
 
+// reset closes a connection and discards unsent bytes, so that the peer gets a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -113,12 +122,14 @@
 	_ = conn.Close()
 }
 
+// current returns the rules, the channel that is closed when they change, and the target.
 func (proxy *Proxy) current() (Rules, chan struct{}, string) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
 	return proxy.rules, proxy.changed, proxy.target
 }
 
+// accept serves new connections until the listener is closed.
 func (proxy *Proxy) accept() {
 	for {
 		caller, err := proxy.listener.Accept()
@@ -129,6 +140,7 @@
 	}
 }
 
+// serve connects a caller to the target and forwards bytes until both directions have ended.
 func (proxy *Proxy) serve(caller net.Conn) {
 	rules, _, target := proxy.current()
 	if rules.Refuse {
@@ -150,6 +162,7 @@
 	_ = callee.Close()
 }
 
+// track adds an open connection to conns, or removes one that has ended.
 func (proxy *Proxy) track(conn net.Conn, open bool) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
@@ -160,7 +173,7 @@
 	delete(proxy.conns, conn)
 }
 
-// copy passes bytes on in one direction until one side ends.
+// copy forwards bytes in one direction until the sender ends its side. An error or a cut resets connections.
 func (proxy *Proxy) copy(to, from net.Conn, up bool) {
 	defer proxy.track(from, false)
 	buffer := make([]byte, 32<<10)
@@ -185,7 +198,8 @@
 	}
 }
 
-// forward writes data by the rules; it reports false when the connection is to be reset.
+// forward writes data according to the rules and adds the number of bytes to passed. It returns false if the connection
+// must be reset: it has reached its cut, or the write failed.
 func (proxy *Proxy) forward(to net.Conn, data []byte, up bool, passed *int) bool {
 	for len(data) > 0 {
 		rules := proxy.awaitUnstalled(up)
@@ -211,7 +225,7 @@
 	return true
 }
 
-// awaitUnstalled returns the rules once they let bytes pass in a direction.
+// awaitUnstalled waits until the rules do not stall the direction, and returns them.
 func (proxy *Proxy) awaitUnstalled(up bool) Rules {
 	for {
 		rules, changed, _ := proxy.current()
