--- a/fault/proxy_test.go
+++ b/fault/proxy_test.go
@@ -15,9 +15,10 @@
 	RunSpecs(t, "fault")
 }
 
-var _ = Describe("a proxy at a given address", func() {
-	// Guards against a stand-in that cannot start again, since a process that is being started has a copy of its old socket.
-	It("waits until the address is free", func() {
+var _ = Describe("a proxy on a given address", func() {
+	// Guards against a stand-in that fails to restart at its address: a child process that is just being started still
+	// has a copy of the closed socket.
+	It("waits while the address is in use", func() {
 		holder, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		listening := make(chan error, 1)
