--- a/fakes/owned.go
+++ b/fakes/owned.go
@@ -91,7 +91,7 @@
 	case grant.Incarnation != ownership.incarnation:
 		reason = "the grant is for another incarnation of this process"
 	case grant.Fence.Less(ownership.fence):
-		reason = "the fence is lower than the current one"
+		reason = "the fence is older than the one held"
 	default:
 		ownership.apply(now, grant)
 	}
