--- a/bench/intents.go
+++ b/bench/intents.go
@@ -17,15 +17,18 @@
 	"cherrykeel/intent"
 )
 
-// IntentsRow is what guarded or unguarded requests cost.
+// IntentsRow is the cost of requests with or without a repeat guard.
 type IntentsRow struct {
 	LatencyRow
-	// AppendsPerRequest counts appends to the stream of intents, ends included.
+	// AppendsPerRequest is the number of records appended to the stream of intents per request, including those for the
+	// ends of requests.
 	AppendsPerRequest float64
-	AppendsPerSecond  float64
+	// AppendsPerSecond is the rate of these appends.
+	AppendsPerSecond float64
 }
 
-// Intents sends actions with an Idempotency-Key each through one host, without and with the log's guard.
+// Intents measures requests that each have an own Idempotency-Key, sent through one host for the given length: first
+// without a repeat guard, then with the guard that uses the log.
 func Intents(ctx context.Context, callers int, length time.Duration) ([]IntentsRow, error) {
 	var rows []IntentsRow
 	for _, guard := range []cherrykeel.RepeatGuard{cherrykeel.RepeatGuardNone, cherrykeel.RepeatGuardLog} {
@@ -38,6 +41,7 @@
 	return rows, nil
 }
 
+// intents measures one kind of repeat guard.
 func intents(ctx context.Context, guard cherrykeel.RepeatGuard, callers int, length time.Duration) (IntentsRow, error) {
 	world, err := demo.NewWorld(func(options *fakes.UpstreamOptions) {
 		options.Slots = manySlots
--- a/bench/latency.go
+++ b/bench/latency.go
@@ -19,21 +19,30 @@
 )
 
 const (
-	maxLatency        = time.Minute
+	// maxLatency is the longest latency that histograms can record.
+	maxLatency = time.Minute
+	// significantDigits is the precision of histograms.
 	significantDigits = 3
-	manySlots         = 512
+	// manySlots is the number of slots per upstream; fewer callers than that do not wait for slots.
+	manySlots = 512
 )
 
-// LatencyRow is what one way of calling gave.
+// LatencyRow has the results of one way of calling.
 type LatencyRow struct {
-	Way       string
-	Callers   int
+	// Way describes the way of calling.
+	Way string
+	// Callers is the number of concurrent callers.
+	Callers int
+	// PerSecond is the rate of answers.
 	PerSecond float64
-	Median    time.Duration
-	P99       time.Duration
+	// Median is the median latency.
+	Median time.Duration
+	// P99 is the 99th percentile of latencies.
+	P99 time.Duration
 }
 
-// Latency calls a keyed service through one host, and its stand-ins directly, in turn, for a time each.
+// Latency measures calls of a keyed service, alternately directly to one of its stand-ins and through one host. Each way
+// is measured twice, for the given length each time.
 func Latency(ctx context.Context, callers int, length time.Duration) ([]LatencyRow, error) {
 	world, err := demo.NewWorld(func(options *fakes.UpstreamOptions) {
 		options.Slots = manySlots
@@ -72,7 +81,8 @@
 	return rows, nil
 }
 
-// raiseLimits lifts the slots and connections of the trees, so that the path is measured and not the waiting.
+// raiseLimits raises the slots and connections in the settings of the teams under load, so that results do not include
+// waiting for them.
 func raiseLimits(world *demo.World) {
 	for path, node := range world.Nodes {
 		if path == "hanbit" || path == "huon" {
@@ -82,6 +92,7 @@
 	}
 }
 
+// request returns a GET request to the archive service for one item, at the given base URL.
 func request(base string, number int) (*http.Request, error) {
 	outgoing, err := http.NewRequest(http.MethodGet, fmt.Sprintf("%s/archive/%d", base, number), nil)
 	if err != nil {
@@ -92,7 +103,8 @@
 	return outgoing, nil
 }
 
-// runHosts starts hosts in a world, publishes its tree and waits until keys have owners.
+// runHosts starts the hosts, publishes the world's settings and waits until keys have owners. The returned function stops
+// the hosts and waits for them.
 func runHosts(ctx context.Context, world *demo.World, entries ...*host.Host) (func(), error) {
 	running, cancel := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
@@ -119,7 +131,8 @@
 	return stop, nil
 }
 
-// measureLoad keeps a number of callers busy for a time.
+// measureLoad lets concurrent callers send requests one after another for the given length, and returns rate and
+// latencies. A failure ends its caller; if any caller failed, measureLoad returns one of the errors.
 func measureLoad(next func(number int) (*http.Request, error), callers int, length time.Duration) (LatencyRow, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	defer client.CloseIdleConnections()
@@ -156,6 +169,7 @@
 	}, nil
 }
 
+// timeRequest sends one request, reads its answer and records the latency. Any status other than 200 is an error.
 func timeRequest(client *http.Client, next func(number int) (*http.Request, error), number int, histogram *hdrhistogram.Histogram) error {
 	outgoing, err := next(number)
 	if err != nil {
--- a/bench/overload.go
+++ b/bench/overload.go
@@ -23,59 +23,73 @@
 )
 
 const (
+	// processingTime is the processing time of a request on a healthy upstream.
 	processingTime = 20 * time.Millisecond
-	hostCount      = 4
-	zones          = 4
-	warmUpLoad     = 0.3
-	warmUpTime     = 2 * time.Second
+	// hostCount is the number of entry hosts, which are spread over the availability zones.
+	hostCount = 4
+	// zones is the number of availability zones.
+	zones = 4
+	// warmUpLoad is the load, relative to capacity, before results count.
+	warmUpLoad = 0.3
+	// warmUpTime is the length of the warm-up.
+	warmUpTime = 2 * time.Second
 )
 
-// Condition is what is wrong with the upstreams while load is put on them.
+// Condition is the fault of the upstreams while they are under load.
 type Condition string
 
-// The conditions that Overload knows.
+// The conditions of Overload.
 const (
-	Healthy         Condition = "healthy"
-	OneSlow         Condition = "one slow upstream"
+	// Healthy has no fault.
+	Healthy Condition = "healthy"
+	// OneSlow lets one upstream take six times the usual processing time.
+	OneSlow Condition = "one slow upstream"
+	// OneMisreporting lets one upstream report that it is idle while it sheds most requests.
 	OneMisreporting Condition = "one lying upstream"
 )
 
-// Conditions lists all.
+// Conditions lists all conditions, in the order in which they are measured.
 var Conditions = []Condition{Healthy, OneSlow, OneMisreporting}
 
-// OverloadRow is what one load gave.
+// OverloadRow has the results of one load under one condition.
 type OverloadRow struct {
+	// Condition is the fault of the upstreams.
 	Condition Condition
-	Version   string
-	// Load is the offered load, over the capacity of the upstreams.
+	// Version is ThroughHosts or Naive.
+	Version string
+	// Load is the rate of requests, divided by the capacity of the upstreams.
 	Load float64
-	// Goodput is the rate of answers in time, over the capacity.
+	// Goodput is the rate of requests answered with 200 before the load ended, divided by the capacity.
 	Goodput float64
-	// Lookups and Searches have the latencies of answered requests of high and low priority.
+	// LookupMedian and LookupP99 are latencies of answered requests of high priority.
 	LookupMedian, LookupP99 time.Duration
+	// SearchMedian and SearchP99 are latencies of answered requests of low priority.
 	SearchMedian, SearchP99 time.Duration
-	// MostAtOnce is the most requests that one upstream worked on or held at a time.
+	// MostAtOnce is the largest number of requests that one upstream held at the same time, running or waiting.
 	MostAtOnce int
 }
 
-// tally counts what callers got.
+// tally counts the successful requests of callers and records their latencies.
 type tally struct {
-	// endsAt is when the load ends; answers after it count for nothing.
-	endsAt   time.Time
-	good     atomic.Int64
+	// endsAt is the end of the load; later answers are ignored.
+	endsAt time.Time
+	good   atomic.Int64
+	// mutex guards the histograms.
 	mutex    sync.Mutex
 	lookups  *hdrhistogram.Histogram
 	searches *hdrhistogram.Histogram
 }
 
-func newTally(ends time.Time) *tally {
+// newTally returns an empty tally for a load that ends at the given time.
+func newTally(endsAt time.Time) *tally {
 	return &tally{
-		endsAt:   ends,
+		endsAt:   endsAt,
 		lookups:  hdrhistogram.New(1, int64(maxLatency), significantDigits),
 		searches: hdrhistogram.New(1, int64(maxLatency), significantDigits),
 	}
 }
 
+// add counts an answer that arrived before the end of the load.
 func (tally *tally) add(lookup bool, took time.Duration) {
 	if time.Now().After(tally.endsAt) {
 		return
@@ -90,22 +104,28 @@
 	_ = tally.searches.RecordValue(int64(took))
 }
 
-// setup is a world under load on one service's upstreams, from lookups, which are urgent, and searches.
+// setup is a world whose archive service is put under load, by lookups, which have high priority, and searches, which
+// have low priority.
 type setup struct {
 	world   *demo.World
 	entries []*host.Host
 	stop    func()
 	client  *http.Client
-	slots   int
+	// slots is the number of slots per upstream.
+	slots int
+	// servers is the number of upstreams of the service.
 	servers int
 }
 
-// Ours and Naive name the versions that Overload compares.
+// The versions that Overload compares.
 const (
+	// ThroughHosts sends requests through the entry hosts.
 	ThroughHosts = "ours"
-	Naive        = "round robin, blind retry"
+	// Naive sends requests directly to upstreams in round-robin order and retries any failure at once.
+	Naive = "round robin, blind retry"
 )
 
+// newSetup creates a world, starts its hosts and waits until keys have owners.
 func newSetup(ctx context.Context) (*setup, error) {
 	world, err := demo.NewWorld(func(options *fakes.UpstreamOptions) { options.Work = processingTime })
 	if err != nil {
@@ -123,25 +143,27 @@
 	return setup, nil
 }
 
+// close stops the hosts and closes the world.
 func (setup *setup) close() {
 	setup.client.CloseIdleConnections()
 	setup.stop()
 	setup.world.Close()
 }
 
-// capacity is how many requests a second one service's upstreams can answer.
+// capacity returns the number of requests per second that the service's healthy upstreams can answer.
 func (setup *setup) capacity() float64 {
 	return float64(setup.servers*setup.slots) / processingTime.Seconds()
 }
 
-// Overload puts each load on the system for a time, ours and the naive version.
+// Overload measures each load under a condition for the given length, first with requests sent through hosts, then with
+// the naive version. Loads are relative to the capacity of the upstreams.
 func Overload(ctx context.Context, condition Condition, loads []float64, length time.Duration) ([]OverloadRow, error) {
 	setup, err := newSetup(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer setup.close()
-	// Hosts that have just started know neither shares of slots nor how long requests take.
+	// Hosts that have just started have neither their shares of slots nor estimates of processing times.
 	setup.offer(warmUpLoad, ThroughHosts, warmUpTime)
 	var rows []OverloadRow
 	for _, load := range loads {
@@ -157,6 +179,8 @@
 	return rows, nil
 }
 
+// setCondition injects the condition's fault into the upstreams whose names end with "-01", and clears the faults of all
+// others.
 func (setup *setup) setCondition(condition Condition) {
 	for name, upstream := range setup.world.Upstreams {
 		faults := fakes.UpstreamFaults{Load: -1}
@@ -165,7 +189,7 @@
 			faults.Work = 5 * processingTime
 		}
 		if affected && condition == OneMisreporting {
-			// It claims to be idle and sheds most of what it gets.
+			// The upstream reports that it is idle and sheds most requests.
 			faults.Load = 0
 			faults.Shed = 0.8
 		}
@@ -173,7 +197,7 @@
 	}
 }
 
-// offer sends requests at a steady rate, whether or not earlier ones have been answered.
+// offer sends requests at a constant rate, independent of answers to earlier ones, and returns the results.
 func (setup *setup) offer(load float64, version string, length time.Duration) OverloadRow {
 	setup.mostAtOnce()
 	roundRobin := naive.NewRoundRobin()
@@ -212,13 +236,15 @@
 // requestTimeout is how long callers wait for an answer.
 const requestTimeout = 3 * time.Second
 
-// lookupEvery is how often a request is a lookup; the others are searches.
+// lookupEvery is the interval of lookups: each fifth request is a lookup, the others are searches.
 const lookupEvery = 5
 
+// isLookup reports whether the request of this number is a lookup.
 func isLookup(number int) bool {
 	return number%lookupEvery == 0
 }
 
+// send sends a request through a random host.
 func (setup *setup) send(total *tally, number int) {
 	entry := setup.entries[rand.IntN(len(setup.entries))]
 	begun := time.Now()
@@ -228,7 +254,7 @@
 	}
 }
 
-// sendNaive goes round the upstreams itself and tries three times, whatever the answer.
+// sendNaive sends a request directly to upstreams in round-robin order, with up to three attempts on any failure.
 func (setup *setup) sendNaive(total *tally, number int) {
 	begun := time.Now()
 	for attempt := range 3 {
@@ -241,6 +267,7 @@
 	}
 }
 
+// sendRequest sends a request with its priority and timeout. Any status other than 200 is an error.
 func (setup *setup) sendRequest(base string, number int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -265,7 +292,8 @@
 	return nil
 }
 
-// mostAtOnce is the most requests that one of the service's upstreams has held at a time since the last call.
+// mostAtOnce returns the largest number of requests that one upstream of the service held at the same time since the last
+// call.
 func (setup *setup) mostAtOnce() int {
 	most := 0
 	for name, upstream := range setup.world.Upstreams {
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -19,23 +19,32 @@
 	"cherrykeel/wire"
 )
 
-// SlopeRow is one figure at one size; three sizes or more show the slope.
+// SlopeRow is one result at one size. Three or more sizes show how the result grows.
 type SlopeRow struct {
-	What  string
-	Of    string
-	At    int
+	// What is the quantity.
+	What string
+	// Of is what the size counts, such as entry hosts.
+	Of string
+	// At is the size.
+	At int
+	// Value is the result, in Unit.
 	Value float64
-	Unit  string
+	// Unit is the unit of Value.
+	Unit string
 }
 
 const (
+	// slopePartitions is the number of partitions per service, except where partitions are the size.
 	slopePartitions = 1024
-	slopeUpstreams  = 10
+	// slopeUpstreams is the number of upstreams per service.
+	slopeUpstreams = 10
+	// servicesPerTeam is the number of services per team.
 	servicesPerTeam = 8
-	rounds          = 200
+	// rounds is the number of repetitions of a short timed call; a keeper's ticks take five times as many.
+	rounds = 200
 )
 
-// Slopes measures how state, messages and processor time grow.
+// Slopes measures how state, messages and CPU time grow with the numbers of keyed services, partitions and entry hosts.
 func Slopes() ([]SlopeRow, error) {
 	var rows []SlopeRow
 	for _, services := range []int{50, 200, 800} {
@@ -58,7 +67,7 @@
 	return rows, nil
 }
 
-// heapInUse returns the bytes in use after a collection.
+// heapInUse returns the size of allocated heap objects after a garbage collection, in bytes.
 func heapInUse() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -66,6 +75,7 @@
 	return float64(stats.HeapAlloc)
 }
 
+// perCall returns the mean duration of a call, in microseconds.
 func perCall(calls int, call func(number int)) float64 {
 	begun := time.Now()
 	for number := range calls {
@@ -74,6 +84,7 @@
 	return float64(time.Since(begun).Microseconds()) / float64(calls)
 }
 
+// slopeEdits returns the settings of the given number of keyed services and of their teams.
 func slopeEdits(services int) []tree.Edit {
 	edits := []tree.Edit{{Path: "", Fields: map[string]any{"Timeout": "5s"}}}
 	for service := range services {
@@ -92,6 +103,7 @@
 	return edits
 }
 
+// slopeCandidates returns the upstreams of a service, spread over four availability zones.
 func slopeCandidates() []cherrykeel.Candidate {
 	var candidates []cherrykeel.Candidate
 	for upstream := range slopeUpstreams {
@@ -100,7 +112,7 @@
 	return candidates
 }
 
-// stateSlope measures the fold with a number of keyed services.
+// stateSlope measures the size of the fold and the cost of a change of settings with a number of keyed services.
 func stateSlope(services int) ([]SlopeRow, error) {
 	before := heapInUse()
 	state := fold.NewState()
@@ -164,7 +176,7 @@
 	}, errors.WithStack(err)
 }
 
-// keeperSlope measures a keeper whose service has a number of partitions.
+// keeperSlope measures the CPU time and the messages of a keeper whose service has a number of partitions.
 func keeperSlope(partitions int) ([]SlopeRow, error) {
 	service := &cherrykeel.Service{Path: "a/b", Keyed: true, Partitions: partitions, ChecksFences: true, LeaseLength: 900 * time.Millisecond}
 	for _, candidate := range slopeCandidates() {
@@ -208,7 +220,8 @@
 	}, nil
 }
 
-// acceptingAnswer is what an upstream says that took an order.
+// acceptingAnswer returns an upstream's answer to an order. It accepts a grant, and to a query it only reports what it
+// holds.
 func acceptingAnswer(order lease.Order, placement cherrykeel.Placement, now cherrykeel.Instant) cherrykeel.Holding {
 	holding := cherrykeel.Holding{Incarnation: "boot", Now: now.Sub(0), Accepted: !order.Query, Fence: order.Grant.Fence, Until: order.Grant.Until}
 	for partition, owner := range placement.Owners {
@@ -219,7 +232,7 @@
 	return holding
 }
 
-// hostsSlope measures what grows with the number of entry hosts on the list.
+// hostsSlope measures the cost of the platform's list and of hellos with a number of entry hosts.
 func hostsSlope(hosts int) []SlopeRow {
 	var members []cherrykeel.Member
 	var names []string
