--- a/fault/proxy.go
+++ b/fault/proxy.go
@@ -154,10 +154,10 @@
 	}
 	proxy.track(caller, true)
 	proxy.track(callee, true)
-	var both sync.WaitGroup
-	both.Go(func() { proxy.copy(callee, caller, true) })
-	both.Go(func() { proxy.copy(caller, callee, false) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { proxy.copy(callee, caller, true) })
+	directions.Go(func() { proxy.copy(caller, callee, false) })
+	directions.Wait()
 	_ = caller.Close()
 	_ = callee.Close()
 }
