--- a/bench/overload.go
+++ b/bench/overload.go
@@ -90,7 +90,7 @@
 }
 
 // add counts an answer that arrived before the end of the load.
-func (tally *tally) add(lookup bool, took time.Duration) {
+func (tally *tally) add(lookup bool, latency time.Duration) {
 	if time.Now().After(tally.endsAt) {
 		return
 	}
@@ -98,10 +98,10 @@
 	tally.mutex.Lock()
 	defer tally.mutex.Unlock()
 	if lookup {
-		_ = tally.lookups.RecordValue(int64(took))
+		_ = tally.lookups.RecordValue(int64(latency))
 		return
 	}
-	_ = tally.searches.RecordValue(int64(took))
+	_ = tally.searches.RecordValue(int64(latency))
 }
 
 // setup is a world whose archive service is put under load, by lookups, which have high priority, and searches, which
@@ -203,12 +203,12 @@
 	roundRobin := naive.NewRoundRobin()
 	var roundRobinMutex sync.Mutex
 	rate := load * setup.capacity()
-	pause := time.Duration(float64(time.Second) / rate)
+	interval := time.Duration(float64(time.Second) / rate)
 	begun := time.Now()
 	total := newTally(begun.Add(length))
 	var running sync.WaitGroup
 	for number := 0; time.Since(begun) < length; number++ {
-		due := begun.Add(time.Duration(number) * pause)
+		due := begun.Add(time.Duration(number) * interval)
 		time.Sleep(time.Until(due))
 		running.Go(func() {
 			if version == Naive {
