--- a/bench/overload.go
+++ b/bench/overload.go
@@ -23,149 +23,173 @@
 )
 
 const (
-	work      = 20 * time.Millisecond
-	loadHosts = 4
-	zones     = 4
-	warmLoad  = 0.3
-	warmTime  = 2 * time.Second
+	// processingTime is the processing time of a request on a healthy upstream.
+	processingTime = 20 * time.Millisecond
+	// hostCount is the number of entry hosts, which are spread over the availability zones.
+	hostCount = 4
+	// zones is the number of availability zones.
+	zones = 4
+	// warmUpLoad is the load, relative to capacity, before results count.
+	warmUpLoad = 0.3
+	// warmUpTime is the length of the warm-up.
+	warmUpTime = 2 * time.Second
 )
 
-// Condition is what is wrong with the upstreams while load is put on them.
+// Condition is the fault of the upstreams while they are under load.
 type Condition string
 
-// The conditions that Overload knows.
+// The conditions of Overload.
 const (
-	Healthy  Condition = "healthy"
-	OneSlow  Condition = "one slow upstream"
-	OneLying Condition = "one lying upstream"
+	// Healthy has no fault.
+	Healthy Condition = "healthy"
+	// OneSlow lets one upstream take six times the usual processing time.
+	OneSlow Condition = "one slow upstream"
+	// OneMisreporting lets one upstream report that it is idle while it sheds most requests.
+	OneMisreporting Condition = "one lying upstream"
 )
 
-// Conditions lists all.
-var Conditions = []Condition{Healthy, OneSlow, OneLying}
+// Conditions lists all conditions, in the order in which they are measured.
+var Conditions = []Condition{Healthy, OneSlow, OneMisreporting}
 
-// OverloadRow is what one load gave.
+// OverloadRow has the results of one load under one condition.
 type OverloadRow struct {
+	// Condition is the fault of the upstreams.
 	Condition Condition
-	Version   string
-	// Load is the offered load, over the capacity of the upstreams.
+	// Version is ThroughHosts or Naive.
+	Version string
+	// Load is the rate of requests, divided by the capacity of the upstreams.
 	Load float64
-	// Goodput is the rate of answers in time, over the capacity.
+	// Goodput is the rate of requests answered with 200 before the load ended, divided by the capacity.
 	Goodput float64
-	// Lookups and Searches have the latencies of answered requests of high and low priority.
+	// LookupMedian and LookupP99 are latencies of answered requests of high priority.
 	LookupMedian, LookupP99 time.Duration
+	// SearchMedian and SearchP99 are latencies of answered requests of low priority.
 	SearchMedian, SearchP99 time.Duration
-	// MostAtOnce is the most requests that one upstream worked on or held at a time.
+	// MostAtOnce is the largest number of requests that one upstream held at the same time, running or waiting.
 	MostAtOnce int
 }
 
-// tally counts what callers got.
+// tally counts the successful requests of callers and records their latencies.
 type tally struct {
-	// ends is when the load ends; answers after it count for nothing.
-	ends     time.Time
-	good     atomic.Int64
+	// endsAt is the end of the load; later answers are ignored.
+	endsAt time.Time
+	good   atomic.Int64
+	// mutex guards the histograms.
 	mutex    sync.Mutex
 	lookups  *hdrhistogram.Histogram
 	searches *hdrhistogram.Histogram
 }
 
-func newTally(ends time.Time) *tally {
+// newTally returns an empty tally for a load that ends at the given time.
+func newTally(endsAt time.Time) *tally {
 	return &tally{
-		ends:     ends,
-		lookups:  hdrhistogram.New(1, int64(maxLatency), digits),
-		searches: hdrhistogram.New(1, int64(maxLatency), digits),
+		endsAt:   endsAt,
+		lookups:  hdrhistogram.New(1, int64(maxLatency), significantDigits),
+		searches: hdrhistogram.New(1, int64(maxLatency), significantDigits),
 	}
 }
 
-func (tally *tally) add(lookup bool, took time.Duration) {
-	if time.Now().After(tally.ends) {
+// add counts an answer that arrived before the end of the load.
+func (tally *tally) add(lookup bool, latency time.Duration) {
+	if time.Now().After(tally.endsAt) {
 		return
 	}
 	tally.good.Add(1)
 	tally.mutex.Lock()
 	defer tally.mutex.Unlock()
 	if lookup {
-		_ = tally.lookups.RecordValue(int64(took))
+		_ = tally.lookups.RecordValue(int64(latency))
 		return
 	}
-	_ = tally.searches.RecordValue(int64(took))
+	_ = tally.searches.RecordValue(int64(latency))
 }
 
-// arena is a world under load on one service's upstreams, from lookups, which are urgent, and searches.
-type arena struct {
+// setup is a world whose archive service is put under load, by lookups, which have high priority, and searches, which
+// have low priority.
+type setup struct {
 	world   *demo.World
 	entries []*host.Host
 	stop    func()
 	client  *http.Client
-	slots   int
+	// slots is the number of slots per upstream.
+	slots int
+	// servers is the number of upstreams of the service.
 	servers int
 }
 
-// Ours and Naive name the versions that Overload compares.
+// The versions that Overload compares.
 const (
-	Ours  = "ours"
+	// ThroughHosts sends requests through the entry hosts.
+	ThroughHosts = "ours"
+	// Naive sends requests directly to upstreams in round-robin order and retries any failure at once.
 	Naive = "round robin, blind retry"
 )
 
-func newArena(ctx context.Context) (*arena, error) {
-	world, err := demo.NewWorld(func(options *fakes.UpstreamOptions) { options.Work = work })
+// newSetup creates a world, starts its hosts and waits until keys have owners.
+func newSetup(ctx context.Context) (*setup, error) {
+	world, err := demo.NewWorld(func(options *fakes.UpstreamOptions) { options.Work = processingTime })
 	if err != nil {
 		return nil, err
 	}
-	arena := &arena{world: world, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}, slots: 3, servers: 8}
-	for i := range loadHosts {
-		arena.entries = append(arena.entries, host.New(world.Config(fmt.Sprintf("bench-%d", i+1), fmt.Sprintf("seoul-%c", 'a'+i%zones))))
+	setup := &setup{world: world, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}, slots: 3, servers: 8}
+	for i := range hostCount {
+		setup.entries = append(setup.entries, host.New(world.Config(fmt.Sprintf("bench-%d", i+1), fmt.Sprintf("seoul-%c", 'a'+i%zones))))
 	}
-	arena.stop, err = runHosts(ctx, world, arena.entries...)
+	setup.stop, err = runHosts(ctx, world, setup.entries...)
 	if err != nil {
 		world.Close()
 		return nil, err
 	}
-	return arena, nil
+	return setup, nil
 }
 
-func (arena *arena) close() {
-	arena.client.CloseIdleConnections()
-	arena.stop()
-	arena.world.Close()
+// close stops the hosts and closes the world.
+func (setup *setup) close() {
+	setup.client.CloseIdleConnections()
+	setup.stop()
+	setup.world.Close()
 }
 
-// capacity is how many requests a second one service's upstreams can answer.
-func (arena *arena) capacity() float64 {
-	return float64(arena.servers*arena.slots) / work.Seconds()
+// capacity returns the number of requests per second that the service's healthy upstreams can answer.
+func (setup *setup) capacity() float64 {
+	return float64(setup.servers*setup.slots) / processingTime.Seconds()
 }
 
-// Overload puts each load on the system for a time, ours and the naive version.
+// Overload measures each load under a condition for the given length, first with requests sent through hosts, then with
+// the naive version. Loads are relative to the capacity of the upstreams.
 func Overload(ctx context.Context, condition Condition, loads []float64, length time.Duration) ([]OverloadRow, error) {
-	arena, err := newArena(ctx)
+	setup, err := newSetup(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer arena.close()
-	// Hosts that have just started know neither shares of slots nor how long requests take.
-	arena.offer(warmLoad, Ours, warmTime)
+	defer setup.close()
+	// Hosts that have just started have neither their shares of slots nor estimates of processing times.
+	setup.offer(warmUpLoad, ThroughHosts, warmUpTime)
 	var rows []OverloadRow
 	for _, load := range loads {
-		for _, version := range []string{Ours, Naive} {
-			arena.setCondition(condition)
-			row := arena.offer(load, version, length)
+		for _, version := range []string{ThroughHosts, Naive} {
+			setup.setCondition(condition)
+			row := setup.offer(load, version, length)
 			row.Condition = condition
 			rows = append(rows, row)
-			arena.setCondition(Healthy)
+			setup.setCondition(Healthy)
 			time.Sleep(time.Second)
 		}
 	}
 	return rows, nil
 }
 
-func (arena *arena) setCondition(condition Condition) {
-	for name, upstream := range arena.world.Upstreams {
+// setCondition injects the condition's fault into the upstreams whose names end with "-01", and clears the faults of all
+// others.
+func (setup *setup) setCondition(condition Condition) {
+	for name, upstream := range setup.world.Upstreams {
 		faults := fakes.UpstreamFaults{Load: -1}
-		chosen := strings.HasSuffix(name, "-01")
-		if chosen && condition == OneSlow {
-			faults.Work = 5 * work
+		affected := strings.HasSuffix(name, "-01")
+		if affected && condition == OneSlow {
+			faults.Work = 5 * processingTime
 		}
-		if chosen && condition == OneLying {
-			// It claims to be idle and sheds most of what it gets.
+		if affected && condition == OneMisreporting {
+			// The upstream reports that it is idle and sheds most requests.
 			faults.Load = 0
 			faults.Shed = 0.8
 		}
@@ -173,35 +197,35 @@
 	}
 }
 
-// offer sends requests at a steady rate, whether or not earlier ones have been answered.
-func (arena *arena) offer(load float64, version string, length time.Duration) OverloadRow {
-	arena.mostAtOnce()
-	robin := naive.NewRoundRobin()
-	var robinMutex sync.Mutex
-	rate := load * arena.capacity()
-	pause := time.Duration(float64(time.Second) / rate)
+// offer sends requests at a constant rate, independent of answers to earlier ones, and returns the results.
+func (setup *setup) offer(load float64, version string, length time.Duration) OverloadRow {
+	setup.mostAtOnce()
+	roundRobin := naive.NewRoundRobin()
+	var roundRobinMutex sync.Mutex
+	rate := load * setup.capacity()
+	interval := time.Duration(float64(time.Second) / rate)
 	begun := time.Now()
 	total := newTally(begun.Add(length))
 	var running sync.WaitGroup
 	for number := 0; time.Since(begun) < length; number++ {
-		due := begun.Add(time.Duration(number) * pause)
+		due := begun.Add(time.Duration(number) * interval)
 		time.Sleep(time.Until(due))
 		running.Go(func() {
 			if version == Naive {
-				robinMutex.Lock()
-				turn := robin.Pick("", nil, 0)
-				robinMutex.Unlock()
-				arena.sendNaive(total, number+turn)
+				roundRobinMutex.Lock()
+				turn := roundRobin.Pick("", nil, 0)
+				roundRobinMutex.Unlock()
+				setup.sendNaive(total, number+turn)
 				return
 			}
-			arena.send(total, number)
+			setup.send(total, number)
 		})
 	}
 	running.Wait()
 	return OverloadRow{
 		Version: version, Load: load,
-		MostAtOnce:   arena.mostAtOnce(),
-		Goodput:      float64(total.good.Load()) / length.Seconds() / arena.capacity(),
+		MostAtOnce:   setup.mostAtOnce(),
+		Goodput:      float64(total.good.Load()) / length.Seconds() / setup.capacity(),
 		LookupMedian: time.Duration(total.lookups.ValueAtQuantile(50)),
 		LookupP99:    time.Duration(total.lookups.ValueAtQuantile(99)),
 		SearchMedian: time.Duration(total.searches.ValueAtQuantile(50)),
@@ -209,51 +233,54 @@
 	}
 }
 
-// patience is how long callers wait for an answer.
-const patience = 3 * time.Second
+// requestTimeout is how long callers wait for an answer.
+const requestTimeout = 3 * time.Second
 
-// lookupEvery is how often a request is a lookup; the others are searches.
+// lookupEvery is the interval of lookups: each fifth request is a lookup, the others are searches.
 const lookupEvery = 5
 
-func lookup(number int) bool {
+// isLookup reports whether the request of this number is a lookup.
+func isLookup(number int) bool {
 	return number%lookupEvery == 0
 }
 
-func (arena *arena) send(total *tally, number int) {
-	entry := arena.entries[rand.IntN(len(arena.entries))]
+// send sends a request through a random host.
+func (setup *setup) send(total *tally, number int) {
+	entry := setup.entries[rand.IntN(len(setup.entries))]
 	begun := time.Now()
-	err := arena.ask("http://"+entry.Address(), number)
+	err := setup.sendRequest("http://"+entry.Address(), number)
 	if err == nil {
-		total.add(lookup(number), time.Since(begun))
+		total.add(isLookup(number), time.Since(begun))
 	}
 }
 
-// sendNaive goes round the upstreams itself and tries three times, whatever the answer.
-func (arena *arena) sendNaive(total *tally, number int) {
+// sendNaive sends a request directly to upstreams in round-robin order, with up to three attempts on any failure.
+func (setup *setup) sendNaive(total *tally, number int) {
 	begun := time.Now()
 	for attempt := range 3 {
-		name := fmt.Sprintf("archive-%02d", (number+attempt)%arena.servers+1)
-		err := arena.ask("http://"+arena.world.Addresses[name], number)
+		name := fmt.Sprintf("archive-%02d", (number+attempt)%setup.servers+1)
+		err := setup.sendRequest("http://"+setup.world.Addresses[name], number)
 		if err == nil {
-			total.add(lookup(number), time.Since(begun))
+			total.add(isLookup(number), time.Since(begun))
 			return
 		}
 	}
 }
 
-func (arena *arena) ask(base string, number int) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// sendRequest sends a request with its priority and timeout. Any status other than 200 is an error.
+func (setup *setup) sendRequest(base string, number int) error {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	outgoing, err := request(base, number)
 	if err != nil {
 		return err
 	}
 	outgoing.Header.Set(cherrykeel.HeaderPriority, "u=7")
-	if lookup(number) {
+	if isLookup(number) {
 		outgoing.Header.Set(cherrykeel.HeaderPriority, "u=0")
 	}
-	outgoing.Header.Set(cherrykeel.HeaderTimeout, strconv.FormatInt(patience.Milliseconds(), 10))
-	response, err := arena.client.Do(outgoing.WithContext(ctx))
+	outgoing.Header.Set(cherrykeel.HeaderTimeout, strconv.FormatInt(requestTimeout.Milliseconds(), 10))
+	response, err := setup.client.Do(outgoing.WithContext(ctx))
 	if err != nil {
 		return errors.WithStack(err)
 	}
@@ -265,10 +292,11 @@
 	return nil
 }
 
-// mostAtOnce is the most requests that one of the service's upstreams has held at a time since the last call.
-func (arena *arena) mostAtOnce() int {
+// mostAtOnce returns the largest number of requests that one upstream of the service held at the same time since the last
+// call.
+func (setup *setup) mostAtOnce() int {
 	most := 0
-	for name, upstream := range arena.world.Upstreams {
+	for name, upstream := range setup.world.Upstreams {
 		if strings.HasPrefix(name, "archive") {
 			most = max(most, upstream.MostAtOnce())
 		}
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -19,23 +19,32 @@
 	"cherrykeel/wire"
 )
 
-// SlopeRow is one figure at one size; three sizes or more show the slope.
+// SlopeRow is one result at one size. Three or more sizes show how the result grows.
 type SlopeRow struct {
-	What  string
-	Of    string
-	At    int
+	// What is the quantity.
+	What string
+	// Of is what the size counts, such as entry hosts.
+	Of string
+	// At is the size.
+	At int
+	// Value is the result, in Unit.
 	Value float64
-	Unit  string
+	// Unit is the unit of Value.
+	Unit string
 }
 
 const (
+	// slopePartitions is the number of partitions per service, except where partitions are the size.
 	slopePartitions = 1024
-	slopeUpstreams  = 10
-	perTeam         = 8
-	rounds          = 200
+	// slopeUpstreams is the number of upstreams per service.
+	slopeUpstreams = 10
+	// servicesPerTeam is the number of services per team.
+	servicesPerTeam = 8
+	// rounds is the number of repetitions of a short timed call; a keeper's ticks take five times as many.
+	rounds = 200
 )
 
-// Slopes measures how state, messages and processor time grow.
+// Slopes measures how state, messages and CPU time grow with the numbers of keyed services, partitions and entry hosts.
 func Slopes() ([]SlopeRow, error) {
 	var rows []SlopeRow
 	for _, services := range []int{50, 200, 800} {
@@ -58,14 +67,15 @@
 	return rows, nil
 }
 
-// heap returns the bytes in use after a collection.
-func heap() float64 {
+// heapInUse returns the size of allocated heap objects after a garbage collection, in bytes.
+func heapInUse() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
 }
 
+// perCall returns the mean duration of a call, in microseconds.
 func perCall(calls int, call func(number int)) float64 {
 	begun := time.Now()
 	for number := range calls {
@@ -74,11 +84,12 @@
 	return float64(time.Since(begun).Microseconds()) / float64(calls)
 }
 
-func slopeTree(services int) []tree.Edit {
+// slopeEdits returns the settings of the given number of keyed services and of their teams.
+func slopeEdits(services int) []tree.Edit {
 	edits := []tree.Edit{{Path: "", Fields: map[string]any{"Timeout": "5s"}}}
 	for service := range services {
-		team := fmt.Sprintf("team-%d", service/perTeam)
-		if service%perTeam == 0 {
+		team := fmt.Sprintf("team-%d", service/servicesPerTeam)
+		if service%servicesPerTeam == 0 {
 			edits = append(edits, tree.Edit{Path: team, Fields: map[string]any{"Domains": []any{team + ".example"}}})
 		}
 		var servers []any
@@ -92,6 +103,7 @@
 	return edits
 }
 
+// slopeCandidates returns the upstreams of a service, spread over four availability zones.
 func slopeCandidates() []cherrykeel.Candidate {
 	var candidates []cherrykeel.Candidate
 	for upstream := range slopeUpstreams {
@@ -100,9 +112,9 @@
 	return candidates
 }
 
-// stateSlope measures the fold with a number of keyed services.
+// stateSlope measures the size of the fold and the cost of a change of settings with a number of keyed services.
 func stateSlope(services int) ([]SlopeRow, error) {
-	before := heap()
+	before := heapInUse()
 	state := fold.NewState()
 	offset := int64(0)
 	apply := func(record fold.Record) error {
@@ -115,11 +127,11 @@
 		offset++
 		return err
 	}
-	edits := slopeTree(services)
+	edits := slopeEdits(services)
 	err := apply(fold.Record{ID: "tree", Change: &fold.Change{Edits: edits}})
 	placement := place.New().Place(cherrykeel.Placement{}, slopePartitions, slopeCandidates(), cherrykeel.Demand{}, slopePartitions)
 	for service := range services {
-		path := fmt.Sprintf("team-%d/s%d", service/perTeam, service)
+		path := fmt.Sprintf("team-%d/s%d", service/servicesPerTeam, service)
 		if err == nil {
 			err = apply(fold.Record{ID: "claim", Author: "host", Claim: &fold.Claim{Service: path, Witnesses: []string{"a", "b", "c", "d", "e"}}})
 		}
@@ -132,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	used := heap() - before
+	used := heapInUse() - before
 	snapshot, err := state.Snapshot()
 	if err != nil {
 		return nil, err
@@ -164,7 +176,7 @@
 	}, errors.WithStack(err)
 }
 
-// keeperSlope measures a keeper whose service has a number of partitions.
+// keeperSlope measures the CPU time and the messages of a keeper whose service has a number of partitions.
 func keeperSlope(partitions int) ([]SlopeRow, error) {
 	service := &cherrykeel.Service{Path: "a/b", Keyed: true, Partitions: partitions, ChecksFences: true, LeaseLength: 900 * time.Millisecond}
 	for _, candidate := range slopeCandidates() {
@@ -172,23 +184,23 @@
 	}
 	witness := lease.NewWitness(0)
 	witness.RecordCaughtUp(0)
-	kept := keeper.New("host", "a/b", witness, place.New())
+	serviceKeeper := keeper.New("host", "a/b", witness, place.New())
 	placement := place.New().Place(cherrykeel.Placement{}, partitions, slopeCandidates(), cherrykeel.Demand{}, partitions)
 	block := fold.ServiceOwnership{Term: 1, Keeper: "host", Witnesses: []string{"host"}, Sequence: 1, LeaseLength: 900 * time.Millisecond, Placement: placement}
 	now := cherrykeel.Instant(time.Second)
 	grants, grantBytes, largest := 0, 0, 0
 	tick := func(int) {
 		now = now.Add(20 * time.Millisecond)
-		actions := kept.Tick(keeper.Input{Now: now, Block: block, Service: service, Hosts: []keeper.Host{{Name: "host"}}, ClaimedTerm: 1})
+		actions := serviceKeeper.Tick(keeper.Input{Now: now, Block: block, Service: service, Hosts: []keeper.Host{{Name: "host"}}, ClaimedTerm: 1})
 		for _, name := range actions.RequestConfirmation {
-			kept.RecordConfirmation(name, 1, now)
+			serviceKeeper.RecordConfirmation(name, 1, now)
 		}
 		for _, order := range actions.Orders {
 			data, _ := json.Marshal(order.Grant)
 			grants++
 			grantBytes += len(data)
 			largest = max(largest, len(data))
-			kept.RecordAnswer(order, answer(order, placement, now), now)
+			serviceKeeper.RecordAnswer(order, acceptingAnswer(order, placement, now), now)
 		}
 	}
 	perCall(rounds, tick)
@@ -208,8 +220,9 @@
 	}, nil
 }
 
-// answer is what an upstream says that took an order.
-func answer(order lease.Order, placement cherrykeel.Placement, now cherrykeel.Instant) cherrykeel.Holding {
+// acceptingAnswer returns an upstream's answer to an order. It accepts a grant, and to a query it only reports what it
+// holds.
+func acceptingAnswer(order lease.Order, placement cherrykeel.Placement, now cherrykeel.Instant) cherrykeel.Holding {
 	holding := cherrykeel.Holding{Incarnation: "boot", Now: now.Sub(0), Accepted: !order.Query, Fence: order.Grant.Fence, Until: order.Grant.Until}
 	for partition, owner := range placement.Owners {
 		if owner == order.Lessee {
@@ -219,7 +232,7 @@
 	return holding
 }
 
-// hostsSlope measures what grows with the number of entry hosts on the list.
+// hostsSlope measures the cost of the platform's list and of hellos with a number of entry hosts.
 func hostsSlope(hosts int) []SlopeRow {
 	var members []cherrykeel.Member
 	var names []string
