--- a/proof/cluster_test.go
+++ b/proof/cluster_test.go
@@ -26,8 +26,9 @@
 	"cherrykeel/opctl"
 )
 
-// patience is generous: no test says how fast something is, only that it comes about.
-const patience = 60 * time.Second
+// waitTimeout limits each wait and each request. It is generous, since the tests check that something happens,
+// not how fast.
+const waitTimeout = 60 * time.Second
 
 var cherrykeelPath, standinPath string
 
@@ -46,7 +47,7 @@
 
 var _ = AfterSuite(gexec.CleanupBuildArtifacts)
 
-// transcript collects what a program writes.
+// transcript collects a program's standard output and standard error.
 type transcript struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -64,7 +65,7 @@
 	return transcript.buffer.String()
 }
 
-// process is a program that a test has started.
+// process is a program started by a test.
 type process struct {
 	name    string
 	command *exec.Cmd
@@ -72,7 +73,8 @@
 	done    chan struct{}
 }
 
-func start(name, program string, arguments ...string) *process {
+// startProcess starts a program, which is killed at the end of the spec.
+func startProcess(name, program string, arguments ...string) *process {
 	started := &process{name: name, command: exec.Command(program, arguments...), output: &transcript{}, done: make(chan struct{})}
 	started.command.Stdout = started.output
 	started.command.Stderr = started.output
@@ -89,6 +91,7 @@
 	_ = process.command.Process.Signal(signal)
 }
 
+// kill ends the program with SIGKILL, and adds its output to the report if the spec has failed.
 func (process *process) kill() {
 	process.signal(syscall.SIGKILL)
 	<-process.done
@@ -97,6 +100,7 @@
 	}
 }
 
+// awaitListening waits until a TCP connection to the address succeeds.
 func awaitListening(address string) {
 	Eventually(func() error {
 		conn, err := net.Dial("tcp", address)
@@ -104,10 +108,10 @@
 			_ = conn.Close()
 		}
 		return err
-	}, patience, "20ms").Should(Succeed())
+	}, waitTimeout, "20ms").Should(Succeed())
 }
 
-// upstream is a stand-in server behind a proxy.
+// upstream is a stand-in upstream behind a proxy. process is nil if it runs in the test's own process.
 type upstream struct {
 	process *process
 	name    string
@@ -115,75 +119,78 @@
 	proxy   *fault.Proxy
 }
 
-// entry is an entry host.
+// entry is an entry host that runs as a process of its own.
 type entry struct {
 	process *process
 	name    string
 	address string
 	admin   string
 	config  string
-	// logProxy stands between this host and the log.
+	// logProxy forwards this host's connections to the log.
 	logProxy *fault.Proxy
 }
 
-// cluster is a whole installation.
+// cluster is a complete installation: the log, the host list, entry hosts and upstreams, all on loopback addresses.
 type cluster struct {
-	dir       string
-	log       string
-	list      string
-	logStart  *process
-	hosts     []*entry
-	upstreams map[string]*upstream
-	client    *http.Client
+	dir             string
+	logAddress      string
+	hostListAddress string
+	logProcess      *process
+	hosts           []*entry
+	upstreams       map[string]*upstream
+	client          *http.Client
 }
 
+// zones is the number of availability zones over which hosts and upstreams are distributed.
 const zones = 3
 
+// newCluster starts the log, the host list and a number of entry hosts.
 func newCluster(hosts int) *cluster {
-	cluster := &cluster{dir: GinkgoT().TempDir(), log: fakes.FreeAddress(), list: fakes.FreeAddress(), upstreams: map[string]*upstream{}}
-	cluster.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: patience}
+	cluster := &cluster{dir: GinkgoT().TempDir(), logAddress: fakes.FreeAddress(), hostListAddress: fakes.FreeAddress(), upstreams: map[string]*upstream{}}
+	cluster.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: waitTimeout}
 	DeferCleanup(cluster.client.CloseIdleConnections)
-	cluster.logStart = start("log", standinPath, "log", "--listen", cluster.log)
-	start("list", standinPath, "hosts", "--listen", cluster.list, "--lag", "200ms")
-	awaitListening(cluster.log)
-	awaitListening(cluster.list)
+	cluster.logProcess = startProcess("log", standinPath, "log", "--listen", cluster.logAddress)
+	startProcess("list", standinPath, "hosts", "--listen", cluster.hostListAddress, "--lag", "200ms")
+	awaitListening(cluster.logAddress)
+	awaitListening(cluster.hostListAddress)
 	for i := range hosts {
 		cluster.addHost(fmt.Sprintf("entry-%d", i+1), i)
 	}
 	return cluster
 }
 
+// addHost starts an entry host with a proxy between it and the log.
 func (cluster *cluster) addHost(name string, zone int) *entry {
 	added := &entry{name: name, address: fakes.FreeAddress(), admin: fakes.FreeAddress()}
 	var err error
-	added.logProxy, err = fault.Listen(cluster.log)
+	added.logProxy, err = fault.Listen(cluster.logAddress)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(added.logProxy.Close)
 	added.config = filepath.Join(cluster.dir, name+".toml")
 	text := fmt.Sprintf("Name = %q\nZone = \"zone-%d\"\nListen = %q\nAdmin = %q\nInner = %q\nLog = \"http://%s\"\nHosts = \"http://%s\"\nStopDelay = \"300ms\"\nStopTimeout = \"30s\"\nCheckpointRecords = 10\n",
-		name, zone%zones, added.address, added.admin, fakes.FreeAddress(), added.logProxy.Address(), cluster.list)
+		name, zone%zones, added.address, added.admin, fakes.FreeAddress(), added.logProxy.Address(), cluster.hostListAddress)
 	Expect(os.WriteFile(added.config, []byte(text), 0o600)).To(Succeed())
-	added.process = start(name, cherrykeelPath, "run", "--config", added.config)
+	added.process = startProcess(name, cherrykeelPath, "run", "--config", added.config)
 	cluster.hosts = append(cluster.hosts, added)
 	awaitListening(added.admin)
 	return added
 }
 
-// addUpstreams starts stand-ins for a service and returns the settings that name them.
+// addUpstreams starts stand-in upstreams for a service and returns their part of the service's settings.
 func (cluster *cluster) addUpstreams(prefix string, count int, flags ...string) string {
 	text := ""
 	for i := range count {
 		added := &upstream{name: fmt.Sprintf("%s-%d", prefix, i+1), address: fakes.FreeAddress()}
 		arguments := append([]string{"upstream", "--name", added.name, "--listen", added.address}, flags...)
-		added.process = start(added.name, standinPath, arguments...)
+		added.process = startProcess(added.name, standinPath, arguments...)
 		awaitListening(added.address)
-		text += cluster.front(added, i)
+		text += cluster.addProxy(added, i)
 	}
 	return text
 }
 
-// front puts a proxy before an upstream and returns the settings that name it.
-func (cluster *cluster) front(added *upstream, zone int) string {
+// addProxy starts a proxy before an upstream and returns the settings that list the upstream under the proxy's address.
+func (cluster *cluster) addProxy(added *upstream, zone int) string {
 	var err error
 	added.proxy, err = fault.Listen(added.address)
 	Expect(err).NotTo(HaveOccurred())
@@ -192,40 +199,42 @@
 	return fmt.Sprintf("\n[[Upstreams]]\nName = %q\nAddress = %q\nZone = \"zone-%d\"\n", added.name, added.proxy.Address(), zone%zones)
 }
 
-// write puts a file of the settings tree in place.
-func (cluster *cluster) write(file, text string) {
+// writeSettings writes a file of the settings tree, replacing an earlier one.
+func (cluster *cluster) writeSettings(file, text string) {
 	path := filepath.Join(cluster.dir, "tree", file)
 	Expect(os.MkdirAll(filepath.Dir(path), 0o700)).To(Succeed())
 	Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 }
 
-// operate runs an operator's command and returns its output and exit code.
-func (cluster *cluster) operate(arguments ...string) (string, int) {
+// runCommand runs a command of the operators' program and returns its output and exit code.
+func (cluster *cluster) runCommand(arguments ...string) (string, int) {
 	command := exec.Command(cherrykeelPath, arguments...)
-	command.Env = append(os.Environ(), "CHERRYKEEL_LOG=http://"+cluster.log, "CHERRYKEEL_HOSTS=http://"+cluster.list, "USER=olive")
+	command.Env = append(os.Environ(), "CHERRYKEEL_LOG=http://"+cluster.logAddress, "CHERRYKEEL_HOSTS=http://"+cluster.hostListAddress, "USER=olive")
 	output, _ := command.CombinedOutput()
 	return string(output), command.ProcessState.ExitCode()
 }
 
+// publish publishes the settings tree and expects success.
 func (cluster *cluster) publish(reason string) {
-	output, code := cluster.operate("publish", filepath.Join(cluster.dir, "tree"), "--reason", reason)
+	output, code := cluster.runCommand("publish", filepath.Join(cluster.dir, "tree"), "--reason", reason)
 	Expect(code).To(Equal(opctl.ExitDone), output)
 }
 
-// shop publishes a team with a keyed service, a plain one, and one whose actions must run once.
-func (cluster *cluster) shop(keyedFlags ...string) {
-	cluster.write("firm.toml", "Timeout = \"5s\"\n")
-	cluster.write("shop/team.toml", "Domains = [\"shop.example\"]\nSlots = 64\nConnections = 800\n")
-	cluster.write("shop/keys.toml", "PathPrefix = \"/keys\"\nKeyed = true\nKeyFrom = \"path:1\"\nPartitions = 64\n"+
+// publishShop publishes the settings of a team with four services: keys is keyed, plain is idempotent, pay is not
+// idempotent and uses the log as its repeat guard, and once is not idempotent and has no repeat guard.
+func (cluster *cluster) publishShop(keyedFlags ...string) {
+	cluster.writeSettings("firm.toml", "Timeout = \"5s\"\n")
+	cluster.writeSettings("shop/team.toml", "Domains = [\"shop.example\"]\nSlots = 64\nConnections = 800\n")
+	cluster.writeSettings("shop/keys.toml", "PathPrefix = \"/keys\"\nKeyed = true\nKeyFrom = \"path:1\"\nPartitions = 64\n"+
 		cluster.addUpstreams("keys", 4, append([]string{"--slots", "64", "--queue", "512", "--work", "1ms"}, keyedFlags...)...))
-	cluster.write("shop/plain.toml", "PathPrefix = \"/plain\"\nIdempotent = \"always\"\nKeyFrom = \"path:1\"\nTimeout = \"2s\"\n"+cluster.addUpstreams("plain", 3, "--slots", "64", "--queue", "512", "--work", "1ms"))
-	cluster.write("shop/pay.toml", "PathPrefix = \"/pay\"\nIdempotent = \"never\"\nRepeatGuard = \"log\"\nKeyFrom = \"path:1\"\nTimeout = \"2s\"\n"+cluster.addUpstreams("pay", 3, "--slots", "64", "--queue", "512", "--work", "1ms"))
-	cluster.write("shop/once.toml", "PathPrefix = \"/once\"\nIdempotent = \"never\"\nKeyFrom = \"path:1\"\nTimeout = \"2s\"\n"+cluster.addUpstreams("once", 3, "--slots", "64", "--queue", "512", "--work", "1ms"))
+	cluster.writeSettings("shop/plain.toml", "PathPrefix = \"/plain\"\nIdempotent = \"always\"\nKeyFrom = \"path:1\"\nTimeout = \"2s\"\n"+cluster.addUpstreams("plain", 3, "--slots", "64", "--queue", "512", "--work", "1ms"))
+	cluster.writeSettings("shop/pay.toml", "PathPrefix = \"/pay\"\nIdempotent = \"never\"\nRepeatGuard = \"log\"\nKeyFrom = \"path:1\"\nTimeout = \"2s\"\n"+cluster.addUpstreams("pay", 3, "--slots", "64", "--queue", "512", "--work", "1ms"))
+	cluster.writeSettings("shop/once.toml", "PathPrefix = \"/once\"\nIdempotent = \"never\"\nKeyFrom = \"path:1\"\nTimeout = \"2s\"\n"+cluster.addUpstreams("once", 3, "--slots", "64", "--queue", "512", "--work", "1ms"))
 	cluster.publish("first")
 	cluster.awaitOwners()
 }
 
-// awaitOwners waits until the keyed service has settled.
+// awaitOwners waits until the keeper of a keyed service reports it as settled and every partition has an owner.
 func (cluster *cluster) awaitOwners() {
 	Eventually(func() bool {
 		for _, entry := range cluster.hosts {
@@ -240,9 +249,10 @@
 			}
 		}
 		return false
-	}, patience, "50ms").Should(BeTrue())
+	}, waitTimeout, "50ms").Should(BeTrue())
 }
 
+// status requests a host's status from its admin address.
 func (cluster *cluster) status(entry *entry) (host.Status, error) {
 	var status host.Status
 	response, err := cluster.client.Get("http://" + entry.admin + "/status")
@@ -253,7 +263,7 @@
 	return status, json.NewDecoder(response.Body).Decode(&status)
 }
 
-// keeper returns the host that keeps a service.
+// keeper waits until a host is the keeper of a service, and returns that host.
 func (cluster *cluster) keeper(service string) *entry {
 	var found *entry
 	Eventually(func() *entry {
@@ -269,20 +279,20 @@
 			}
 		}
 		return found
-	}, patience, "50ms").ShouldNot(BeNil())
+	}, waitTimeout, "50ms").ShouldNot(BeNil())
 	return found
 }
 
-// answer is what a caller got.
-type answer struct {
+// callResult is what a caller received: a response, or the error that prevented one.
+type callResult struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-// ask sends a caller's request through a host.
-func (cluster *cluster) ask(entry *entry, method, path, body string, headers ...string) answer {
+// request sends a request to a host as a caller would. headers alternates names and values.
+func (cluster *cluster) request(entry *entry, method, path, body string, headers ...string) callResult {
 	request, err := http.NewRequest(method, "http://"+entry.address+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = "shop.example"
@@ -291,15 +301,15 @@
 	}
 	response, err := cluster.client.Do(request)
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(data), err: err}
+	return callResult{status: response.StatusCode, header: response.Header, body: string(data), err: err}
 }
 
-// order tells a stand-in which faults to show.
-func (cluster *cluster) order(address string, faults any) {
+// setFaults sets the faults that a stand-in injects.
+func (cluster *cluster) setFaults(address string, faults any) {
 	data, err := json.Marshal(faults)
 	Expect(err).NotTo(HaveOccurred())
 	response, err := cluster.client.Post("http://"+address, "application/json", bytes.NewReader(data))
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,3 +1,4 @@
-// Package proof holds the tests with real processes: several entry hosts, the
-// platform's stand-ins and upstreams, behind a proxy that injects faults.
+// Package proof tests the system's guarantees with real processes on loopback addresses: several entry hosts, stand-ins
+// for the platform's log and host list, and upstreams. Proxies that inject faults stand before the log and the
+// upstreams.
 package proof
--- a/proof/entry_test.go
+++ b/proof/entry_test.go
@@ -13,7 +13,7 @@
 	"cherrykeel/events"
 )
 
-// entrySettings is the platform's settings file of an entry host whose store nobody serves.
+// entrySettings returns the platform's settings file for an entry host. No process serves the store's address.
 func entrySettings(grace string) string {
 	port := func() string {
 		listener, err := net.Listen("tcp", "127.0.0.77:0")
@@ -34,23 +34,23 @@
 }`, port(), port(), inner, inner, grace, port())
 }
 
-var _ = Describe("an entry host on the users' platform", func() {
-	// The platform changes the settings file and sends SIGHUP, which ends a process that does not take it, with
-	// all its requests. The host goes on, and says what is in force; a file that cannot be used changes nothing.
-	It("reads its settings again on SIGHUP and goes on, also when they cannot be used", func() {
+var _ = Describe("an entry host on the platform", func() {
+	// The platform changes the settings file and then sends SIGHUP, which ends a process that does not handle it,
+	// together with all its requests. Guards against a host that ends on SIGHUP or on an invalid settings file.
+	It("rereads its settings on SIGHUP and keeps running, also when they are invalid", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "settings.json")
 		settings := entrySettings("1s")
 		Expect(os.WriteFile(path, []byte(settings), 0o600)).To(Succeed())
-		host := start("entry", cherrykeelPath, "entry", "--config", path)
-		Eventually(host.output.text, patience).Should(ContainSubstring(events.EntryStarted.Text))
+		host := startProcess("entry", cherrykeelPath, "entry", "--config", path)
+		Eventually(host.output.text, waitTimeout).Should(ContainSubstring(events.EntryStarted.Text))
 		host.signal(syscall.SIGHUP)
-		Eventually(host.output.text, patience).Should(ContainSubstring(events.SettingsReread.Text))
+		Eventually(host.output.text, waitTimeout).Should(ContainSubstring(events.SettingsReread.Text))
 		Expect(os.WriteFile(path, []byte("{"), 0o600)).To(Succeed())
 		host.signal(syscall.SIGHUP)
-		Eventually(host.output.text, patience).Should(ContainSubstring(events.SettingsInvalid.Text))
+		Eventually(host.output.text, waitTimeout).Should(ContainSubstring(events.SettingsInvalid.Text))
 		Expect(host.done).NotTo(BeClosed())
 		host.signal(syscall.SIGTERM)
-		Eventually(host.done, patience).Should(BeClosed())
+		Eventually(host.done, waitTimeout).Should(BeClosed())
 		Expect(host.command.ProcessState.ExitCode()).To(BeZero())
 		Expect(host.output.text()).To(ContainSubstring(events.EntryStopped.Text))
 	})
--- a/proof/ownership_test.go
+++ b/proof/ownership_test.go
@@ -19,9 +19,9 @@
 	"cherrykeel/fault"
 )
 
-// registers is how many keys callers use; with few, writes whose outcome is unknown pile up on
-// each, and the search for a linear order takes longer than anybody waits.
-const registers = 64
+// registerCount is the number of keys that callers use. With few keys, many writes of unknown outcome accumulate on each
+// key, and the search for a linear order of the operations takes too long.
+const registerCount = 64
 
 // registerInput is an operation on one key's register.
 type registerInput struct {
@@ -30,6 +30,8 @@
 	key   string
 }
 
+// registerModel is a register per key, empty at first. A read must return the value of the latest write; a read
+// without output may have returned any value.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		keys := map[string][]porcupine.Operation{}
@@ -53,7 +55,7 @@
 	},
 }
 
-// recorder keeps the history of all callers.
+// recorder records the operations of all callers for the linearizability check.
 type recorder struct {
 	mutex   sync.Mutex
 	history []porcupine.Operation
@@ -67,17 +69,18 @@
 	recorder.history = append(recorder.history, operation)
 }
 
-// call does one operation through a random host and records what may have happened.
-func (recorder *recorder) call(cluster *cluster, caller, number int) {
-	input := registerInput{write: rand.IntN(2) == 0, value: fmt.Sprintf("%d-%d", caller, number), key: fmt.Sprintf("hall-%d", rand.IntN(registers))}
+// callRandom does one operation through a random host. It records every operation that succeeded, and every write
+// that may have taken effect.
+func (recorder *recorder) callRandom(cluster *cluster, caller, number int) {
+	input := registerInput{write: rand.IntN(2) == 0, value: fmt.Sprintf("%d-%d", caller, number), key: fmt.Sprintf("hall-%d", rand.IntN(registerCount))}
 	method, body := http.MethodGet, ""
 	if input.write {
 		method, body = http.MethodPut, input.value
 	}
 	entry := cluster.hosts[rand.IntN(len(cluster.hosts))]
-	begun := time.Since(recorder.started)
-	got := cluster.ask(entry, method, "/keys/"+input.key, body, "Cherrykeel-Timeout", "1500")
-	operation := porcupine.Operation{ClientId: caller, Input: input, Call: int64(begun), Return: int64(time.Since(recorder.started))}
+	callTime := time.Since(recorder.started)
+	got := cluster.request(entry, method, "/keys/"+input.key, body, "Cherrykeel-Timeout", "1500")
+	operation := porcupine.Operation{ClientId: caller, Input: input, Call: int64(callTime), Return: int64(time.Since(recorder.started))}
 	switch {
 	case got.err == nil && got.status == http.StatusOK:
 		fields := strings.SplitN(strings.TrimSuffix(got.body, "\n"), " ", 4)
@@ -85,13 +88,14 @@
 		recorder.served.Add(1)
 		recorder.add(operation)
 	case input.write && got.header.Get("Cherrykeel-Outcome") != "not-run":
-		// It may take effect at any time from now on, or never.
+		// The write may take effect at any later time, or never.
 		operation.Return = int64(time.Hour)
 		recorder.add(operation)
 	}
 }
 
-func (recorder *recorder) run(cluster *cluster, callers int, stop chan struct{}) *sync.WaitGroup {
+// startCallers runs callers that call without a pause until stop is closed.
+func (recorder *recorder) startCallers(cluster *cluster, callers int, stop chan struct{}) *sync.WaitGroup {
 	var running sync.WaitGroup
 	for caller := range callers {
 		running.Go(func() {
@@ -101,7 +105,7 @@
 				case <-stop:
 					return
 				default:
-					recorder.call(cluster, caller, number)
+					recorder.callRandom(cluster, caller, number)
 				}
 			}
 		})
@@ -109,14 +113,15 @@
 	return &running
 }
 
-// awaitServed waits until more requests have been answered.
+// awaitServed waits until more than the given number of further requests have succeeded.
 func (recorder *recorder) awaitServed(more int64) {
 	from := recorder.served.Load()
-	Eventually(recorder.served.Load, patience, "10ms").Should(BeNumerically(">", from+more))
+	Eventually(recorder.served.Load, waitTimeout, "10ms").Should(BeNumerically(">", from+more))
 }
 
-// sharedUpstreams starts upstreams in this process that share the state of their keys.
-func (cluster *cluster) sharedUpstreams(count int) ([]*fakes.Upstream, string) {
+// startSharedUpstreams starts upstreams in the test's own process that share the state of their keys, and returns
+// them and their part of the service's settings.
+func (cluster *cluster) startSharedUpstreams(count int) ([]*fakes.Upstream, string) {
 	registers := fakes.NewRegisters()
 	var servers []*fakes.Upstream
 	text := ""
@@ -129,30 +134,27 @@
 		go func() { _ = running.Serve(listener) }()
 		DeferCleanup(running.Close)
 		servers = append(servers, server)
-		text += cluster.front(&upstream{name: name, address: listener.Addr().String()}, i)
+		text += cluster.addProxy(&upstream{name: name, address: listener.Addr().String()}, i)
 	}
 	return servers, text
 }
 
-// keyed publishes one keyed service whose upstreams share the state of their keys.
-func (cluster *cluster) keyed() []*fakes.Upstream {
-	servers, text := cluster.sharedUpstreams(4)
-	cluster.write("firm.toml", "Timeout = \"5s\"\n")
-	cluster.write("shop/team.toml", "Domains = [\"shop.example\"]\nSlots = 64\nConnections = 800\n")
-	cluster.write("shop/keys.toml", "PathPrefix = \"/keys\"\nKeyed = true\nKeyFrom = \"path:1\"\nPartitions = 64\n"+text)
+// publishKeyedService publishes the settings of one keyed service whose upstreams share the state of their keys.
+func (cluster *cluster) publishKeyedService() []*fakes.Upstream {
+	servers, text := cluster.startSharedUpstreams(4)
+	cluster.writeSettings("firm.toml", "Timeout = \"5s\"\n")
+	cluster.writeSettings("shop/team.toml", "Domains = [\"shop.example\"]\nSlots = 64\nConnections = 800\n")
+	cluster.writeSettings("shop/keys.toml", "PathPrefix = \"/keys\"\nKeyed = true\nKeyFrom = \"path:1\"\nPartitions = 64\n"+text)
 	cluster.publish("first")
 	cluster.awaitOwners()
 	return servers
 }
 
 var _ = Describe("ownership under failure", func() {
-	// Callers read and write registers through all hosts while the fault lasts and after it.
-	// An owner reads a register once in its term and then trusts its own copy, so a second
-	// owner, or one that wakes after its lease, shows as a lost or stale value.
-	It("is shown to operators: who is lost, how much was promoted without the log, and that it is back", func() {
+	It("is reported to operators: the unavailable upstream, the promotions that are not in the log, and the recovery", func() {
 		cluster := newCluster(3)
-		cluster.keyed()
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{Outage: true})
+		cluster.publishKeyedService()
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Outage: true})
 		cluster.upstreams["keys-3"].proxy.Set(fault.Rules{Refuse: true, StallUp: true, StallDown: true})
 		keeper := cluster.keeper("shop/keys")
 		promoted := func() int {
@@ -162,99 +164,102 @@
 			}
 			return status.Services[0].Report.Promoted
 		}
-		Eventually(promoted, patience, "50ms").Should(BeNumerically(">", 0))
-		Expect(promoted()).To(BeNumerically("<=", 17), "only what the lost upstream owned of 64 partitions")
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{})
+		Eventually(promoted, waitTimeout, "50ms").Should(BeNumerically(">", 0))
+		Expect(promoted()).To(BeNumerically("<=", 17), "promoted more than what the unreachable upstream owned of 64 partitions")
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{})
 		cluster.upstreams["keys-3"].proxy.Set(fault.Rules{})
-		Eventually(promoted, patience, "50ms").Should(BeZero())
-		Eventually(keeper.process.output.text, patience, "100ms").Should(And(ContainSubstring("\"Event\":406"), ContainSubstring("\"Event\":407")))
+		Eventually(promoted, waitTimeout, "50ms").Should(BeZero())
+		Eventually(keeper.process.output.text, waitTimeout, "100ms").Should(And(ContainSubstring("\"Event\":406"), ContainSubstring("\"Event\":407")))
 	})
 
+	// Callers read and write registers through all hosts before, during and after the fault. An owner reads a register
+	// once in its term and then relies on its own copy. So a second owner at the same time, or an owner that continues
+	// after the end of its lease, shows as a lost or stale value.
 	DescribeTable("keeps every register linearizable and every key served",
-		func(strike func(cluster *cluster, servers []*fakes.Upstream) (heal func())) {
+		func(injectFault func(cluster *cluster, servers []*fakes.Upstream) (clearFault func())) {
 			cluster := newCluster(5)
-			servers := cluster.keyed()
-			// Callers leave a host that does not answer, as a balancer would make them.
+			servers := cluster.publishKeyedService()
+			// Callers give up on a host that does not answer and use another one, as behind a load balancer.
 			cluster.client.Timeout = 2 * time.Second
 			recorder := &recorder{started: time.Now()}
 			stop := make(chan struct{})
-			running := recorder.run(cluster, 8, stop)
+			running := recorder.startCallers(cluster, 8, stop)
 			recorder.awaitServed(200)
-			heal := strike(cluster, servers)
+			clearFault := injectFault(cluster, servers)
 			recorder.awaitServed(300)
-			heal()
+			clearFault()
 			recorder.awaitServed(300)
 			close(stop)
 			running.Wait()
-			result := porcupine.CheckOperationsTimeout(registerModel, recorder.history, patience)
+			result := porcupine.CheckOperationsTimeout(registerModel, recorder.history, waitTimeout)
 			Expect(result).To(Equal(porcupine.Ok))
 		},
 		Entry("the keeper is killed", func(cluster *cluster, _ []*fakes.Upstream) func() {
 			cluster.keeper("shop/keys").process.kill()
 			return func() {}
 		}),
-		Entry("the keeper is paused for longer than every lease, and wakes", func(cluster *cluster, _ []*fakes.Upstream) func() {
+		Entry("the keeper is suspended for longer than every lease, and resumes", func(cluster *cluster, _ []*fakes.Upstream) func() {
 			keeper := cluster.keeper("shop/keys")
 			keeper.process.signal(syscall.SIGSTOP)
 			return func() { keeper.process.signal(syscall.SIGCONT) }
 		}),
-		Entry("an upstream is frozen for longer than every lease, and wakes as owner", func(_ *cluster, servers []*fakes.Upstream) func() {
+		Entry("an upstream is frozen for longer than every lease, and resumes as an owner", func(_ *cluster, servers []*fakes.Upstream) func() {
 			servers[0].SetFaults(fakes.UpstreamFaults{Freeze: 4 * time.Second, Load: -1})
 			return func() { servers[0].SetFaults(fakes.UpstreamFaults{Load: -1}) }
 		}),
-		Entry("an upstream is cut off", func(cluster *cluster, _ []*fakes.Upstream) func() {
+		Entry("an upstream's connections stall in both directions", func(cluster *cluster, _ []*fakes.Upstream) func() {
 			cluster.upstreams["keys-1"].proxy.Set(fault.Rules{StallUp: true, StallDown: true})
 			return func() { cluster.upstreams["keys-1"].proxy.Set(fault.Rules{}) }
 		}),
-		Entry("an upstream's answers are lost, one way", func(cluster *cluster, _ []*fakes.Upstream) func() {
+		Entry("an upstream's connections stall only in the direction of its responses", func(cluster *cluster, _ []*fakes.Upstream) func() {
 			cluster.upstreams["keys-2"].proxy.Set(fault.Rules{StallDown: true})
 			return func() { cluster.upstreams["keys-2"].proxy.Set(fault.Rules{}) }
 		}),
-		Entry("the log is out while an upstream is lost: its successors are promoted", func(cluster *cluster, _ []*fakes.Upstream) func() {
-			cluster.order(cluster.log+"/faults", fakes.LogFaults{Outage: true})
+		Entry("the log is unavailable while an upstream is unreachable: its successors are promoted", func(cluster *cluster, _ []*fakes.Upstream) func() {
+			cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Outage: true})
 			cluster.upstreams["keys-3"].proxy.Set(fault.Rules{Refuse: true, StallUp: true, StallDown: true})
 			return func() {
-				cluster.order(cluster.log+"/faults", fakes.LogFaults{})
+				cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{})
 				cluster.upstreams["keys-3"].proxy.Set(fault.Rules{})
 			}
 		}),
-		Entry("the keeper and an upstream are lost together", func(cluster *cluster, _ []*fakes.Upstream) func() {
+		Entry("the keeper is killed and an upstream becomes unreachable at the same time", func(cluster *cluster, _ []*fakes.Upstream) func() {
 			cluster.keeper("shop/keys").process.kill()
 			cluster.upstreams["keys-4"].proxy.Set(fault.Rules{Refuse: true, StallUp: true, StallDown: true})
 			return func() {}
 		}),
-		Entry("the keeper alone is cut off from the log while another host claims nothing", func(cluster *cluster, _ []*fakes.Upstream) func() {
+		Entry("the log is unreachable for the keeper alone, and no other host claims the service", func(cluster *cluster, _ []*fakes.Upstream) func() {
 			keeper := cluster.keeper("shop/keys")
 			keeper.logProxy.Set(fault.Rules{Refuse: true, StallUp: true, StallDown: true})
 			return func() { keeper.logProxy.Set(fault.Rules{}) }
 		}),
-		Entry("the log takes every append and loses every reply, while an upstream is lost", func(cluster *cluster, _ []*fakes.Upstream) func() {
-			cluster.order(cluster.log+"/faults", fakes.LogFaults{LoseReplies: 10_000})
+		Entry("the log stores every append and loses every reply, while an upstream is unreachable", func(cluster *cluster, _ []*fakes.Upstream) func() {
+			cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{LoseReplies: 10_000})
 			cluster.upstreams["keys-1"].proxy.Set(fault.Rules{Refuse: true, StallUp: true, StallDown: true})
 			return func() {
-				cluster.order(cluster.log+"/faults", fakes.LogFaults{})
+				cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{})
 				cluster.upstreams["keys-1"].proxy.Set(fault.Rules{})
 			}
 		}),
-		Entry("the log loses its replies while the keeper is killed", func(cluster *cluster, _ []*fakes.Upstream) func() {
-			cluster.order(cluster.log+"/faults", fakes.LogFaults{LoseReplies: 10_000})
+		Entry("the log loses every reply while the keeper is killed", func(cluster *cluster, _ []*fakes.Upstream) func() {
+			cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{LoseReplies: 10_000})
 			cluster.keeper("shop/keys").process.kill()
-			return func() { cluster.order(cluster.log+"/faults", fakes.LogFaults{}) }
+			return func() { cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{}) }
 		}),
-		Entry("the log is out while the keeper is told to stop: it stays until it can hand over", func(cluster *cluster, _ []*fakes.Upstream) func() {
+		Entry("the log is unavailable during the keeper's graceful shutdown: the keeper stays until it can hand over", func(cluster *cluster, _ []*fakes.Upstream) func() {
 			keeper := cluster.keeper("shop/keys")
-			cluster.order(cluster.log+"/faults", fakes.LogFaults{Outage: true})
+			cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Outage: true})
 			keeper.process.signal(syscall.SIGTERM)
-			return func() { cluster.order(cluster.log+"/faults", fakes.LogFaults{}) }
+			return func() { cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{}) }
 		}),
-		Entry("the log goes out in the middle of a takeover and comes back", func(cluster *cluster, _ []*fakes.Upstream) func() {
+		Entry("the log becomes unavailable during a takeover, and recovers", func(cluster *cluster, _ []*fakes.Upstream) func() {
 			cluster.keeper("shop/keys").process.kill()
-			cluster.order(cluster.log+"/faults", fakes.LogFaults{Outage: true})
+			cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Outage: true})
 			time.Sleep(2 * time.Second)
-			cluster.order(cluster.log+"/faults", fakes.LogFaults{})
+			cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{})
 			return func() {}
 		}),
-		Entry("the keeper is stopped as planned", func(cluster *cluster, _ []*fakes.Upstream) func() {
+		Entry("the keeper shuts down gracefully", func(cluster *cluster, _ []*fakes.Upstream) func() {
 			cluster.keeper("shop/keys").process.signal(syscall.SIGTERM)
 			return func() {}
 		}),
--- a/proof/poison_test.go
+++ b/proof/poison_test.go
@@ -13,90 +13,92 @@
 )
 
 const (
-	// deadlyEnds is how many upstreams a request may end before hosts know it, moreSends how often it may be sent on
-	// after that, over all hosts together, and settled when all of them know it.
-	deadlyEnds = 3
-	moreSends  = 3
-	settled    = 3 * time.Second
-	backAfter  = 200 * time.Millisecond
-	deadlyPath = "/frail/deadly"
+	// crashesBeforeDenial is the number of crashes after which hosts deny the request that caused them, maxLaterSends
+	// how often all hosts together may still send it to an upstream after that, denialSpreadTime the time in which the
+	// denial reaches all hosts, and restartDelay the time from the end of an upstream to its restart.
+	crashesBeforeDenial = 3
+	maxLaterSends       = 3
+	denialSpreadTime    = 3 * time.Second
+	restartDelay        = 200 * time.Millisecond
+	crashPath           = "/frail/deadly"
 )
 
-// frail are upstreams that end when they run a request for deadlyPath, and are started again.
-type frail struct {
+// crashingUpstreams are upstreams that crash when they begin to run a request for crashPath, and that the test restarts.
+type crashingUpstreams struct {
 	processes []*process
 	start     []func() *process
-	ends      int
+	crashes   int
 }
 
-func (cluster *cluster) addFrail(count int) *frail {
-	found := &frail{}
+// addCrashingUpstreams starts crashing upstreams without proxies, and writes the settings of their service.
+func (cluster *cluster) addCrashingUpstreams(count int) *crashingUpstreams {
+	found := &crashingUpstreams{}
 	text := "PathPrefix = \"/frail\"\nIdempotent = \"always\"\nTimeout = \"2s\"\n"
 	for i := range count {
 		name, address := fmt.Sprintf("frail-%d", i+1), fakes.FreeAddress()
 		found.start = append(found.start, func() *process {
-			started := start(name, standinPath, "upstream", "--name", name, "--listen", address, "--slots", "8", "--ends-on", deadlyPath)
+			started := startProcess(name, standinPath, "upstream", "--name", name, "--listen", address, "--slots", "8", "--ends-on", crashPath)
 			awaitListening(address)
 			return started
 		})
 		found.processes = append(found.processes, found.start[i]())
 		text += fmt.Sprintf("\n[[Upstreams]]\nName = %q\nAddress = %q\nZone = \"zone-%d\"\n", name, address, i%zones)
 	}
-	cluster.write("shop/frail.toml", text)
+	cluster.writeSettings("shop/frail.toml", text)
 	return found
 }
 
-// revive starts the processes again that have ended, after a moment as a supervisor would.
-func (frail *frail) revive() {
-	time.Sleep(backAfter)
-	for i, process := range frail.processes {
+// restartCrashed restarts the processes that have ended, after restartDelay, as a supervisor would.
+func (crashingUpstreams *crashingUpstreams) restartCrashed() {
+	time.Sleep(restartDelay)
+	for i, process := range crashingUpstreams.processes {
 		select {
 		case <-process.done:
-			frail.ends++
-			frail.processes[i] = frail.start[i]()
+			crashingUpstreams.crashes++
+			crashingUpstreams.processes[i] = crashingUpstreams.start[i]()
 		default:
 		}
 	}
 }
 
-// clientAt is a client whose connections come from a loopback address, each for one request.
-func clientAt(address string) *http.Client {
+// newClientAt returns a client whose connections come from a loopback address and carry one request each.
+func newClientAt(address string) *http.Client {
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address)}}
 	return &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}}
 }
 
-var _ = Describe("a request that ends the upstreams that run it, on a plain log", func() {
-	// A caller's lookup ends each upstream that begins to run it, and comes again at any host as soon as the upstream is
-	// back. Hosts took each for a new one, and sent it once more themselves: two upstreams ended for each time it came.
-	// The cause is the same as on the platform: no host kept what was at work when a process had ended, or told another.
-	// From new addresses it guards against an address that stands for a caller.
-	DescribeTable("is sent on three times more at the most, over all hosts", func(address func(number int) string) {
+var _ = Describe("a request that crashes the upstreams that run it, with the log as the store", func() {
+	// A caller repeats a lookup that crashes each upstream that begins to run it, through any host. Guards against hosts
+	// that take each repeat for a new request and also retry it themselves, which crashes two upstreams per repeat,
+	// because no host records which requests ran when a process crashed, or reports it to the others. The entry with
+	// new addresses guards against a denial that depends on the caller's address.
+	DescribeTable("crashes at most three more upstreams over all hosts, once it has crashed three", func(address func(number int) string) {
 		cluster := newCluster(2)
-		cluster.write("firm.toml", "Timeout = \"5s\"\n")
-		cluster.write("shop/team.toml", "Domains = [\"shop.example\"]\nSlots = 64\nConnections = 800\n")
-		frail := cluster.addFrail(3)
+		cluster.writeSettings("firm.toml", "Timeout = \"5s\"\n")
+		cluster.writeSettings("shop/team.toml", "Domains = [\"shop.example\"]\nSlots = 64\nConnections = 800\n")
+		upstreams := cluster.addCrashingUpstreams(3)
 		cluster.publish("first")
 		for _, entry := range cluster.hosts {
-			Eventually(func() int { return cluster.ask(entry, http.MethodGet, "/frail/x", "").status }, patience, "50ms").Should(Equal(http.StatusOK))
+			Eventually(func() int { return cluster.request(entry, http.MethodGet, "/frail/x", "").status }, waitTimeout, "50ms").Should(Equal(http.StatusOK))
 		}
 		number := 0
-		again := func() {
-			cluster.client = clientAt(address(number))
-			cluster.ask(cluster.hosts[number%len(cluster.hosts)], http.MethodGet, deadlyPath, "")
+		sendNext := func() {
+			cluster.client = newClientAt(address(number))
+			cluster.request(cluster.hosts[number%len(cluster.hosts)], http.MethodGet, crashPath, "")
 			number++
-			frail.revive()
+			upstreams.restartCrashed()
 		}
 		Eventually(func() int {
-			again()
-			return frail.ends
-		}, patience, "50ms").Should(BeNumerically(">=", deadlyEnds))
-		time.Sleep(settled)
-		frail.revive()
-		before := frail.ends
-		for range 4 * moreSends {
-			again()
+			sendNext()
+			return upstreams.crashes
+		}, waitTimeout, "50ms").Should(BeNumerically(">=", crashesBeforeDenial))
+		time.Sleep(denialSpreadTime)
+		upstreams.restartCrashed()
+		before := upstreams.crashes
+		for range 4 * maxLaterSends {
+			sendNext()
 		}
-		Expect(frail.ends - before).To(BeNumerically("<=", moreSends))
+		Expect(upstreams.crashes - before).To(BeNumerically("<=", maxLaterSends))
 	},
 		Entry("from one address", func(int) string { return "127.0.0.1" }),
 		Entry("from a new address each time", func(number int) string { return fmt.Sprintf("127.0.%d.%d", 1+number/200, 1+number%200) }),
--- a/proof/requests_test.go
+++ b/proof/requests_test.go
@@ -20,19 +20,20 @@
 	"cherrykeel/fault"
 )
 
-// told is what a caller was told about one request.
-type told struct {
-	service string
-	token   string
-	request string
-	repeat  string
-	status  int
-	outcome string
-	body    string
-	failed  bool
+// requestResult is one request that a caller sent, and what the caller received for it.
+type requestResult struct {
+	service        string
+	token          string
+	requestID      string
+	idempotencyKey string
+	status         int
+	outcome        string
+	body           string
+	failed         bool
 }
 
-// requestCount is how many requests the proof of truth sends; CHERRYKEEL_PROOF_REQUESTS sets more.
+// requestCount returns the number of requests that the test of truthful responses sends: 6,000, or the value of
+// CHERRYKEEL_PROOF_REQUESTS.
 func requestCount() int {
 	count, err := strconv.Atoi(os.Getenv("CHERRYKEEL_PROOF_REQUESTS"))
 	if err != nil {
@@ -41,8 +42,8 @@
 	return count
 }
 
-// runs asks every upstream what truly ran.
-func (cluster *cluster) runs() fakes.RunReport {
+// fetchRuns fetches from every upstream how often each request and each Idempotency-Key ran there, and returns the sums.
+func (cluster *cluster) fetchRuns() fakes.RunReport {
 	total := fakes.RunReport{Requests: map[string]int{}, Repeats: map[string]int{}}
 	for _, upstream := range cluster.upstreams {
 		response, err := cluster.client.Get("http://" + upstream.address + "/standin/runs")
@@ -61,8 +62,9 @@
 	return total
 }
 
-// trouble changes the faults of connections and upstreams until it is stopped.
-func (cluster *cluster) trouble(stop chan struct{}) {
+// injectFaults sets random faults on random upstreams and their connections until stop is closed, and then clears all
+// faults.
+func (cluster *cluster) injectFaults(stop chan struct{}) {
 	rules := []fault.Rules{
 		{},
 		{},
@@ -95,7 +97,7 @@
 	for {
 		upstream := cluster.upstreams[names[rand.IntN(len(names))]]
 		upstream.proxy.Set(rules[rand.IntN(len(rules))])
-		cluster.order(upstream.address+"/standin/faults", faults[rand.IntN(len(faults))])
+		cluster.setFaults(upstream.address+"/standin/faults", faults[rand.IntN(len(faults))])
 		if rand.IntN(4) == 0 {
 			upstream.proxy.Reset()
 		}
@@ -103,7 +105,7 @@
 		case <-stop:
 			for _, upstream := range cluster.upstreams {
 				upstream.proxy.Set(fault.Rules{})
-				cluster.order(upstream.address+"/standin/faults", fakes.UpstreamFaults{Load: -1})
+				cluster.setFaults(upstream.address+"/standin/faults", fakes.UpstreamFaults{Load: -1})
 			}
 			return
 		case <-time.After(20 * time.Millisecond):
@@ -111,11 +113,12 @@
 	}
 }
 
-// callOnce sends one request of a random kind; payments are often repeated, through any host.
-func (cluster *cluster) callOnce(number int) told {
+// sendRandomRequest sends one request to a random service through a random host. Every twelve numbers in a row share
+// one payment, so that payments are often repeated.
+func (cluster *cluster) sendRandomRequest(number int) requestResult {
 	kind := []string{"once", "pay", "plain", "keys"}[rand.IntN(4)]
 	token := fmt.Sprintf("token-%d", number)
-	sent := told{service: kind, token: token}
+	sent := requestResult{service: kind, token: token}
 	method := http.MethodPost
 	if kind == "plain" || kind == "keys" {
 		method = http.MethodGet
@@ -123,117 +126,117 @@
 	var headers []string
 	if kind == "pay" {
 		sent.token = fmt.Sprintf("pay-%d", number/12)
-		sent.repeat = "key-" + sent.token
-		headers = []string{cherrykeel.HeaderIdempotencyKey, sent.repeat}
+		sent.idempotencyKey = "key-" + sent.token
+		headers = []string{cherrykeel.HeaderIdempotencyKey, sent.idempotencyKey}
 	}
 	entry := cluster.hosts[rand.IntN(len(cluster.hosts))]
-	got := cluster.ask(entry, method, "/"+kind+"/"+sent.token, "body of "+sent.token, headers...)
+	got := cluster.request(entry, method, "/"+kind+"/"+sent.token, "body of "+sent.token, headers...)
 	sent.failed = got.err != nil
 	if got.err == nil {
 		sent.status = got.status
 		sent.body = got.body
-		sent.request = got.header.Get(cherrykeel.HeaderRequest)
+		sent.requestID = got.header.Get(cherrykeel.HeaderRequest)
 		sent.outcome = got.header.Get(cherrykeel.HeaderOutcome)
 	}
 	return sent
 }
 
 var _ = Describe("requests under faults", func() {
-	// Connections are refused, reset before, during and after requests, cut within answers,
-	// stalled and slowed; upstreams truncate and cross answers, reset, shed, lie about their
-	// load and drain. Then the upstreams are asked what truly ran.
-	It("are answered with the truth, whole, and to their own callers", func() {
+	// Connections are refused, reset before, during and after requests, cut within responses, stalled and slowed.
+	// Upstreams truncate responses, send those of other requests, reset connections, shed, report a false load and
+	// drain. Afterwards the responses are compared with what ran on the upstreams.
+	It("get their own, complete responses, which report truthfully whether the request ran", func() {
 		cluster := newCluster(4)
-		cluster.shop()
+		cluster.publishShop()
 		stop := make(chan struct{})
-		var troubled sync.WaitGroup
-		troubled.Go(func() {
+		var injecting sync.WaitGroup
+		injecting.Go(func() {
 			defer GinkgoRecover()
-			cluster.trouble(stop)
+			cluster.injectFaults(stop)
 		})
-		all := make([]told, requestCount())
+		results := make([]requestResult, requestCount())
 		var number atomic.Int64
 		var callers sync.WaitGroup
 		for range 256 {
 			callers.Go(func() {
 				defer GinkgoRecover()
 				for {
-					mine := int(number.Add(1)) - 1
-					if mine >= len(all) {
+					index := int(number.Add(1)) - 1
+					if index >= len(results) {
 						return
 					}
-					all[mine] = cluster.callOnce(mine)
+					results[index] = cluster.sendRandomRequest(index)
 				}
 			})
 		}
 		callers.Wait()
 		close(stop)
-		troubled.Wait()
-		// What a stalled connection still holds may run now; callers were told "unknown".
+		injecting.Wait()
+		// Requests that stalled connections held back may run now. Their callers received the outcome "unknown".
 		time.Sleep(time.Second)
-		report := cluster.runs()
+		report := cluster.fetchRuns()
 		counts := map[string]int{}
-		paid := map[string]bool{}
-		for _, one := range all {
-			if one.service == "pay" && one.status == http.StatusOK {
-				paid[one.repeat] = true
+		answeredPayments := map[string]bool{}
+		for _, result := range results {
+			if result.service == "pay" && result.status == http.StatusOK {
+				answeredPayments[result.idempotencyKey] = true
 			}
-			counts[fmt.Sprintf("%s %d %s", one.service, one.status, one.outcome)]++
-			check(one, report)
+			counts[fmt.Sprintf("%s %d %s", result.service, result.status, result.outcome)]++
+			checkResult(result, report)
 		}
 		for key, count := range report.Repeats {
 			Expect(count).To(BeNumerically("<=", 1), "payment %s", key)
 		}
-		GinkgoWriter.Println(counts, len(paid), "payments answered of", len(report.Repeats), "that ran")
-		Expect(counts["once 200 "]).To(BeNumerically(">", len(all)/50))
-		// Most of a payment's repeats cannot be answered once its outcome is unknown, so
-		// progress is counted by payment: one in twenty at the least must have got through.
-		Expect(20 * len(paid)).To(BeNumerically(">", len(report.Repeats)))
+		GinkgoWriter.Println(counts, len(answeredPayments), "payments answered of", len(report.Repeats), "that ran")
+		Expect(counts["once 200 "]).To(BeNumerically(">", len(results)/50))
+		// Once a payment's outcome is unknown, most of its repeats cannot be answered, so progress is counted in
+		// payments: at least one in twenty must have been answered with success.
+		Expect(20 * len(answeredPayments)).To(BeNumerically(">", len(report.Repeats)))
 	})
 
-	It("that repeat an Idempotency-Key through every host at once run once, and all get the one answer in the end", func() {
+	It("that repeat an Idempotency-Key through all hosts at the same time run once, and all get the same response in the end", func() {
 		cluster := newCluster(4)
-		cluster.shop()
-		var all sync.WaitGroup
-		answers := make([]answer, 16)
+		cluster.publishShop()
+		var callers sync.WaitGroup
+		answers := make([]callResult, 16)
 		for i := range answers {
-			all.Go(func() {
+			callers.Go(func() {
 				defer GinkgoRecover()
 				Eventually(func() int {
-					answers[i] = cluster.ask(cluster.hosts[i%4], http.MethodPost, "/pay/order", "150000 won", cherrykeel.HeaderIdempotencyKey, "order-1")
+					answers[i] = cluster.request(cluster.hosts[i%4], http.MethodPost, "/pay/order", "150000 won", cherrykeel.HeaderIdempotencyKey, "order-1")
 					return answers[i].status
-				}, patience, "50ms").Should(Equal(http.StatusOK))
+				}, waitTimeout, "50ms").Should(Equal(http.StatusOK))
 			})
 		}
-		all.Wait()
+		callers.Wait()
 		for _, got := range answers {
 			Expect(got.body).To(Equal(answers[0].body))
 		}
-		Expect(cluster.runs().Repeats["order-1"]).To(Equal(1))
-		got := cluster.ask(cluster.hosts[0], http.MethodPost, "/pay/order", "another sum", cherrykeel.HeaderIdempotencyKey, "order-1")
+		Expect(cluster.fetchRuns().Repeats["order-1"]).To(Equal(1))
+		got := cluster.request(cluster.hosts[0], http.MethodPost, "/pay/order", "another sum", cherrykeel.HeaderIdempotencyKey, "order-1")
 		Expect(got.status).To(Equal(http.StatusUnprocessableEntity))
 	})
 
-	It("are refused as not run while the log is out, where the log keeps repeats from running twice", func() {
+	It("are refused as not run while the log is unavailable, if their service uses the log as its repeat guard", func() {
 		cluster := newCluster(2)
-		cluster.shop()
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{Outage: true})
-		got := cluster.ask(cluster.hosts[0], http.MethodPost, "/pay/order", "", cherrykeel.HeaderIdempotencyKey, "order-2")
+		cluster.publishShop()
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Outage: true})
+		got := cluster.request(cluster.hosts[0], http.MethodPost, "/pay/order", "", cherrykeel.HeaderIdempotencyKey, "order-2")
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get(cherrykeel.HeaderOutcome)).To(Equal("not-run"))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(cluster.ask(cluster.hosts[0], http.MethodGet, "/plain/x", "").status).To(Equal(http.StatusOK))
-		Expect(cluster.ask(cluster.hosts[1], http.MethodGet, "/keys/x", "").status).To(Equal(http.StatusOK))
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{})
+		Expect(cluster.request(cluster.hosts[0], http.MethodGet, "/plain/x", "").status).To(Equal(http.StatusOK))
+		Expect(cluster.request(cluster.hosts[1], http.MethodGet, "/keys/x", "").status).To(Equal(http.StatusOK))
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{})
 		Eventually(func() int {
-			return cluster.ask(cluster.hosts[1], http.MethodPost, "/pay/order", "", cherrykeel.HeaderIdempotencyKey, "order-2").status
-		}, patience, "50ms").Should(Equal(http.StatusOK))
-		Expect(cluster.runs().Repeats["order-2"]).To(Equal(1))
+			return cluster.request(cluster.hosts[1], http.MethodPost, "/pay/order", "", cherrykeel.HeaderIdempotencyKey, "order-2").status
+		}, waitTimeout, "50ms").Should(Equal(http.StatusOK))
+		Expect(cluster.fetchRuns().Repeats["order-2"]).To(Equal(1))
 	})
 
-	DescribeTable("of every bad kind get a clear refusal", func(method, path, host, body string, status int, code string, headers ...string) {
+	DescribeTable("that are invalid get the status and the code of their error", func(method, path, host, body string, status int, code string, headers ...string) {
 		cluster := newCluster(1)
-		cluster.shop()
+		cluster.publishShop()
 		request, err := http.NewRequest(method, "http://"+cluster.hosts[0].address+path, strings.NewReader(body))
 		Expect(err).NotTo(HaveOccurred())
 		request.Host = host
@@ -258,32 +261,32 @@
 		Entry("a missing key", "GET", "/keys", "shop.example", "", 400, "missing-key"),
 		Entry("a missing Idempotency-Key", "POST", "/pay/x", "shop.example", "x", 400, "missing-idempotency-key"),
 		Entry("a body that is too large", "POST", "/once/x", "shop.example", strings.Repeat("x", 2<<20), 413, "body-too-large"),
-		Entry("a head that is too large", "GET", "/plain/x", "shop.example", "", 431, "", "X-Large", strings.Repeat("x", 200<<10)),
+		Entry("headers that are too large", "GET", "/plain/x", "shop.example", "", 431, "", "X-Large", strings.Repeat("x", 200<<10)),
 	)
 })
 
-// check compares what a caller was told with what ran.
-func check(one told, report fakes.RunReport) {
-	ran := report.Requests[one.request]
-	if one.failed {
+// checkResult compares what a caller received for a request with how often the request ran.
+func checkResult(result requestResult, report fakes.RunReport) {
+	ran := report.Requests[result.requestID]
+	if result.failed {
 		return
 	}
-	note := fmt.Sprintf("%+v ran %d times", one, ran)
-	if one.status == http.StatusOK {
-		Expect(one.outcome).To(BeEmpty(), note)
-		fields := strings.Fields(one.body)
-		Expect(len(fields)).To(BeNumerically(">=", 3), note)
-		Expect(fields[2]).To(Equal(one.token), note)
-		Expect(one.body).To(HaveSuffix("\n"), note)
-		if one.service == "once" {
-			Expect(ran).To(Equal(1), note)
+	description := fmt.Sprintf("%+v ran %d times", result, ran)
+	if result.status == http.StatusOK {
+		Expect(result.outcome).To(BeEmpty(), description)
+		fields := strings.Fields(result.body)
+		Expect(len(fields)).To(BeNumerically(">=", 3), description)
+		Expect(fields[2]).To(Equal(result.token), description)
+		Expect(result.body).To(HaveSuffix("\n"), description)
+		if result.service == "once" {
+			Expect(ran).To(Equal(1), description)
 		}
 	}
-	if one.outcome == "not-run" {
-		Expect(ran).To(BeZero(), note)
+	if result.outcome == "not-run" {
+		Expect(ran).To(BeZero(), description)
 	}
-	if one.service == "once" {
-		Expect(ran).To(BeNumerically("<=", 1), note)
+	if result.service == "once" {
+		Expect(ran).To(BeNumerically("<=", 1), description)
 	}
-	Expect(one.status == http.StatusOK || one.outcome != "").To(BeTrue(), note)
+	Expect(result.status == http.StatusOK || result.outcome != "").To(BeTrue(), description)
 }
--- a/proof/settings_test.go
+++ b/proof/settings_test.go
@@ -13,14 +13,14 @@
 )
 
 var _ = Describe("settings", func() {
-	It("are in force on all of eight hosts when publish says so, and are explained and audited", func() {
+	It("are in force on all eight hosts when publish reports it, and are listed by explain and history", func() {
 		cluster := newCluster(8)
-		cluster.shop()
-		cluster.write("shop/plain.toml", "PathPrefix = \"/plain\"\nTimeout = \"9s\"\nIdempotent = \"always\"\n"+cluster.addUpstreams("plain", 1))
-		output, code := cluster.operate("plan", filepath.Join(cluster.dir, "tree"))
+		cluster.publishShop()
+		cluster.writeSettings("shop/plain.toml", "PathPrefix = \"/plain\"\nTimeout = \"9s\"\nIdempotent = \"always\"\n"+cluster.addUpstreams("plain", 1))
+		output, code := cluster.runCommand("plan", filepath.Join(cluster.dir, "tree"))
 		Expect(code).To(Equal(opctl.ExitDone), output)
 		Expect(output).To(ContainSubstring("Timeout"))
-		output, code = cluster.operate("publish", filepath.Join(cluster.dir, "tree"), "--reason", "slower searches")
+		output, code = cluster.runCommand("publish", filepath.Join(cluster.dir, "tree"), "--reason", "slower searches")
 		Expect(code).To(Equal(opctl.ExitDone), output)
 		Expect(output).To(ContainSubstring("in force on 8 hosts"))
 		version := int64(0)
@@ -31,35 +31,35 @@
 			version = max(version, status.Version)
 			Expect(status.Version).To(Equal(version))
 		}
-		output, _ = cluster.operate("explain", "shop/plain", "Timeout")
+		output, _ = cluster.runCommand("explain", "shop/plain", "Timeout")
 		Expect(output).To(Equal("Timeout of shop/plain is 9s and is set by shop/plain\n"))
-		output, _ = cluster.operate("history", "shop/plain")
+		output, _ = cluster.runCommand("history", "shop/plain")
 		Expect(output).To(ContainSubstring("olive"))
 		Expect(output).To(ContainSubstring("slower searches"))
-		output, code = cluster.operate("owner", "shop/keys", "hall-7")
+		output, code = cluster.runCommand("owner", "shop/keys", "hall-7")
 		Expect(code).To(Equal(opctl.ExitDone), output)
 		Expect(output).To(ContainSubstring("owned by keys-"))
 	})
 
-	It("go to one of two operators who publish at the same moment, and the other is told to whom it lost", func() {
-		// Both read the same version and append at once. The log orders them, the fold takes
-		// the first, and the second's record replaces a version that is no longer in force.
+	It("are accepted from one of two operators who publish at the same time, and the other one learns which version won", func() {
+		// Both read the same version and append at the same time. The log orders the two records. The fold accepts the
+		// first and rejects the second, because the version that it replaces is no longer in force.
 		cluster := newCluster(2)
-		cluster.write("firm.toml", "Timeout = \"5s\"\n")
+		cluster.writeSettings("firm.toml", "Timeout = \"5s\"\n")
 		cluster.publish("first")
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{Delay: 500_000_000})
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Delay: 500_000_000})
 		codes := make([]int, 2)
 		outputs := make([]string, 2)
-		var both sync.WaitGroup
+		var publishers sync.WaitGroup
 		for i := range 2 {
 			dir := filepath.Join("operator", string(rune('a'+i)))
-			cluster.write(filepath.Join("..", dir, "firm.toml"), "Timeout = \""+string(rune('6'+i))+"s\"\n")
-			both.Go(func() {
+			cluster.writeSettings(filepath.Join("..", dir, "firm.toml"), "Timeout = \""+string(rune('6'+i))+"s\"\n")
+			publishers.Go(func() {
 				defer GinkgoRecover()
-				outputs[i], codes[i] = cluster.operate("publish", filepath.Join(cluster.dir, dir), "--reason", "race", "--author", string(rune('a'+i)))
+				outputs[i], codes[i] = cluster.runCommand("publish", filepath.Join(cluster.dir, dir), "--reason", "race", "--author", string(rune('a'+i)))
 			})
 		}
-		both.Wait()
+		publishers.Wait()
 		Expect(codes).To(ConsistOf(opctl.ExitDone, opctl.ExitRejected), outputs[0]+outputs[1])
 		for i, code := range codes {
 			if code == opctl.ExitRejected {
@@ -68,56 +68,56 @@
 		}
 	})
 
-	It("are told the truth about when the log takes a change and loses the reply, or takes nothing", func() {
+	It("are reported with their true outcome when the log stores a change and loses the reply, or stores nothing", func() {
 		cluster := newCluster(2)
-		cluster.write("firm.toml", "Timeout = \"5s\"\n")
+		cluster.writeSettings("firm.toml", "Timeout = \"5s\"\n")
 		cluster.publish("first")
 
-		// The append takes effect and its reply is lost: reading on finds the record.
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{LoseReplies: 1})
-		cluster.write("firm.toml", "Timeout = \"6s\"\n")
-		output, code := cluster.operate("publish", filepath.Join(cluster.dir, "tree"), "--reason", "lost reply")
+		// The append takes effect and its reply is lost: publish finds the record as it reads on.
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{LoseReplies: 1})
+		cluster.writeSettings("firm.toml", "Timeout = \"6s\"\n")
+		output, code := cluster.runCommand("publish", filepath.Join(cluster.dir, "tree"), "--reason", "lost reply")
 		Expect(code).To(Equal(opctl.ExitDone), output)
 
-		// The append has no effect and nothing says so: the outcome stays unknown, and its id finds nothing.
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{RefuseAppends: 1})
-		cluster.write("firm.toml", "Timeout = \"7s\"\n")
-		output, code = cluster.operate("publish", filepath.Join(cluster.dir, "tree"), "--reason", "lost append", "--timeout", "2s")
+		// The append has no effect and gets no reply: the outcome stays unknown, and history has no such record.
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{RefuseAppends: 1})
+		cluster.writeSettings("firm.toml", "Timeout = \"7s\"\n")
+		output, code = cluster.runCommand("publish", filepath.Join(cluster.dir, "tree"), "--reason", "lost append", "--timeout", "2s")
 		Expect(code).To(Equal(opctl.ExitUnknown), output)
 		Expect(output).To(ContainSubstring("cherrykeel history --id"))
 
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{Outage: true})
-		output, code = cluster.operate("publish", filepath.Join(cluster.dir, "tree"), "--reason", "outage", "--timeout", "1s")
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Outage: true})
+		output, code = cluster.runCommand("publish", filepath.Join(cluster.dir, "tree"), "--reason", "outage", "--timeout", "1s")
 		Expect(code).To(Equal(opctl.ExitUnreachable), output)
 
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{})
-		output, _ = cluster.operate("show")
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{})
+		output, _ = cluster.runCommand("show")
 		Expect(output).To(MatchRegexp(`Timeout +"6s"`))
 		cluster.publish("again")
-		output, _ = cluster.operate("history", "--json")
+		output, _ = cluster.runCommand("history", "--json")
 		Expect(output).NotTo(ContainSubstring("lost append"))
 	})
 
-	It("never go back on a host that the log's retention has overtaken while it was paused", func() {
-		// The log keeps 25 records and the host sleeps through 40. What it has not read is gone;
-		// it starts over from a checkpoint that is newer than what it had, and says nothing older.
+	It("never go back on a host that was suspended until the log had deleted records that the host had not read", func() {
+		// The log keeps 25 records, and 40 are written while the host is suspended, so some that it has not read are
+		// gone. It continues from a checkpoint that is newer than its state, and never reports an older version.
 		cluster := newCluster(3)
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{Retention: 25})
-		cluster.write("firm.toml", "Timeout = \"5s\"\n")
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Retention: 25})
+		cluster.writeSettings("firm.toml", "Timeout = \"5s\"\n")
 		cluster.publish("first")
-		slow := cluster.hosts[0]
-		before, err := cluster.status(slow)
+		suspended := cluster.hosts[0]
+		before, err := cluster.status(suspended)
 		Expect(err).NotTo(HaveOccurred())
-		slow.process.signal(syscall.SIGSTOP)
+		suspended.process.signal(syscall.SIGSTOP)
 		for round := range 40 {
-			cluster.write("firm.toml", "Timeout = \""+string(rune('1'+round%9))+"s\"\n")
-			output, code := cluster.operate("publish", filepath.Join(cluster.dir, "tree"), "--reason", "round", "--wait", "0s")
+			cluster.writeSettings("firm.toml", "Timeout = \""+string(rune('1'+round%9))+"s\"\n")
+			output, code := cluster.runCommand("publish", filepath.Join(cluster.dir, "tree"), "--reason", "round", "--wait", "0s")
 			Expect(code).To(Equal(opctl.ExitDone), output)
 		}
-		slow.process.signal(syscall.SIGCONT)
+		suspended.process.signal(syscall.SIGCONT)
 		last := before.Version
 		Eventually(func() bool {
-			status, err := cluster.status(slow)
+			status, err := cluster.status(suspended)
 			if err != nil {
 				return false
 			}
@@ -125,36 +125,37 @@
 			last = status.Version
 			newest, err := cluster.status(cluster.hosts[1])
 			return err == nil && status.Version == newest.Version && status.Chain == newest.Chain
-		}, patience, "50ms").Should(BeTrue())
+		}, waitTimeout, "50ms").Should(BeTrue())
 		Expect(last).To(BeNumerically(">", before.Version+30))
 	})
 
-	It("survive the log's retention, and reach a new host from a checkpoint, or from peers while the log is out", func() {
-		// The log keeps 60 records. Hosts append checkpoints in time, so a host that starts
-		// later finds one; during an outage it starts from what most of its peers know.
+	It("survive the log's retention, and reach a new host from a checkpoint, or from peers while the log is unavailable", func() {
+		// The log keeps 60 records. Hosts append a checkpoint before the log deletes the previous one, so a host that
+		// starts later finds one. During an outage, a new host starts from the newest state that it
+		// receives from most of its peers.
 		cluster := newCluster(3)
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{Retention: 60})
-		cluster.write("firm.toml", "Timeout = \"5s\"\n")
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Retention: 60})
+		cluster.writeSettings("firm.toml", "Timeout = \"5s\"\n")
 		cluster.publish("first")
 		for round := range 70 {
-			cluster.write("firm.toml", "Timeout = \""+string(rune('1'+round%9))+"s\"\n")
+			cluster.writeSettings("firm.toml", "Timeout = \""+string(rune('1'+round%9))+"s\"\n")
 			cluster.publish("round")
 		}
 		late := cluster.addHost("late", 1)
 		Eventually(func() bool {
 			status, err := cluster.status(late)
 			return err == nil && status.Ready
-		}, patience, "50ms").Should(BeTrue())
+		}, waitTimeout, "50ms").Should(BeTrue())
 
-		cluster.order(cluster.log+"/faults", fakes.LogFaults{Outage: true, Retention: 60})
+		cluster.setFaults(cluster.logAddress+"/faults", fakes.LogFaults{Outage: true, Retention: 60})
 		later := cluster.addHost("later", 2)
 		Eventually(func() bool {
 			status, err := cluster.status(later)
 			return err == nil && status.Ready
-		}, patience, "50ms").Should(BeTrue())
-		one, _ := cluster.status(cluster.hosts[0])
-		other, _ := cluster.status(later)
-		Expect(other.Version).To(Equal(one.Version))
-		Expect(other.Chain).To(Equal(one.Chain))
+		}, waitTimeout, "50ms").Should(BeTrue())
+		expected, _ := cluster.status(cluster.hosts[0])
+		actual, _ := cluster.status(later)
+		Expect(actual.Version).To(Equal(expected.Version))
+		Expect(actual.Chain).To(Equal(expected.Chain))
 	})
 })
--- a/proof/stops_test.go
+++ b/proof/stops_test.go
@@ -20,27 +20,27 @@
 
 var _ = Describe("stops", func() {
 	It("of an entry host cut no request, however long, and keep-alive callers move on", func() {
-		// Guards against a caller that connects while the host stops and is reset or cut off, so that it
-		// cannot tell whether its request ran.
+		// Guards against resetting or cutting off a caller that connects while the host stops: that caller cannot tell
+		// whether its request ran.
 		cluster := newCluster(2)
-		cluster.shop()
+		cluster.publishShop()
 		for name, upstream := range cluster.upstreams {
 			if strings.HasPrefix(name, "plain") {
-				cluster.order(upstream.address+"/standin/faults", fakes.UpstreamFaults{Work: 1500 * time.Millisecond, Load: -1})
+				cluster.setFaults(upstream.address+"/standin/faults", fakes.UpstreamFaults{Work: 1500 * time.Millisecond, Load: -1})
 			}
 		}
 		leaving := cluster.hosts[0]
 		var callers sync.WaitGroup
 		var answered atomic.Int64
-		long := make(chan answer, 1)
+		longResult := make(chan callResult, 1)
 		callers.Go(func() {
-			long <- cluster.ask(leaving, http.MethodGet, "/plain/search", "")
+			longResult <- cluster.request(leaving, http.MethodGet, "/plain/search", "")
 		})
 		for range 8 {
 			callers.Go(func() {
 				defer GinkgoRecover()
 				for {
-					got := cluster.ask(leaving, http.MethodGet, "/keys/x", "")
+					got := cluster.request(leaving, http.MethodGet, "/keys/x", "")
 					if got.err != nil {
 						Expect(got.err.Error()).To(ContainSubstring("connection refused"))
 						return
@@ -53,38 +53,38 @@
 		time.Sleep(200 * time.Millisecond)
 		leaving.process.signal(syscall.SIGTERM)
 		callers.Wait()
-		got := <-long
+		got := <-longResult
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusOK))
 		ran := 0
-		for _, count := range cluster.runs().Requests {
+		for _, count := range cluster.fetchRuns().Requests {
 			ran += count
 		}
 		Expect(ran).To(BeEquivalentTo(answered.Load()+1), "a request without an answer has run")
-		Eventually(leaving.process.done, patience).Should(BeClosed())
+		Eventually(leaving.process.done, waitTimeout).Should(BeClosed())
 		Expect(leaving.process.command.ProcessState.ExitCode()).To(BeZero())
 	})
 
-	It("of an entry host answer or refuse operators", func() {
-		// Guards against an operator's connection that is reset or cut off while the host stops.
+	It("of an entry host answer operators or refuse their connections", func() {
+		// Guards against resetting or cutting off an operator's connection while the host stops.
 		cluster := newCluster(1)
 		leaving := cluster.hosts[0]
 		operators := fakes.StartCallers(16, fakes.AskAnew("http://"+leaving.admin+"/status"))
-		Eventually(operators.Answered, patience).Should(BeNumerically(">", 100))
+		Eventually(operators.Answered, waitTimeout).Should(BeNumerically(">", 100))
 		leaving.process.signal(syscall.SIGTERM)
 		Expect(operators.Failures()).To(HaveEach(MatchError(syscall.ECONNREFUSED)))
-		Eventually(leaving.process.done, patience).Should(BeClosed())
+		Eventually(leaving.process.done, waitTimeout).Should(BeClosed())
 	})
 
-	DescribeTable("of an upstream take its new work away, and let its work in flight end", func(leave func(cluster *cluster, name string)) {
+	DescribeTable("of an upstream move new requests to other upstreams, and let requests in flight complete", func(leave func(cluster *cluster, name string)) {
 		cluster := newCluster(3)
-		cluster.shop()
+		cluster.publishShop()
 		for _, name := range []string{"plain-1", "keys-1"} {
 			leave(cluster, name)
 			service, _, _ := strings.Cut(name, "-")
-			quiet := func() int {
+			answeredByLeaving := func() int {
 				for i := range 200 {
-					got := cluster.ask(cluster.hosts[i%3], http.MethodGet, fmt.Sprintf("/%s/%d", service, i), "")
+					got := cluster.request(cluster.hosts[i%3], http.MethodGet, fmt.Sprintf("/%s/%d", service, i), "")
 					Expect(got.status).To(Equal(http.StatusOK), got.body)
 					if strings.HasPrefix(got.body, name+" ") {
 						return 1
@@ -92,46 +92,46 @@
 				}
 				return 0
 			}
-			Eventually(quiet, patience, "200ms").Should(BeZero())
+			Eventually(answeredByLeaving, waitTimeout, "200ms").Should(BeZero())
 		}
 	},
-		Entry("by the platform's list", func(cluster *cluster, name string) {
+		Entry("announced in the platform's list of members", func(cluster *cluster, name string) {
 			for _, leaving := range []bool{false, true} {
 				member := cherrykeel.Member{Name: name, Role: cherrykeel.RoleUpstream, Leaving: leaving}
 				data, _ := json.Marshal(member)
-				request, _ := http.NewRequest(http.MethodPut, "http://"+cluster.list+"/members/"+name, strings.NewReader(string(data)))
+				request, _ := http.NewRequest(http.MethodPut, "http://"+cluster.hostListAddress+"/members/"+name, strings.NewReader(string(data)))
 				response, err := cluster.client.Do(request)
 				Expect(err).NotTo(HaveOccurred())
 				_ = response.Body.Close()
 			}
 		}),
-		Entry("by the operators' setting", func(cluster *cluster, name string) {
+		Entry("requested in the operators' settings", func(cluster *cluster, name string) {
 			service, _, _ := strings.Cut(name, "-")
 			path := cluster.dir + "/tree/shop/" + service + ".toml"
 			text, err := os.ReadFile(path)
 			Expect(err).NotTo(HaveOccurred())
-			cluster.write("shop/"+service+".toml", "Drain = [\""+name+"\"]\n"+string(text))
+			cluster.writeSettings("shop/"+service+".toml", "Drain = [\""+name+"\"]\n"+string(text))
 			cluster.publish("drain")
 		}),
 	)
 
-	It("of an upstream with keys by its own word make its keys move, and requests wait for that", func() {
+	It("of an upstream with keys, reported by itself, transfer its keys, and requests wait for the transfer", func() {
 		cluster := newCluster(2)
-		cluster.shop()
-		cluster.order(cluster.upstreams["keys-1"].address+"/standin/faults", fakes.UpstreamFaults{Draining: true, Load: -1})
+		cluster.publishShop()
+		cluster.setFaults(cluster.upstreams["keys-1"].address+"/standin/faults", fakes.UpstreamFaults{Draining: true, Load: -1})
 		for i := range 100 {
-			got := cluster.ask(cluster.hosts[i%2], http.MethodGet, fmt.Sprintf("/keys/%d", i), "")
+			got := cluster.request(cluster.hosts[i%2], http.MethodGet, fmt.Sprintf("/keys/%d", i), "")
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
 			Expect(got.body).NotTo(HavePrefix("keys-1 "))
 		}
 	})
 
-	It("of an upstream without keys by its own word take its new work away at once", func() {
+	It("of an upstream without keys, reported by itself, move new requests to other upstreams at once", func() {
 		cluster := newCluster(2)
-		cluster.shop()
-		cluster.order(cluster.upstreams["plain-1"].address+"/standin/faults", fakes.UpstreamFaults{Draining: true, Load: -1})
+		cluster.publishShop()
+		cluster.setFaults(cluster.upstreams["plain-1"].address+"/standin/faults", fakes.UpstreamFaults{Draining: true, Load: -1})
 		for i := range 300 {
-			got := cluster.ask(cluster.hosts[i%2], http.MethodGet, "/plain/x", "")
+			got := cluster.request(cluster.hosts[i%2], http.MethodGet, "/plain/x", "")
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
 			Expect(got.body).NotTo(HavePrefix("plain-1 "))
 		}
