--- a/entry/announce.go
+++ b/entry/announce.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// announceInterval is how often a host checks that its record is there.
+	// announceInterval is how often a host checks that the list of hosts has its record.
 	announceInterval = 300 * time.Millisecond
 	// maxAnnounceInterval bounds the interval while the store does not accept the announcement: refused calls have a
 	// cost too, and the others lack this host for no longer than that after the store's return.
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -20,7 +20,7 @@
 }
 
 // coldUntilAfterEvacuation returns until when the upstreams of a zone count as cold after its evacuation has ended.
-// Their entries show it only a second later; all callers would be sent to them in the meantime.
+// Their entries show that they are cold only a second later; until then they would get the requests of all callers.
 func (host *Host) coldUntilAfterEvacuation(zone string, service cherrykeel.RoutedService) cherrykeel.Instant {
 	state, ordered := host.zones.State(zone)
 	if !ordered || state.Evacuated || state.FoundAtStart || service.SlowStartRate <= 0 {
@@ -47,7 +47,7 @@
 func (host *Host) countColdUpstreams() int {
 	now := host.clock.Now()
 	count := 0
-	for _, upstream := range host.usable.current() {
+	for _, upstream := range host.appliedUpstreams.current() {
 		if upstream.IsColdLimited(now) {
 			count++
 		}
--- a/entry/denied.go
+++ b/entry/denied.go
@@ -106,7 +106,8 @@
 }
 
 // hasDenyList reports whether this host has read which requests crash upstreams. It stops waiting for that after a
-// while: one partition of the store may be unavailable while the others are not, and no caller would be served.
+// while: one partition of the store may be unavailable while the others are not, and a host that waited for it would
+// serve no caller.
 func (host *Host) hasDenyList() bool {
 	return host.topics.hosts.HasAppliedSnapshot() || host.clock.Now().Sub(host.started) > denyListTimeout
 }
@@ -118,10 +119,10 @@
 	if len(dropped) == 0 || host.rank() > 0 {
 		return
 	}
-	for _, identity := range dropped {
-		_, err := host.platform.Hosts.Put(ctx, deniedPrefix+identity.String(), nil)
+	for _, fingerprint := range dropped {
+		_, err := host.platform.Hosts.Put(ctx, deniedPrefix+fingerprint.String(), nil)
 		if err != nil {
-			events.Log(host.logger, events.WriteFailed, zap.String("Key", deniedPrefix+identity.String()), zap.Error(err))
+			events.Log(host.logger, events.WriteFailed, zap.String("Key", deniedPrefix+fingerprint.String()), zap.Error(err))
 		}
 	}
 }
@@ -129,9 +130,9 @@
 // writePendingDenials writes records until the context ends, each until the store has accepted it.
 func (host *Host) writePendingDenials(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, identity := range host.pendingDenials.DequeueAll(ctx) {
+		for _, fingerprint := range host.pendingDenials.DequeueAll(ctx) {
 			wait := announceInterval
-			for ctx.Err() == nil && !host.writeDenial(ctx, identity) {
+			for ctx.Err() == nil && !host.writeDenial(ctx, fingerprint) {
 				sleepContext(ctx, wait)
 				wait = min(2*wait, maxAnnounceInterval)
 			}
@@ -140,12 +141,12 @@
 }
 
 // writeDenial writes a request's record and reports whether nothing is left to write.
-func (host *Host) writeDenial(ctx context.Context, identity poison.Fingerprint) bool {
-	record, known := host.denyList.Find(identity)
+func (host *Host) writeDenial(ctx context.Context, fingerprint poison.Fingerprint) bool {
+	record, known := host.denyList.Find(fingerprint)
 	if !known {
 		return true
 	}
-	key := deniedPrefix + identity.String()
+	key := deniedPrefix + fingerprint.String()
 	value, err := record.Encode()
 	if err != nil {
 		events.Log(host.logger, events.WriteFailed, zap.String("Key", key), zap.Error(err))
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -64,8 +64,8 @@
 }
 
 // backoffFactor returns how much longer than the first hosts this one waits between attempts to reach an unavailable
-// store. Hubs do not wait longer, whichever hosts are hubs after a loss, nor does the keeper: a host that reaches the
-// store earlier would claim its duty.
+// store. Hubs do not wait longer, nor do the first hosts of the order, from which hubs come after a loss, nor does the
+// keeper: a host that reaches the store earlier would claim its role.
 func (host *Host) backoffFactor() int {
 	if host.isKeeper() || host.mesh.HubDuration() > 0 || host.mesh.Position() < fewHosts {
 		return 1
@@ -89,8 +89,8 @@
 	return host.schedule(host.topics.upstreams, topicUpstreams, bound, watch.Schedule{Interval: shareOf(bound, upstreamsIntervalShare)})
 }
 
-// schedule returns the schedule named first for the first host, and lets another one read when its state of the topic
-// is too old for the bound.
+// schedule returns the schedule named first if this host is the first one. Any other host reads rarely, or at once when
+// its state of the topic is too old for the bound.
 func (host *Host) schedule(topic *watch.Follower, name string, bound time.Duration, first watch.Schedule) watch.Schedule {
 	rank := host.rank()
 	schedule := watch.Schedule{Interval: fallbackIntervalOf(host.mesh.HostCount())}
@@ -131,8 +131,8 @@
 	return time.Duration(share * float64(bound))
 }
 
-// tableSchedule has a shorter interval on the keeper, since no other host could notice that its calls to the store
-// hang.
+// tableSchedule returns the schedule of the topics of spans and hosts. Its interval is shorter on the keeper, since no
+// other host could notice that the keeper's calls to the store hang.
 func (host *Host) tableSchedule() watch.Schedule {
 	if host.isKeeper() {
 		return watch.Schedule{Interval: keeperInterval, RecheckInterval: keeperRecheckInterval}
--- a/entry/environment.go
+++ b/entry/environment.go
@@ -9,7 +9,7 @@
 	"cherrykeel/watch"
 )
 
-// environment gives the keeper access to what its host knows.
+// environment gives the keeper access to the state of its host.
 type environment struct {
 	host *Host
 }
@@ -31,7 +31,7 @@
 
 // Upstreams implements grants.Environment.
 func (environment *environment) Upstreams() []cherrykeel.Upstream {
-	return environment.host.usable.current()
+	return environment.host.appliedUpstreams.current()
 }
 
 // IsReplaced implements grants.Environment.
--- a/entry/host.go
+++ b/entry/host.go
@@ -70,19 +70,19 @@
 	scope    tally.Scope
 	metrics  http.Handler
 
-	relay          *relay.Relay
-	denyList       *deny.List
-	pendingDenials *deny.PendingRecords
-	conns          *conns.Pool
-	server         *caller.Server
-	mesh           *share.Mesh
-	keeper         *grants.Keeper
-	routes         *watch.Routes
-	zones          *watch.Zones
-	upstreams      *watch.Upstreams
-	usable         upstreamList
-	peers          *watch.Peers
-	spans          *watch.Spans
+	relay            *relay.Relay
+	denyList         *deny.List
+	pendingDenials   *deny.PendingRecords
+	conns            *conns.Pool
+	server           *caller.Server
+	mesh             *share.Mesh
+	keeper           *grants.Keeper
+	routes           *watch.Routes
+	zones            *watch.Zones
+	upstreams        *watch.Upstreams
+	appliedUpstreams upstreamList
+	peers            *watch.Peers
+	spans            *watch.Spans
 
 	topics topics
 
--- a/entry/maintain.go
+++ b/entry/maintain.go
@@ -91,7 +91,7 @@
 func (host *Host) updateUpstreamGauges() {
 	evacuated := host.zones.Evacuated()
 	var evacuating []string
-	for _, upstream := range host.usable.current() {
+	for _, upstream := range host.appliedUpstreams.current() {
 		if upstream.EvacuateAt != 0 {
 			evacuating = append(evacuating, upstream.ID)
 		}
--- a/entry/ready_test.go
+++ b/entry/ready_test.go
@@ -50,6 +50,6 @@
 		Consistently(host.ready.Load, "100ms").Should(BeFalse())
 		release()
 		Eventually(host.checkReady, "20s").Should(BeTrue())
-		Expect(host.usable.current()).To(HaveLen(1))
+		Expect(host.appliedUpstreams.current()).To(HaveLen(1))
 	})
 })
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -18,8 +18,8 @@
 	// admitShare is the share in which every request is admitted; after it only those whose deadline is before the
 	// host's end.
 	admitShare = 0.45
-	// endMargin is kept of the grace for the process to end by itself: for its last messages, and from exitMargin on
-	// for nothing but the exit.
+	// endMargin is the last part of the grace, which is reserved for the process to end by itself: for its last
+	// messages, and within exitMargin of the end only for the exit.
 	endMargin  = 150 * time.Millisecond
 	exitMargin = 50 * time.Millisecond
 	// stopPollInterval is how often a stopping host checks its clock and its connections.
@@ -31,7 +31,8 @@
 	// acceptTimeout is the least time for accepting the last connections, however late in the stop that begins; the
 	// listener waits 200 ms for connections that are being set up.
 	acceptTimeout = 300 * time.Millisecond
-	// removeTimeout bounds the write that removes the host's record; the write is made this long before the end.
+	// removeTimeout bounds the write that removes the host's record; the write begins this long before the end, or
+	// earlier.
 	removeTimeout = 400 * time.Millisecond
 	// finishTimeout bounds a keeper's last report, which waits for no call.
 	finishTimeout = 50 * time.Millisecond
--- a/entry/upstreams.go
+++ b/entry/upstreams.go
@@ -14,7 +14,8 @@
 	// serve their keys, until the keeper has transferred them. Hosts learn of the order within another share of the
 	// bound, and half of it is left for a host that learns late.
 	transferShare = 0.3
-	// longAgo is longer ago than any order that a host could find at its start.
+	// longAgo is how long ago an order counts as given that a host finds at its start: its real time is unknown, and
+	// the evacuation takes effect at once.
 	longAgo = time.Hour
 )
 
@@ -38,8 +39,8 @@
 // that does not have the orders yet passes none: it would send requests into an evacuated zone. Calls are serialized,
 // so that the last one has all changes.
 func (host *Host) applyUpstreams() {
-	host.usable.mutex.Lock()
-	defer host.usable.mutex.Unlock()
+	host.appliedUpstreams.mutex.Lock()
+	defer host.appliedUpstreams.mutex.Unlock()
 	if !host.zones.HasRead() {
 		return
 	}
@@ -52,7 +53,7 @@
 	}
 	names := newShortNames(list)
 	host.shortNames.Store(&names)
-	host.usable.list.Store(&list)
+	host.appliedUpstreams.list.Store(&list)
 	host.relay.SetUpstreams(list)
 }
 
