--- a/watch/follow.go
+++ b/watch/follow.go
@@ -39,15 +39,16 @@
 	BackoffFactor int
 }
 
-// Update is the result of a read of a topic, or records that were received from another host.
+// Update is the result of a read of a topic, or records that were passed to ApplyReceived.
 type Update struct {
-	// Records holds the records that were read or received.
+	// Records holds the records that were read, received or written.
 	Records []cherrykeel.KeyedRecord
 	// Snapshot means that Records holds the newest record of each key that exists.
 	Snapshot bool
 	// Next is the offset that the next record will get.
 	Next int64
-	// FromPeer means that another host has read the records and sent them; records may be missing between them.
+	// FromPeer means that this host has not read the records from the topic: another host has sent them, or this host
+	// has written them. Records may be missing between them.
 	FromPeer bool
 }
 
@@ -162,8 +163,8 @@
 	}
 }
 
-// ApplyReceived applies records that another host has read. They advance the next offset only as long as no offset is
-// missing before them.
+// ApplyReceived applies records that another host has sent or that this host has written. They advance the next offset
+// only as long as no offset is missing before them.
 func (follower *Follower) ApplyReceived(records []cherrykeel.KeyedRecord) {
 	follower.mutex.Lock()
 	for _, record := range records {
--- a/watch/table.go
+++ b/watch/table.go
@@ -15,8 +15,8 @@
 // SpansKey is the only key of the topic that holds the table of spans.
 const SpansKey = "table"
 
-// grantDelay is about what the keeper needs from writing a new owner to granting it the keys. A request that is sent
-// earlier is refused and sent again, which uses up the retry budget.
+// grantDelay is about the time from the keeper's write of a new owner to the grant of the keys to it. A request that is
+// sent earlier is refused and sent again, which uses up the retry budget.
 const grantDelay = 12 * time.Millisecond
 
 // defaultMaxLeaseDuration is assumed until the platform's bound is known.
@@ -160,7 +160,7 @@
 	return view.clock.Now().Sub(view.corruptSince) < 2*view.maxLeaseDuration()
 }
 
-// recordReassigned records which spans of the next table have another owner than now.
+// recordReassigned records which spans of the next table have another owner than now, or are in transfer now.
 func (view *Spans) recordReassigned(next spans.Table) {
 	now := view.clock.Now()
 	kept := view.reassigned[:0]
@@ -181,7 +181,7 @@
 	}
 }
 
-// Owner returns the owner of a key, for the scheduler. A new owner counts as moving for grantDelay.
+// Owner returns the owner of a key, for the scheduler. A new owner's keys count as in transfer for grantDelay.
 func (view *Spans) Owner(service string, key int) flow.Owner {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
