--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -60,9 +60,9 @@
 	// may use connections up to maxIdleRepeatable.
 	maxIdleUnrepeatable = 6 * time.Second
 	maxIdleRepeatable   = 8 * time.Second
-	// newConnWatch is how long a new connection is watched before a request that is not repeatable is sent on it. An
-	// upstream needs 1 ms to accept a connection, and resets the connection at that point if it has too many.
-	newConnWatch = 3 * time.Millisecond
+	// newConnResetWait is how long a new connection must stay open before a request that is not repeatable is sent on
+	// it. An upstream needs 1 ms to accept a connection, and resets the connection at that point if it has too many.
+	newConnResetWait = 3 * time.Millisecond
 )
 
 // errWrongRequest is the failure of an answer that names another request than the one sent.
@@ -121,11 +121,11 @@
 	remaining := exchange.deadline.Sub(exchange.relay.clock.Now())
 	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
-	care := conns.SendOptions{MaxIdle: maxIdleRepeatable}
+	options := conns.SendOptions{MaxIdle: maxIdleRepeatable}
 	if !exchange.route.Repeatable {
-		care = conns.SendOptions{MaxIdle: maxIdleUnrepeatable, ResetWait: newConnWatch}
+		options = conns.SendOptions{MaxIdle: maxIdleUnrepeatable, ResetWait: newConnResetWait}
 	}
-	answer, progress, err := exchange.relay.pool.SendWithOptions(ctx, slot.Upstream.Address, exchange.upstreamRequest(slot.Upstream, remaining), care)
+	answer, progress, err := exchange.relay.pool.SendWithOptions(ctx, slot.Upstream.Address, exchange.upstreamRequest(slot.Upstream, remaining), options)
 	if err != nil {
 		result := failedSend(progress, err)
 		result.unanswered = progress.IsUnanswered() && ctx.Err() == nil
--- a/relay/denied.go
+++ b/relay/denied.go
@@ -10,7 +10,7 @@
 	"cherrykeel/poison"
 )
 
-// fingerprintParts returns the parts of the request that are equal for all its repeats.
+// fingerprintParts returns the parts of the request from which its fingerprint and its caller's are computed.
 func (exchange *exchange) fingerprintParts() poison.RequestParts {
 	key := ""
 	if exchange.headers.Key != cherrykeel.NoKey {
--- a/relay/dispatcher.go
+++ b/relay/dispatcher.go
@@ -22,7 +22,7 @@
 	onQueued func()
 }
 
-// newDispatcher returns the dispatcher of a service; owner is asked only if the service is keyed.
+// newDispatcher returns the dispatcher of a service; owner is called only if the service is keyed.
 func newDispatcher(name string, keyed bool, zone string, owner func(service string, key int) flow.Owner, bounds func() cherrykeel.Bounds, onQueued func()) *dispatcher {
 	var ownerOf func(key int) flow.Owner
 	if keyed {
@@ -44,7 +44,7 @@
 	dispatcher.service.SetUpstreams(upstreams, now)
 }
 
-// submit asks for a slot; the decision comes on the channel.
+// submit requests a slot; the decision comes on the channel.
 func (dispatcher *dispatcher) submit(ticket *flow.Ticket, now cherrykeel.Instant) <-chan flow.Decision {
 	decisions := make(chan flow.Decision, 1)
 	ticket.Notify = func(decision flow.Decision) { decisions <- decision }
