--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -78,7 +78,7 @@
 	return fingerprint
 }
 
-// CallerFingerprint is a digest of a caller's address or of its credentials. A suffix says of which.
+// CallerFingerprint is a digest of a caller's address or of its credentials. A suffix shows of which.
 type CallerFingerprint string
 
 const (
--- a/poison/table.go
+++ b/poison/table.go
@@ -9,7 +9,7 @@
 
 const (
 	// CrashesToDeny is the number of crashes at which a request is denied. Fewer would deny requests that were merely
-	// running beside others; each one more costs an upstream with all that it runs.
+	// running beside others; each further one costs one more upstream, with all the requests that it runs.
 	CrashesToDeny = 3
 	// independentCrashesToDeny is how many of these must be independent of each other, that is, from sends one after
 	// another, before a request is denied to all callers or to all callers of one address.
