--- a/deny/attempts.go
+++ b/deny/attempts.go
@@ -113,8 +113,8 @@
 }
 
 // probe checks whether a process listens at an address at which a request was lost. Other requests or missing
-// heartbeats would show that too, but on a quiet service seconds later, in which the same request crashes the next
-// upstream.
+// heartbeats would show that too, but on a quiet service only seconds later, and meanwhile the same request could
+// crash the next upstream.
 func (list *List) probe(address string) {
 	list.mutex.Lock()
 	hasPending := list.detector.HasPending(address)
--- a/deny/list.go
+++ b/deny/list.go
@@ -190,7 +190,8 @@
 	}
 }
 
-// signalIfWider closes denialAdded if a request is denied to more callers than before; the caller holds List.mutex.
+// signalIfWider updates hasRecords, and closes denialAdded if a request is denied to more callers than before; the
+// caller holds List.mutex.
 func (list *List) signalIfWider(fingerprint poison.Fingerprint, before poison.DenialScope) {
 	list.updateHasRecords()
 	if list.table.DenialScope(fingerprint).IsWiderThan(before) {
