--- a/caller/pump.go
+++ b/caller/pump.go
@@ -17,7 +17,7 @@
 	readAheadChunks = 16
 )
 
-// pump reads a socket all the time, so that a caller that closes its connection is noticed while its request runs.
+// pump reads a socket continuously, so that a caller that closes its connection is noticed while its request runs.
 type pump struct {
 	reader *sock.Reader
 	chunks chan []byte
