--- a/conns/pool.go
+++ b/conns/pool.go
@@ -97,24 +97,24 @@
 }
 
 // SetLimit sets the maximum number of connections to an address, which is at least 1.
-func (pool *Pool) SetLimit(name string, limit int) {
+func (pool *Pool) SetLimit(address string, limit int) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.addressPool(name).limit = max(1, limit)
+	pool.addressPool(address).limit = max(1, limit)
 }
 
 // OpenConns returns the number of connections to an address, idle or in use.
-func (pool *Pool) OpenConns(name string) int {
+func (pool *Pool) OpenConns(address string) int {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	return pool.addressPool(name).open
+	return pool.addressPool(address).open
 }
 
-func (pool *Pool) addressPool(name string) *addressPool {
-	found, exists := pool.addresses[name]
+func (pool *Pool) addressPool(address string) *addressPool {
+	found, exists := pool.addresses[address]
 	if !exists {
 		found = &addressPool{limit: defaultLimit}
-		pool.addresses[name] = found
+		pool.addresses[address] = found
 	}
 	return found
 }
@@ -151,15 +151,15 @@
 }
 
 // acquire returns an idle connection that is still open and meets the options, or establishes a new one.
-func (pool *Pool) acquire(ctx context.Context, name string, options SendOptions) (*conn, error) {
+func (pool *Pool) acquire(ctx context.Context, address string, options SendOptions) (*conn, error) {
 	maxIdle := pool.allowedIdle(options.MaxIdle)
 	for {
-		idle, err := pool.reserve(name)
+		idle, err := pool.reserve(address)
 		if err != nil {
 			return nil, err
 		}
 		if idle == nil {
-			return pool.dial(ctx, name, options.ResetWait)
+			return pool.dial(ctx, address, options.ResetWait)
 		}
 		if time.Since(idle.idleSince) < min(maxIdle, idle.idleLimit) && idle.isOpenAndQuiet() {
 			return idle, nil
@@ -169,31 +169,31 @@
 }
 
 // reserve returns an idle connection, or nil after counting a new one that the caller must establish.
-func (pool *Pool) reserve(name string) (*conn, error) {
+func (pool *Pool) reserve(address string) (*conn, error) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	address := pool.addressPool(name)
-	if last := len(address.idle) - 1; last >= 0 {
-		conn := address.idle[last]
-		address.idle = address.idle[:last]
+	pooled := pool.addressPool(address)
+	if last := len(pooled.idle) - 1; last >= 0 {
+		conn := pooled.idle[last]
+		pooled.idle = pooled.idle[:last]
 		return conn, nil
 	}
-	if address.open >= address.limit {
+	if pooled.open >= pooled.limit {
 		return nil, errors.WithStack(ErrConnLimit)
 	}
-	address.open++
+	pooled.open++
 	return nil, nil
 }
 
 // dial establishes a connection that reserve has counted; with a wait above 0, it must stay open for that long.
-func (pool *Pool) dial(ctx context.Context, name string, wait time.Duration) (*conn, error) {
+func (pool *Pool) dial(ctx context.Context, address string, wait time.Duration) (*conn, error) {
 	dialer := NewDialer(pool.dialTimeout, pool.userTimeout)
-	socket, err := dialer.DialContext(ctx, "tcp", name)
+	socket, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		pool.countClosed(name)
+		pool.countClosed(address)
 		return nil, errors.Wrap(connectError(err), err.Error())
 	}
-	conn := newConn(name, socket)
+	conn := newConn(address, socket)
 	conn.idleLimit = pool.idleTimeout
 	if wait > 0 && !conn.staysOpen(wait) {
 		pool.discard(conn)
@@ -202,10 +202,10 @@
 	return conn, nil
 }
 
-func (pool *Pool) countClosed(name string) {
+func (pool *Pool) countClosed(address string) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.addressPool(name).open--
+	pool.addressPool(address).open--
 }
 
 func (pool *Pool) discard(conn *conn) {
@@ -218,22 +218,22 @@
 	conn.idleSince = time.Now()
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	address := pool.addressPool(conn.address)
-	if address.open > address.limit {
-		address.open--
+	pooled := pool.addressPool(conn.address)
+	if pooled.open > pooled.limit {
+		pooled.open--
 		_ = conn.socket.Close()
 		return
 	}
-	address.idle = append(address.idle, conn)
+	pooled.idle = append(pooled.idle, conn)
 }
 
 // CloseIdle closes the idle connections to an address whose process has ended. A request sent on one of them would be
 // reset, and this host could not tell whether it had run.
-func (pool *Pool) CloseIdle(name string) {
+func (pool *Pool) CloseIdle(address string) {
 	pool.mutex.Lock()
-	address := pool.addressPool(name)
-	idle := address.idle
-	address.idle = nil
+	pooled := pool.addressPool(address)
+	idle := pooled.idle
+	pooled.idle = nil
 	pool.mutex.Unlock()
 	for _, conn := range idle {
 		pool.discard(conn)
@@ -251,16 +251,16 @@
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	var expired []*conn
-	for _, address := range pool.addresses {
+	for _, pooled := range pool.addresses {
 		var kept []*conn
-		for _, conn := range address.idle {
+		for _, conn := range pooled.idle {
 			if time.Since(conn.idleSince) < pool.idleTimeout {
 				kept = append(kept, conn)
 				continue
 			}
 			expired = append(expired, conn)
 		}
-		address.idle = kept
+		pooled.idle = kept
 	}
 	return expired
 }
--- a/conns/probe.go
+++ b/conns/probe.go
@@ -17,12 +17,12 @@
 
 // IsRefused reports whether an address refuses connections because no process listens there. It does not connect while the
 // pool has an open idle connection to the address: the end of the process would have closed that connection too.
-func (pool *Pool) IsRefused(name string) bool {
-	if pool.hasOpenIdleConn(name) {
+func (pool *Pool) IsRefused(address string) bool {
+	if pool.hasOpenIdleConn(address) {
 		return false
 	}
 	dialer := NewDialer(pool.dialTimeout, pool.userTimeout)
-	socket, err := dialer.DialContext(context.Background(), "tcp", name)
+	socket, err := dialer.DialContext(context.Background(), "tcp", address)
 	if err != nil {
 		return errors.Is(connectError(err), ErrRefused)
 	}
@@ -31,10 +31,10 @@
 }
 
 // hasOpenIdleConn reports whether the pool has an idle connection to an address that is still open.
-func (pool *Pool) hasOpenIdleConn(name string) bool {
+func (pool *Pool) hasOpenIdleConn(address string) bool {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	known, exists := pool.addresses[name]
+	known, exists := pool.addresses[address]
 	if !exists {
 		return false
 	}
