--- a/entry/announce.go
+++ b/entry/announce.go
@@ -20,8 +20,8 @@
 	maxAnnounceInterval = 1200 * time.Millisecond
 	// peersInterval bounds how often a changed list of hosts is applied. When all hosts start at once, each receives
 	// the announcements of all others one by one; applying 195 lists took 107 ms of a core, two thirds of a second on a
-	// small host, which was not ready meanwhile. Loads and reports are sent each 80 ms at the soonest, so none of them
-	// is delayed by it.
+	// small host, which was not ready meanwhile. Loads and reports are sent at intervals of 80 ms or more, so none of
+	// them is delayed by it.
 	peersInterval = 50 * time.Millisecond
 )
 
--- a/entry/delay.go
+++ b/entry/delay.go
@@ -14,8 +14,8 @@
 
 // schedulingDelay measures how late this process notices an event of the operating system. A goroutine that the system
 // wakes waits behind all that are ready to run: seconds on a host whose callers send more than its processor can
-// handle. Timers do not wait like that, so that the clock alone shows no suspension, and a host that noticed its signal
-// late was killed with requests that it had admitted when its grace was already over.
+// handle. Timers do not wait like that, so that the clock alone shows no suspension. A host that noticed its signal late
+// went on admitting requests when its grace was already over, and was killed while it ran them.
 type schedulingDelay struct {
 	clock cherrykeel.Clock
 	// yield lets all goroutines run first that are ready to run.
