--- a/entry/announce.go
+++ b/entry/announce.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// announceInterval is how often a host checks that its record is there.
+	// announceInterval is how often a host checks that the list of hosts has its record.
 	announceInterval = 300 * time.Millisecond
 	// maxAnnounceInterval bounds the interval while the store does not accept the announcement: refused calls have a
 	// cost too, and the others lack this host for no longer than that after the store's return.
 	maxAnnounceInterval = 1200 * time.Millisecond
 	// peersInterval bounds how often a changed list of hosts is applied. When all hosts start at once, each receives
 	// the announcements of all others one by one; applying 195 lists took 107 ms of a core, two thirds of a second on a
-	// small host, which was not ready meanwhile. Loads and reports are sent each 80 ms at the soonest, so none of them
-	// is delayed by it.
+	// small host, which was not ready meanwhile. Loads and reports are sent at intervals of 80 ms or more, so none of
+	// them is delayed by it.
 	peersInterval = 50 * time.Millisecond
 )
 
