--- a/keeper/claim.go
+++ b/keeper/claim.go
@@ -14,7 +14,8 @@
 const (
 	// maxWitnesses limits the witnesses of a keeper.
 	maxWitnesses = 5
-	// claimDelayPerRank is the time between the claims of hosts with consecutive ranks.
+	// claimDelayPerRank is the time between the claims of hosts with consecutive ranks, and between a witness's requests
+	// for the other witnesses' reports of the keeper's silence.
 	claimDelayPerRank = 80 * time.Millisecond
 	// claimRetryAfter is how long a host waits for the outcome of its claim before it claims again.
 	claimRetryAfter = time.Second
@@ -24,7 +25,8 @@
 	// maxReportAge is how long another witness's report of the keeper's silence counts.
 	maxReportAge = 500 * time.Millisecond
 	// unlistedTimeout is how long a keeper must be missing from the platform's list before other hosts claim for that
-	// reason alone.
+	// reason alone. It is also the least time between two claims that a keeper makes
+	// during its own term.
 	unlistedTimeout = 3 * time.Second
 )
 
@@ -69,8 +71,8 @@
 	}
 }
 
-// vacancy reports whether the service needs another keeper, and whether only the witnesses of the current keeper can
-// tell.
+// vacancy reports whether the service needs another keeper, and whether the only sign of that is the current keeper's
+// silence, which only its witnesses can observe.
 func (claimer *claimer) vacancy(input Input, witness *lease.Witness, actions *Actions) (vacant, silent bool) {
 	block := input.Block
 	if block.Term == 0 {
--- a/keeper/input.go
+++ b/keeper/input.go
@@ -39,7 +39,7 @@
 	ClaimedTerm int64
 }
 
-// TermNotice asks a witness of an earlier term to record the new one.
+// TermNotice requests that a witness of an earlier term records the new one.
 type TermNotice struct {
 	Host string
 	// EarlierTerm is the term whose witness the host was.
@@ -60,11 +60,12 @@
 type Actions struct {
 	// Orders are messages to lessees.
 	Orders []lease.Order
-	// RequestConfirmation are witnesses to ask whether the term is still the newest.
+	// RequestConfirmation are the witnesses from which to request confirmation that the term is still the newest.
 	RequestConfirmation []string
 	// TermNotices are requests to witnesses of earlier terms.
 	TermNotices []TermNotice
-	// RequestSilence are other witnesses to ask how long they have received no request from the keeper.
+	// RequestSilence are the other witnesses from which to request how long they have received no request from the
+	// keeper.
 	RequestSilence []string
 	// Claim and Assign are records to append to the log, or nil.
 	Claim  *fold.Claim
--- a/keeper/place.go
+++ b/keeper/place.go
@@ -20,7 +20,7 @@
 			continue
 		}
 		since, unavailable := term.unavailable[upstream.Name]
-		// Each loss doubles the delay, so that an upstream that fails repeatedly does not cause moves each time.
+		// Each outage doubles the delay, so that an upstream that fails repeatedly does not cause moves each time.
 		if unavailable && input.Now.Sub(since) >= term.returnDelayOf(upstream.Name) {
 			delete(term.unavailable, upstream.Name)
 		}
@@ -42,7 +42,7 @@
 // returnDelayOf returns how long an upstream must be available before it gets work again.
 func (term *term) returnDelayOf(upstream string) time.Duration {
 	delay := returnDelay
-	for loss := 1; loss < term.unavailableCounts[upstream] && delay < maxReturnDelay; loss++ {
+	for outage := 1; outage < term.unavailableCounts[upstream] && delay < maxReturnDelay; outage++ {
 		delay *= 2
 	}
 	return min(delay, maxReturnDelay)
--- a/keeper/term.go
+++ b/keeper/term.go
@@ -25,8 +25,8 @@
 	balanceInterval = 2 * time.Second
 	// maxMoveShare is the share of the partitions that one round may move for balance.
 	maxMoveShare = 1.0 / 32
-	// returnDelay is how long an upstream that was unavailable must answer before it gets work again. It doubles with
-	// each loss, up to maxReturnDelay.
+	// returnDelay is how long an upstream must be available again before it gets work again. It doubles each time
+	// that the upstream becomes unavailable once more, up to maxReturnDelay.
 	returnDelay    = 3 * time.Second
 	maxReturnDelay = 5 * time.Minute
 )
@@ -51,12 +51,15 @@
 	announcedAt       cherrykeel.Instant
 
 	// sequence is the sequence of the block from which proposed was computed.
-	sequence    int64
-	proposed    *cherrykeel.Placement
-	proposedAt  cherrykeel.Instant
-	overlay     *cherrykeel.Placement
-	overlayAt   cherrykeel.Instant
-	balancedAt  cherrykeel.Instant
+	sequence   int64
+	proposed   *cherrykeel.Placement
+	proposedAt cherrykeel.Instant
+	// overlay is a placement that is in force before the log contains it, or nil; it was last sent to the hosts at
+	// overlayAt, or not yet if that is 0.
+	overlay    *cherrykeel.Placement
+	overlayAt  cherrykeel.Instant
+	balancedAt cherrykeel.Instant
+	// reclaimedAt is when the keeper last claimed its role again to change its witnesses or the timeout.
 	reclaimedAt cherrykeel.Instant
 	// adopted is true once the assignments of earlier terms were adopted.
 	adopted bool
@@ -115,7 +118,7 @@
 	term.refreshWitnesses(input, actions)
 }
 
-// recordAddressChanges tells the ledger which upstreams have another address now, and so are other processes.
+// recordAddressChanges records in the ledger which upstreams have another address now, and so are other processes.
 func (term *term) recordAddressChanges(input Input) {
 	for _, upstream := range input.Service.Upstreams {
 		address, exists := term.addresses[upstream.Name]
@@ -234,8 +237,8 @@
 		return
 	}
 	if term.renewedAt == 0 || !settled || input.Now.Sub(term.renewedAt) >= interval {
-		// During a transfer the witnesses are asked at every tick: what an unavailable upstream held is free only
-		// after they have confirmed the term after its lease's end.
+		// During a transfer, confirmations are requested at every tick: what an unavailable upstream held becomes free
+		// only when the witnesses confirm the term after the upstream's lease has ended.
 		term.renewedAt = input.Now
 		actions.RequestConfirmation = input.Block.Witnesses
 	}
--- a/lease/ledger.go
+++ b/lease/ledger.go
@@ -101,7 +101,7 @@
 }
 
 // LeaseToHosts makes entry hosts the lessees, for upstreams that do not check fences. Such an upstream may work on a
-// request for up to timeout after it was sent, even if the host that sent it has lost its lease.
+// request for up to MaxProcessingTime(timeout) after it was sent, even if the host that sent it has lost its lease.
 func LeaseToHosts(timeout time.Duration) Option {
 	return func(ledger *Ledger) {
 		ledger.leaseToHosts = true
--- a/lease/witness.go
+++ b/lease/witness.go
@@ -16,8 +16,8 @@
 	requestedAt map[string]cherrykeel.Instant
 }
 
-// maxSuspension is how long a witness may be suspended before it abstains again, since a successor of the keeper may
-// have counted it as gone.
+// maxSuspension is how long a witness may be suspended before it abstains again, since a new keeper may have counted it
+// as removed in the meantime.
 const maxSuspension = time.Second
 
 // NewWitness returns a witness that abstains until it has caught up with the log. An earlier process of the host may
@@ -32,8 +32,8 @@
 	}
 }
 
-// RecordRunning records that the host is not suspended; it is called many times a second. After a long suspension the
-// witness abstains again, since a successor may have counted it as gone.
+// RecordRunning records that the host is not suspended; it is called many times a second. After a suspension longer than
+// maxSuspension the witness abstains again until it has caught up with the log.
 func (witness *Witness) RecordRunning(now cherrykeel.Instant) {
 	if now.Sub(witness.lastRunAt) > maxSuspension {
 		witness.ready = false
