--- a/follow/follower.go
+++ b/follow/follower.go
@@ -65,18 +65,23 @@
 
 // Follower folds the records of the log into the newest state and proposes records.
 type Follower struct {
-	log          cherrykeel.Log
-	peers        Peers
-	clock        cherrykeel.Clock
-	onState      func(state *fold.State)
-	onCaughtUp   func(readStart cherrykeel.Instant)
-	state        atomic.Pointer[fold.State]
-	mutex        sync.Mutex
-	status       Status
-	repliedAt    cherrykeel.Instant
-	recent       []cherrykeel.LogRecord
-	chains       map[int64]uint64
-	waiters      map[string]chan fold.Verdict
+	log        cherrykeel.Log
+	peers      Peers
+	clock      cherrykeel.Clock
+	onState    func(state *fold.State)
+	onCaughtUp func(readStart cherrykeel.Instant)
+	state      atomic.Pointer[fold.State]
+	mutex      sync.Mutex
+	status     Status
+	// repliedAt is when the log last answered a read, or the start if it has not.
+	repliedAt cherrykeel.Instant
+	// recent has the newest records, for hosts that cannot read the log. chains has the chain hashes of the recent states,
+	// by their Next.
+	recent []cherrykeel.LogRecord
+	chains map[int64]uint64
+	// waiters has the channels of the proposers that wait for a verdict, by the id of their record.
+	waiters map[string]chan fold.Verdict
+	// verdicts has the most recent verdicts by record id, and verdictOrder their ids, oldest first.
 	verdicts     map[string]fold.Verdict
 	verdictOrder []string
 }
--- a/member/health.go
+++ b/member/health.go
@@ -61,7 +61,7 @@
 	health.probing = false
 }
 
-// RecordFailure records an attempt without an answer; after several in a row the upstream is ejected.
+// RecordFailure records an attempt without an answer; after several in a row, or a failed probe, the upstream is ejected.
 func (health *Health) RecordFailure(now cherrykeel.Instant) {
 	health.failures++
 	if health.failures < failuresToEject && !health.probing {
