--- a/clock.go
+++ b/clock.go
@@ -44,15 +44,15 @@
 	return time.Now().UTC()
 }
 
-type suspendClock struct{}
+type bootTimeClock struct{}
 
 // BootTimeClock returns a clock that also counts the time in which the machine was suspended:
 // a host must not treat data from before a suspension as fresh.
 func BootTimeClock() Clock {
-	return suspendClock{}
+	return bootTimeClock{}
 }
 
-func (suspendClock) Now() Instant {
+func (bootTimeClock) Now() Instant {
 	var now unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now)
 	if err != nil {
@@ -61,6 +61,6 @@
 	return Instant(now.Nano())
 }
 
-func (suspendClock) Wall() time.Time {
+func (bootTimeClock) Wall() time.Time {
 	return time.Now().UTC()
 }
--- a/edge/attempt.go
+++ b/edge/attempt.go
@@ -38,14 +38,14 @@
 	observed observation
 	// upstreamName names the upstream that was tried.
 	upstreamName string
-	// unanswered: the connection ended before a complete answer, and this host did not close it.
-	// connectionRefused: no connection could be made, since nothing listens at the upstream's address.
-	// ownAnswer: the upstream sent an answer to this request that did not break off.
+	// unanswered means that the connection ended before a complete answer, and that this host did not close it.
+	// connectionRefused means that no connection could be made, since nothing listens at the upstream's address.
+	// ownAnswer means that the upstream sent an answer to this request that did not break off.
 	unanswered        bool
 	connectionRefused bool
 	ownAnswer         bool
-	// connectionReset: the connection was reset, not closed.
-	// abandoned: this host closed the connection before an answer.
+	// connectionReset means that the connection was reset, not closed.
+	// abandoned means that this host closed the connection before an answer.
 	connectionReset bool
 	abandoned       bool
 	// onStreamed is called when an answer that is larger than maxBufferedAnswer has been streamed, with the upstream's
@@ -203,14 +203,17 @@
 
 // observation is what an attempt showed about its upstream.
 type observation struct {
-	duration     time.Duration
-	reached      bool
-	draining     bool
-	shed         bool
+	duration time.Duration
+	// reached means that the upstream answered, or that the attempt failed for a cause on this host. Either way it is no
+	// failure of the upstream.
+	reached  bool
+	draining bool
+	shed     bool
+	// reportedLoad is -1 if the answer has no valid report of the load.
 	reportedLoad float64
-	// callerGone: the caller went away, which says nothing about the upstream.
+	// callerGone means that the caller went away, so that the attempt shows nothing about the upstream's health.
 	callerGone bool
-	// abandoned: the upstream may still work on the request.
+	// abandoned means that the upstream may still work on the request.
 	abandoned bool
 }
 
--- a/edge/forward.go
+++ b/edge/forward.go
@@ -84,7 +84,7 @@
 
 func (forward *forward) retryConditions(pool *pool, exchange *cherrykeel.Exchange, number int) retry.Conditions {
 	pool.mutex.Lock()
-	remaining := pool.budget.CanRetry()
+	canRetry := pool.budget.CanRetry()
 	pool.mutex.Unlock()
 	return retry.Conditions{
 		Now:        forward.clock.Now(),
@@ -92,7 +92,7 @@
 		Attempt:    number,
 		Repeatable: exchange.Repeatable,
 		Keyed:      exchange.Service.Keyed,
-		BudgetLeft: remaining,
+		BudgetLeft: canRetry,
 		Random:     rand.Float64(),
 	}
 }
