--- a/host/admin.go
+++ b/host/admin.go
@@ -10,7 +10,7 @@
 	"cherrykeel/route"
 )
 
-// PeerStatus is this host's state of another host.
+// PeerStatus is the state of another entry host as this host sees it.
 type PeerStatus struct {
 	Name    string
 	Zone    string
@@ -23,7 +23,7 @@
 	Differs bool
 }
 
-// ServiceStatus is this host's state of a keyed service.
+// ServiceStatus is the state of a keyed service's ownership as this host sees it.
 type ServiceStatus struct {
 	Service   string
 	Term      int64
@@ -47,10 +47,10 @@
 	// Version is the version of the last accepted change of settings.
 	Version int64
 	// Next is the offset of the first log record that has not been folded yet, and Chain a hash over all earlier ones and
-	// the decisions on them.
+	// the verdicts on them.
 	Next  int64
 	Chain uint64
-	// LogUp reports whether the last read of the log succeeded.
+	// LogUp is false before the first read of the log, and if the last read failed because the log was unavailable.
 	LogUp  bool
 	Uptime time.Duration
 	// InFlight is the number of callers' requests in flight.
--- a/host/duty.go
+++ b/host/duty.go
@@ -104,7 +104,8 @@
 	return placement.Owners[partition]
 }
 
-// placement returns the placement that the keeper announced if the log does not have it yet, else the log's.
+// placement returns the placement that the keeper announced if the log does not have it yet, else the log's. The caller
+// holds the mutex.
 func (coordinator *coordinator) placement(service string) cherrykeel.Placement {
 	serviceOwnership := coordinator.state.Ownership[service]
 	overlay, exists := coordinator.overlays[service]
@@ -256,6 +257,7 @@
 	events.Log(coordinator.host.logger, event, zap.String("Service", path), zap.Int64("Term", term))
 }
 
+// keeper returns this host's Keeper of a service, and creates it at the first call. The caller holds the mutex.
 func (coordinator *coordinator) keeper(path string) *keeper.Keeper {
 	serviceKeeper, exists := coordinator.keepers[path]
 	if !exists {
@@ -265,6 +267,8 @@
 	return serviceKeeper
 }
 
+// merger returns the merger of the hosts' reports of demand for a service, and creates it at the first call. The caller
+// holds the mutex.
 func (coordinator *coordinator) merger(service *cherrykeel.Service) *demand.Merger {
 	merger, exists := coordinator.demandMergers[service.Path]
 	if !exists {
@@ -333,14 +337,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
-	decision, err := coordinator.host.follower.Propose(ctx, record)
+	verdict, err := coordinator.host.follower.Propose(ctx, record)
 	logger := coordinator.host.logger.With(zap.String("Service", service))
 	switch {
 	case err != nil:
 		events.Log(logger, events.AssignUnconfirmed, zap.Error(err))
-	case record.Claim != nil && !decision.Accepted:
-		events.Log(logger, events.ClaimRefused, zap.String("Reason", decision.Reason))
-	case record.Assign != nil && decision.Accepted:
-		events.Log(logger, events.PlacementChanged, zap.Int64("Version", decision.Version))
+	case record.Claim != nil && !verdict.Accepted:
+		events.Log(logger, events.ClaimRefused, zap.String("Reason", verdict.Reason))
+	case record.Assign != nil && verdict.Accepted:
+		events.Log(logger, events.PlacementChanged, zap.Int64("Version", verdict.Version))
 	}
 }
--- a/host/host.go
+++ b/host/host.go
@@ -63,8 +63,8 @@
 	peerClient       *wire.Client
 	denyList         *deny.List
 	pendingSuspected *deny.PendingRecords
-	// suspectedVersion is the version of the last suspected request that was merged into denyList; only the
-	// follower's goroutine uses it.
+	// suspectedVersion is the SuspectedVersion of the last state that was merged into denyList; only the follower's
+	// goroutine uses it.
 	suspectedVersion int64
 	workers          pond.Pool
 	table            atomic.Pointer[route.Table]
@@ -223,7 +223,7 @@
 	return host.adminListener.Addr().String()
 }
 
-// onState puts a new state of the fold into force.
+// onState applies a new state of the fold.
 func (host *Host) onState(state *fold.State) {
 	host.mergeSuspected(state)
 	if host.table.Load() != nil && host.settingsError.Load() == nil && state.Version == host.settingsVersion {
@@ -233,8 +233,8 @@
 	}
 	services, err := tree.Services(state.Nodes)
 	if err != nil {
-		// With the old settings the host would silently serve stale values. Instead it reports the reason and is unready
-		// until a program that knows the settings replaces it.
+		// A ready host would silently serve stale settings. So the host reports the reason and is unready until a newer
+		// program that can use the settings replaces it, or the settings are changed so that this one can use them.
 		text := err.Error()
 		host.settingsError.Store(&text)
 		host.coordinator.recordTerms(state)
--- a/host/serve.go
+++ b/host/serve.go
@@ -76,9 +76,9 @@
 	return failed
 }
 
-// stop shuts down gracefully, without cutting a request. The host first becomes unready, still accepts callers while
-// the load balancer notices that, waits until other hosts have taken over its keeper roles, and lets the requests in
-// flight end.
+// stop shuts down gracefully; it aborts only requests that are still in flight after StopTimeout. The host first becomes
+// unready, still accepts callers while the load balancer notices that, waits until other hosts have taken over its keeper
+// roles, and lets the requests in flight end.
 func (host *Host) stop() {
 	host.stopping.Store(true)
 	host.callerServer.DisableKeepAlives()
--- a/host/slots.go
+++ b/host/slots.go
@@ -27,7 +27,7 @@
 	mutex   sync.Mutex
 	entries map[string]*slotAllocatorEntry
 	// hostByService is the host that allocated each service's slots when the platform's list was last read, and hostSince
-	// since when it does.
+	// when it began to do so.
 	hostByService map[string]string
 	hostSince     map[string]cherrykeel.Instant
 }
