--- a/keeper/claim.go
+++ b/keeper/claim.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// rank returns this host's position among the hosts that may claim, or -1: among the witnesses if only they can tell
+// rank returns this host's position among the hosts that may claim, or -1: among the witnesses if only they can observe
 // that the keeper is silent, and otherwise among all hosts.
 func (claimer *claimer) rank(input Input, silent bool) int {
 	witnesses := map[string]bool{}
@@ -146,8 +146,8 @@
 	}
 	var names []string
 	for _, host := range input.Hosts {
-		canTell := !silent || witnesses[host.Name]
-		if canTell && !host.Leaving && host.Name != input.Block.Keeper || host.Name == claimer.self {
+		mayClaim := !silent || witnesses[host.Name]
+		if mayClaim && !host.Leaving && host.Name != input.Block.Keeper || host.Name == claimer.self {
 			names = append(names, host.Name)
 		}
 	}
--- a/views/view.go
+++ b/views/view.go
@@ -161,7 +161,7 @@
 }
 
 // LimitDeadline returns the deadline of a request that is sent now: the given one, but at most the grant's timeout from
-// now. If the host is lost, the keeper relies on that timeout when it waits for the host's requests to end.
+// now. If the host becomes unavailable, the keeper relies on that timeout when it waits for the host's requests to end.
 func (view *View) LimitDeadline(deadline, now cherrykeel.Instant) cherrykeel.Instant {
 	if view.timeout == 0 {
 		return deadline
