--- a/failure.go
+++ b/failure.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome tells whether a request without an answer from an upstream may have been run.
+// Outcome is whether a request without an answer from an upstream may have been run.
 type Outcome string
 
 // The outcomes that answers to callers carry in the header Cherrykeel-Outcome.
