--- a/admit/queue.go
+++ b/admit/queue.go
@@ -104,7 +104,7 @@
 		queue.inFlight++
 		return Admitted
 	}
-	if now.Add(queue.Wait(ticket)) >= ticket.Deadline {
+	if now.Add(queue.EstimateWait(ticket)) >= ticket.Deadline {
 		if !queue.isIdle() {
 			return TooLate
 		}
@@ -124,8 +124,8 @@
 	return queue.inFlight == 0 && len(queue.waiting) == 0
 }
 
-// Wait estimates the time until the end of a ticket's request, its own processing time included.
-func (queue *Queue) Wait(ticket *Ticket) time.Duration {
+// EstimateWait estimates the time until the end of a ticket's request, its own processing time included.
+func (queue *Queue) EstimateWait(ticket *Ticket) time.Duration {
 	ahead := 0
 	for _, other := range queue.waiting {
 		if other.isBefore(ticket) {
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -191,7 +191,7 @@
 	grants, grantBytes, largest := 0, 0, 0
 	tick := func(int) {
 		now = now.Add(20 * time.Millisecond)
-		actions := serviceKeeper.Tick(keeper.Input{Now: now, Block: block, Service: service, Hosts: []keeper.Host{{Name: "host"}}, ClaimedTerm: 1})
+		actions := serviceKeeper.Tick(keeper.Input{Now: now, Ownership: block, Service: service, Hosts: []keeper.Host{{Name: "host"}}, ClaimedTerm: 1})
 		for _, name := range actions.RequestConfirmation {
 			serviceKeeper.RecordConfirmation(name, 1, now)
 		}
--- a/deny/list_test.go
+++ b/deny/list_test.go
@@ -78,7 +78,7 @@
 	BeforeEach(func() { fixture = newFixture() })
 
 	denied := func() bool {
-		_, denied := fixture.list.NewRequest(requestParts).Denied()
+		_, denied := fixture.list.NewRequest(requestParts).DenialRemaining()
 		return denied
 	}
 
@@ -125,7 +125,7 @@
 		Expect(denied()).To(BeFalse())
 		fixture.crash()
 		Expect(denialAdded).To(BeClosed())
-		remaining, _ := fixture.list.NewRequest(requestParts).Denied()
+		remaining, _ := fixture.list.NewRequest(requestParts).DenialRemaining()
 		Expect(remaining).To(BeNumerically("~", time.Hour, time.Minute))
 		Expect(fixture.stored.Load()).To(Equal(int64(2)))
 	})
@@ -146,7 +146,7 @@
 		} {
 			innocent := requestParts
 			change(&innocent)
-			_, denied := fixture.list.NewRequest(innocent).Denied()
+			_, denied := fixture.list.NewRequest(innocent).DenialRemaining()
 			Expect(denied).To(BeFalse())
 		}
 	})
@@ -163,11 +163,11 @@
 			fixture.list.RecordIncarnationEnded(fixture.incarnation())
 			fixture.upstream++
 		}
-		_, denied := fixture.list.NewRequest(from(9)).Denied()
+		_, denied := fixture.list.NewRequest(from(9)).DenialRemaining()
 		Expect(denied).To(BeTrue())
 		innocent := from(9)
 		innocent.Body = []byte("y")
-		_, denied = fixture.list.NewRequest(innocent).Denied()
+		_, denied = fixture.list.NewRequest(innocent).DenialRemaining()
 		Expect(denied).To(BeFalse())
 	})
 
@@ -202,7 +202,7 @@
 
 	It("computes no fingerprint while there is no record of a request's target", func() {
 		request := fixture.list.NewRequest(requestParts)
-		_, _ = request.Denied()
+		_, _ = request.DenialRemaining()
 		_, computed := request.ComputedFingerprint()
 		Expect(computed).To(BeFalse())
 	})
--- a/deny/request.go
+++ b/deny/request.go
@@ -47,8 +47,8 @@
 	return !request.list.IsEmpty() && request.list.hasTarget(request.requestParts.Target())
 }
 
-// Denied reports whether the request must not be sent to any upstream, and for how much longer.
-func (request *Request) Denied() (time.Duration, bool) {
+// DenialRemaining reports whether the request must not be sent to any upstream, and for how much longer.
+func (request *Request) DenialRemaining() (time.Duration, bool) {
 	if !request.isTargetRecorded() {
 		return 0, false
 	}
--- a/edge/admission.go
+++ b/edge/admission.go
@@ -39,7 +39,7 @@
 		return &slot{}, nil
 	}
 	decision := queue.Submit(ticket, now)
-	wait := queue.Wait(ticket)
+	wait := queue.EstimateWait(ticket)
 	pool.mutex.Unlock()
 	switch decision {
 	case admit.QueueFull:
--- a/edge/denied.go
+++ b/edge/denied.go
@@ -15,7 +15,7 @@
 
 // denialFailure returns the failure of a denied request, or nil if the request is not denied.
 func denialFailure(tracked *deny.Request) *cherrykeel.Failure {
-	retryAfter, refused := tracked.Denied()
+	retryAfter, refused := tracked.DenialRemaining()
 	if !refused {
 		return nil
 	}
--- a/host/duty.go
+++ b/host/duty.go
@@ -157,7 +157,7 @@
 			if confirms[witness] == nil {
 				confirms[witness] = map[string]int64{}
 			}
-			confirms[witness][path] = input.Block.Term
+			confirms[witness][path] = input.Ownership.Term
 		}
 	}
 	for witness, terms := range confirms {
@@ -211,9 +211,9 @@
 	coordinator.mutex.Lock()
 	defer coordinator.mutex.Unlock()
 	coordinator.witness.RecordRunning(input.Now)
-	input.Block = coordinator.state.Ownership[path]
-	if coordinator.ownClaims[input.Block.ClaimID] {
-		input.ClaimedTerm = input.Block.Term
+	input.Ownership = coordinator.state.Ownership[path]
+	if coordinator.ownClaims[input.Ownership.ClaimID] {
+		input.ClaimedTerm = input.Ownership.Term
 	}
 	serviceKeeper := coordinator.keeper(path)
 	if serviceKeeper.HoldsRole() {
@@ -221,7 +221,7 @@
 	}
 	held := serviceKeeper.HoldsRole()
 	actions := serviceKeeper.Tick(*input)
-	coordinator.recordRoleChange(path, held, serviceKeeper.HoldsRole(), input.Block.Term)
+	coordinator.recordRoleChange(path, held, serviceKeeper.HoldsRole(), input.Ownership.Term)
 	coordinator.logAvailabilityChanges(path, serviceKeeper, input.Now)
 	return actions
 }
@@ -293,13 +293,13 @@
 // submitActions passes the actions to the worker pool.
 func (coordinator *coordinator) submitActions(service *cherrykeel.Service, input keeper.Input, actions keeper.Actions) {
 	for _, order := range actions.Orders {
-		coordinator.submit(func() { coordinator.sendOrder(service, input.Block.LeaseLength, order) })
+		coordinator.submit(func() { coordinator.sendOrder(service, input.Ownership.LeaseLength, order) })
 	}
 	for _, notice := range actions.TermNotices {
 		coordinator.submit(func() { coordinator.sendTermNotice(service.Path, notice) })
 	}
 	for _, name := range actions.RequestSilence {
-		coordinator.submit(func() { coordinator.requestSilence(service.Path, name, input.Block.LeaseLength) })
+		coordinator.submit(func() { coordinator.requestSilence(service.Path, name, input.Ownership.LeaseLength) })
 	}
 	if actions.Claim != nil {
 		record := coordinator.newRecord()
--- a/host/roster.go
+++ b/host/roster.go
@@ -68,7 +68,7 @@
 func (roster *roster) removedHosts() map[string]bool {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	return roster.members.Gone()
+	return roster.members.RemovedHosts()
 }
 
 func (roster *roster) isDown(service, upstream string, now cherrykeel.Instant) bool {
@@ -100,7 +100,7 @@
 func (roster *roster) internalAddress(name string) string {
 	for _, peer := range roster.peers() {
 		if peer.Name == name {
-			return peer.Inner
+			return peer.InternalAddress
 		}
 	}
 	return ""
--- a/keeper/claim.go
+++ b/keeper/claim.go
@@ -64,7 +64,7 @@
 func (claimer *claimer) claim(input Input) *fold.Claim {
 	return &fold.Claim{
 		Service:     claimer.service,
-		Term:        input.Block.Term,
+		Term:        input.Ownership.Term,
 		LeaseLength: input.Service.LeaseLength,
 		Timeout:     configuredTimeout(input.Service),
 		Witnesses:   ChooseWitnesses(claimer.service, claimer.self, input.Hosts),
@@ -74,7 +74,7 @@
 // vacancy reports whether the service needs another keeper, and whether the only sign of that is the current keeper's
 // silence, which only its witnesses can observe.
 func (claimer *claimer) vacancy(input Input, witness *lease.Witness, actions *Actions) (vacant, silent bool) {
-	block := input.Block
+	block := input.Ownership
 	if block.Term == 0 {
 		return true, false
 	}
@@ -93,7 +93,7 @@
 // unlistedTimeout.
 func (claimer *claimer) hasKeeperLeft(input Input) bool {
 	for _, host := range input.Hosts {
-		if host.Name == input.Block.Keeper {
+		if host.Name == input.Ownership.Keeper {
 			claimer.unlistedSince = 0
 			return host.Leaving
 		}
@@ -107,16 +107,16 @@
 // isKeeperSilent reports whether a majority of the keeper's witnesses have not received a request from it for a
 // while. The view of a single host is not enough: it may itself be the unreachable one.
 func (claimer *claimer) isKeeperSilent(input Input, witness *lease.Witness, actions *Actions) bool {
-	limit := time.Duration(silenceShare * float64(input.Block.LeaseLength))
+	limit := time.Duration(silenceShare * float64(input.Ownership.LeaseLength))
 	isWitness := false
-	for _, name := range input.Block.Witnesses {
+	for _, name := range input.Ownership.Witnesses {
 		isWitness = isWitness || name == claimer.self
 	}
 	if !isWitness || input.Now.Sub(witness.LastRequestAt(claimer.service)) < limit {
 		return false
 	}
 	count := 1
-	for _, name := range input.Block.Witnesses {
+	for _, name := range input.Ownership.Witnesses {
 		reportedAt, reported := claimer.silenceReports[name]
 		if name != claimer.self && reported && input.Now.Sub(reportedAt) < maxReportAge {
 			count++
@@ -124,9 +124,9 @@
 	}
 	if input.Now.Sub(claimer.requestedAt) >= claimDelayPerRank {
 		claimer.requestedAt = input.Now
-		actions.RequestSilence = exclude(input.Block.Witnesses, claimer.self)
+		actions.RequestSilence = exclude(input.Ownership.Witnesses, claimer.self)
 	}
-	return 2*count > len(input.Block.Witnesses)
+	return 2*count > len(input.Ownership.Witnesses)
 }
 
 // recordSilence records how long another witness has not received a request from the keeper.
@@ -141,13 +141,13 @@
 // that the keeper is silent, and otherwise among all hosts.
 func (claimer *claimer) rank(input Input, silent bool) int {
 	witnesses := map[string]bool{}
-	for _, name := range input.Block.Witnesses {
+	for _, name := range input.Ownership.Witnesses {
 		witnesses[name] = true
 	}
 	var names []string
 	for _, host := range input.Hosts {
 		mayClaim := !silent || witnesses[host.Name]
-		if mayClaim && !host.Leaving && host.Name != input.Block.Keeper || host.Name == claimer.self {
+		if mayClaim && !host.Leaving && host.Name != input.Ownership.Keeper || host.Name == claimer.self {
 			names = append(names, host.Name)
 		}
 	}
--- a/keeper/input.go
+++ b/keeper/input.go
@@ -16,8 +16,8 @@
 // Input is everything that a decision depends on.
 type Input struct {
 	Now cherrykeel.Instant
-	// Block is the service's state in the log.
-	Block fold.ServiceOwnership
+	// Ownership is the service's state in the log.
+	Ownership fold.ServiceOwnership
 	// Service holds the service's settings.
 	Service *cherrykeel.Service
 	// Hosts are the entry hosts on the platform's list, including this one.
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -33,14 +33,14 @@
 // Tick returns what to do now. It is called several times within a lease duration.
 func (keeper *Keeper) Tick(input Input) Actions {
 	var actions Actions
-	keeper.witness.RecordTerm(keeper.service, input.Block.Term)
-	holdsRole := input.Block.Keeper == keeper.self && input.ClaimedTerm == input.Block.Term && input.ClaimedTerm != 0
+	keeper.witness.RecordTerm(keeper.service, input.Ownership.Term)
+	holdsRole := input.Ownership.Keeper == keeper.self && input.ClaimedTerm == input.Ownership.Term && input.ClaimedTerm != 0
 	if !holdsRole {
 		keeper.term = nil
 		keeper.claimer.decide(input, keeper.witness, &actions)
 		return actions
 	}
-	if keeper.term == nil || keeper.term.number != input.Block.Term {
+	if keeper.term == nil || keeper.term.number != input.Ownership.Term {
 		keeper.term = newTerm(keeper, input)
 	}
 	keeper.term.tick(input, &actions)
--- a/keeper/moved_test.go
+++ b/keeper/moved_test.go
@@ -75,7 +75,7 @@
 	now := cherrykeel.Instant(cluster.now)
 	service := cluster.service
 	actions := cluster.keeper.Tick(keeper.Input{
-		Now: now, Block: cluster.block, Service: &service, Hosts: []keeper.Host{{Name: self}}, ClaimedTerm: cluster.block.Term,
+		Now: now, Ownership: cluster.block, Service: &service, Hosts: []keeper.Host{{Name: self}}, ClaimedTerm: cluster.block.Term,
 	})
 	for range actions.RequestConfirmation {
 		cluster.keeper.RecordConfirmation(self, cluster.block.Term, now)
--- a/keeper/place.go
+++ b/keeper/place.go
@@ -63,9 +63,9 @@
 // updatePlacement proposes a new placement to the log when the available upstreams or their load change, and sets the
 // ledger's target to the placement in force.
 func (term *term) updatePlacement(input Input, actions *Actions) {
-	if term.sequence != input.Block.Sequence {
+	if term.sequence != input.Ownership.Sequence {
 		// The log has a new placement: the proposal, or another one.
-		term.sequence = input.Block.Sequence
+		term.sequence = input.Ownership.Sequence
 		term.proposed = nil
 		term.overlay = nil
 	}
@@ -74,7 +74,7 @@
 		return
 	}
 	term.adoptHeldAssignments(input)
-	defer func() { term.promoted = countMoved(input.Block.Placement, term.currentPlacement(input)) }()
+	defer func() { term.promoted = countMoved(input.Ownership.Placement, term.currentPlacement(input)) }()
 	candidates := term.candidates(input)
 	current := term.currentPlacement(input)
 	term.ledger.SetTarget(current)
@@ -86,7 +86,7 @@
 		return
 	}
 	next, needed := term.nextPlacement(input, current, candidates)
-	settling := len(input.Block.Earlier) > 0 && term.ledger.IsSettled(input.Now)
+	settling := len(input.Ownership.Earlier) > 0 && term.ledger.IsSettled(input.Now)
 	if !needed && !settling && term.overlay == nil {
 		return
 	}
@@ -101,9 +101,9 @@
 	}
 	term.adopted = true
 	adopted := cherrykeel.Placement{
-		Owners:     append([]string(nil), input.Block.Placement.Owners...),
-		Successors: input.Block.Placement.Successors,
-		HotKeys:    input.Block.Placement.HotKeys,
+		Owners:     append([]string(nil), input.Ownership.Placement.Owners...),
+		Successors: input.Ownership.Placement.Successors,
+		HotKeys:    input.Ownership.Placement.HotKeys,
 	}
 	for _, assignment := range term.ledger.HeldAssignments(input.Now) {
 		for upstream, set := range assignment.Partitions {
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	if !samePlacement(adopted, input.Block.Placement) {
+	if !samePlacement(adopted, input.Ownership.Placement) {
 		term.overlay = &adopted
 		term.overlayAt = 0
 	}
@@ -129,7 +129,7 @@
 	if term.overlay != nil {
 		return *term.overlay
 	}
-	return input.Block.Placement
+	return input.Ownership.Placement
 }
 
 // nextPlacement returns the placement that should follow, and whether it differs from the current one.
@@ -189,9 +189,9 @@
 }
 
 func (term *term) proposePlacement(input Input, next cherrykeel.Placement, settled bool, actions *Actions) {
-	assign := fold.DiffPlacements(term.service, input.Block.Placement, next)
+	assign := fold.DiffPlacements(term.service, input.Ownership.Placement, next)
 	assign.Term = term.number
-	assign.Base = input.Block.Sequence
+	assign.Base = input.Ownership.Sequence
 	assign.Settled = settled
 	term.proposed = &next
 	term.proposedAt = input.Now
@@ -218,7 +218,7 @@
 	due := term.overlayAt == 0 || input.Now.Sub(term.overlayAt) >= overlayResendAfter
 	if term.overlay != nil && due {
 		term.overlayAt = input.Now
-		actions.Overlay = &Overlay{Service: term.service, Term: term.number, Base: input.Block.Sequence, Placement: *term.overlay}
+		actions.Overlay = &Overlay{Service: term.service, Term: term.number, Base: input.Ownership.Sequence, Placement: *term.overlay}
 	}
 }
 
--- a/keeper/term.go
+++ b/keeper/term.go
@@ -77,21 +77,21 @@
 	service := input.Service
 	options := []lease.Option{}
 	if !service.ChecksFences {
-		options = append(options, lease.LeaseToHosts(requestTimeout(input.Block.Timeout, service)))
+		options = append(options, lease.LeaseToHosts(requestTimeout(input.Ownership.Timeout, service)))
 	}
 	term := &term{
-		number:            input.Block.Term,
+		number:            input.Ownership.Term,
 		service:           keeper.service,
 		self:              keeper.self,
 		placer:            keeper.placer,
-		ledger:            lease.NewLedger(keeper.service, input.Block.Term, input.Block.LeaseLength, partitionOf(service.Partitions), options...),
-		quorum:            lease.NewQuorum(input.Block.Witnesses),
+		ledger:            lease.NewLedger(keeper.service, input.Ownership.Term, input.Ownership.LeaseLength, partitionOf(service.Partitions), options...),
+		quorum:            lease.NewQuorum(input.Ownership.Witnesses),
 		failures:          map[string]int{},
 		addresses:         map[string]string{},
 		unavailable:       map[string]cherrykeel.Instant{},
 		unavailableCounts: map[string]int{},
 	}
-	for _, replaced := range input.Block.Earlier {
+	for _, replaced := range input.Ownership.Earlier {
 		term.earlierTerms = append(term.earlierTerms, &earlierTerm{EarlierTerm: replaced, learnedAt: map[string]cherrykeel.Instant{}})
 	}
 	return term
@@ -231,7 +231,7 @@
 
 // renew requests confirmations and renews the leases.
 func (term *term) renew(input Input, actions *Actions) {
-	interval := time.Duration(renewShare * float64(input.Block.LeaseLength))
+	interval := time.Duration(renewShare * float64(input.Ownership.LeaseLength))
 	settled := term.ledger.IsSettled(input.Now)
 	if settled && term.renewedAt != 0 && input.Now.Sub(term.renewedAt) < interval {
 		return
@@ -240,7 +240,7 @@
 		// During a transfer, confirmations are requested at every tick: what an unavailable upstream held becomes free
 		// only when the witnesses confirm the term after the upstream's lease has ended.
 		term.renewedAt = input.Now
-		actions.RequestConfirmation = input.Block.Witnesses
+		actions.RequestConfirmation = input.Ownership.Witnesses
 	}
 	actions.Orders = term.ledger.NextOrders(input.Now, term.quorum.ConfirmedAt())
 }
@@ -251,9 +251,9 @@
 func (term *term) refreshWitnesses(input Input, actions *Actions) {
 	missing := term.missingWitnesses(input)
 	witnesses := ChooseWitnesses(term.service, term.self, input.Hosts)
-	moreAvailable := len(witnesses) > len(input.Block.Witnesses)
-	mostMissing := 2*missing > len(input.Block.Witnesses)
-	shouldClaim := missing > 0 || moreAvailable || configuredTimeout(input.Service) != input.Block.Timeout
+	moreAvailable := len(witnesses) > len(input.Ownership.Witnesses)
+	mostMissing := 2*missing > len(input.Ownership.Witnesses)
+	shouldClaim := missing > 0 || moreAvailable || configuredTimeout(input.Service) != input.Ownership.Timeout
 	recent := term.reclaimedAt != 0 && input.Now.Sub(term.reclaimedAt) < unlistedTimeout
 	if !shouldClaim || recent || input.Leaving || !mostMissing && !term.ledger.IsSettled(input.Now) {
 		return
@@ -275,7 +275,7 @@
 		staying[host.Name] = !host.Leaving
 	}
 	missing := 0
-	for _, name := range input.Block.Witnesses {
+	for _, name := range input.Ownership.Witnesses {
 		if !staying[name] {
 			missing++
 		}
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -52,9 +52,9 @@
 		roster := member.NewRoster(entry("a"))
 		roster.ApplyList([]cherrykeel.Member{entry("a"), entry("b")}, oneSecond)
 		roster.ApplyList([]cherrykeel.Member{entry("a")}, 5*oneSecond)
-		Expect(roster.Gone()).To(BeEmpty())
+		Expect(roster.RemovedHosts()).To(BeEmpty())
 		roster.ApplyList([]cherrykeel.Member{entry("a")}, 12*oneSecond)
-		Expect(roster.Gone()).To(Equal(map[string]bool{"b": true}))
+		Expect(roster.RemovedHosts()).To(Equal(map[string]bool{"b": true}))
 	})
 
 	It("gives every host as many neighbours as it is a neighbour of", func() {
--- a/member/roster.go
+++ b/member/roster.go
@@ -20,11 +20,11 @@
 
 // Peer is an entry host as this host sees it.
 type Peer struct {
-	Name    string
-	Zone    string
-	Inner   string
-	Admin   string
-	Leaving bool
+	Name            string
+	Zone            string
+	InternalAddress string
+	AdminAddress    string
+	Leaving         bool
 	// ReceivedAt is when this host received the peer's last report, or 0.
 	ReceivedAt cherrykeel.Instant
 	Next       int64
@@ -109,7 +109,7 @@
 		if member.Role != cherrykeel.RoleEntry {
 			continue
 		}
-		peer := Peer{Name: member.Name, Zone: member.Zone, Inner: member.InternalAddress, Admin: member.AdminAddress, Leaving: member.Leaving}
+		peer := Peer{Name: member.Name, Zone: member.Zone, InternalAddress: member.InternalAddress, AdminAddress: member.AdminAddress, Leaving: member.Leaving}
 		if received, known := roster.reports[member.Name]; known {
 			peer.ReceivedAt = received.receivedAt
 			peer.Leaving = peer.Leaving || received.report.Leaving
@@ -124,8 +124,8 @@
 	return peers
 }
 
-// Gone returns the hosts that were on the list once and were then absent for long from lists that were read meanwhile.
-func (roster *Roster) Gone() map[string]bool {
+// RemovedHosts returns the hosts that were on the list once and were then absent for long from lists that were read meanwhile.
+func (roster *Roster) RemovedHosts() map[string]bool {
 	gone := map[string]bool{}
 	for name, seen := range roster.lastListed {
 		if roster.listedAt.Sub(seen) >= goneAfter {
--- a/relay/denied.go
+++ b/relay/denied.go
@@ -23,7 +23,7 @@
 // certainly does not run; the caller is told to retry when the denial expires. It returns nil if the request is not
 // denied.
 func (exchange *exchange) refuseDenied() *cherrykeel.Failure {
-	remaining, refused := exchange.denyRequest.Denied()
+	remaining, refused := exchange.denyRequest.DenialRemaining()
 	if !refused {
 		return nil
 	}
--- a/trial/host.go
+++ b/trial/host.go
@@ -75,13 +75,13 @@
 		world.sendOrder(host, order)
 	}
 	for _, name := range actions.RequestConfirmation {
-		world.requestConfirmation(host, name, input.Block.Term)
+		world.requestConfirmation(host, name, input.Ownership.Term)
 	}
 	for _, notice := range actions.TermNotices {
 		world.sendTermNotice(host, notice)
 	}
 	for _, name := range actions.RequestSilence {
-		world.requestSilence(host, name, input.Block.LeaseLength)
+		world.requestSilence(host, name, input.Ownership.LeaseLength)
 	}
 	if actions.Claim != nil {
 		record := world.newRecord(host)
@@ -129,7 +129,7 @@
 func (world *World) keeperInput(host *Host) keeper.Input {
 	input := keeper.Input{
 		Now:          world.local(&host.Process),
-		Block:        host.State.Ownership[Service],
+		Ownership:    host.State.Ownership[Service],
 		Service:      world.settingsOf(host),
 		RemovedHosts: map[string]bool{},
 		Leaving:      host.Leaving,
@@ -137,8 +137,8 @@
 		Unreachable:  map[string]bool{},
 		Demand:       world.Demand,
 	}
-	if host.claimIDs[input.Block.ClaimID] {
-		input.ClaimedTerm = input.Block.Term
+	if host.claimIDs[input.Ownership.ClaimID] {
+		input.ClaimedTerm = input.Ownership.Term
 	}
 	for _, other := range world.Hosts {
 		switch {
