--- a/topo/fleet.go
+++ b/topo/fleet.go
@@ -25,9 +25,9 @@
 func NewFleet(self string, peers []cherrykeel.Peer) *Fleet {
 	ordered := sortByCapacity(peers)
 	fleet := &Fleet{self: self, ranks: map[string]int{}, groups: divideIntoGroups(ordered)}
-	for place, peer := range ordered {
+	for rank, peer := range ordered {
 		fleet.names = append(fleet.names, peer.Name)
-		fleet.ranks[peer.Name] = place
+		fleet.ranks[peer.Name] = rank
 	}
 	fleet.labels = sortedLabels(fleet.groups)
 	for label, names := range fleet.groups {
--- a/topo/plan.go
+++ b/topo/plan.go
@@ -11,21 +11,23 @@
 	// maxGroupHosts bounds the size of a group. Its aggregator sends one sum to each member about six times a second;
 	// 24 sums of 2 KB are 290 KB/s, a quarter of the smallest link, 10 Mbit/s.
 	maxGroupHosts = 24
-	// hubCount is the number of hubs. They are spread over the hosts by a hash, so that a failure of a quarter of the
-	// hosts includes all four in 1 case of 250; others replace them a second later.
+	// hubCount is the number of hubs, the first reachable hosts in the order of Plan.Order. Among hosts of equal capacity
+	// a hash decides, so that a failure of a quarter of these includes all four hubs in 1 case of 250; others replace them
+	// a second later.
 	hubCount = 4
-	// maxSumsPerTick bounds the sums that an aggregator sends to other aggregators in a tick of 80 ms: up to four
-	// groups exchange their sums in each tick. A request takes 0.1 to 0.5 s, so older counts are of little use.
+	// maxSumsPerTick bounds the sums that an aggregator sends to other aggregators, on average in a tick of 80 ms: up to
+	// four groups exchange their sums in each tick, more groups less often.
 	maxSumsPerTick = 3
-	// maxSumTicks bounds the age of the counts of other groups, in ticks.
+	// maxSumTicks bounds the interval of these sums, in ticks, even if more than maxSumsPerTick are then sent. A request
+	// takes 0.1 to 0.5 s, so older counts are of little use.
 	maxSumTicks = 4
 	// forwardersPerGroup is the number of hosts of each group that forward announcements to it. With two, neither an
 	// undetected crash nor a lost datagram leaves a group without an announcement.
 	forwardersPerGroup = 2
 	// maxHubs bounds the hubs including those to which the store is unavailable. Without it, while the store serves no
 	// host, each hub that reports this adds the next host as a hub: within 3 s of an outage dozens of 195 hosts sent to
-	// all others. Of twelve hubs that are spread over the hosts, the store serves at least one unless it serves almost
-	// no host.
+	// all others. Of twelve hubs, which a hash selects among hosts of equal capacity, the store serves at least one unless
+	// it serves almost no host.
 	maxHubs = 3 * hubCount
 )
 
@@ -90,11 +92,11 @@
 
 // Rank returns a host's position in the order, from 0, or the number of hosts if it is not there.
 func (plan Plan) Rank(name string) int {
-	place, known := plan.ranks[name]
+	rank, known := plan.ranks[name]
 	if !known {
 		return len(plan.Order)
 	}
-	return place
+	return rank
 }
 
 // chooseHubs returns the first reachable hosts. A host to which the store is unavailable is included but does not count
@@ -129,16 +131,16 @@
 
 // reachableForwarders returns the first reachable hosts of a group, or the first ones if none is reachable.
 func reachableForwarders(names []string, view View) []string {
-	var relays []string
+	var forwarders []string
 	for _, name := range names {
-		if len(relays) < forwardersPerGroup && !view.IsUnreachable(name) {
-			relays = append(relays, name)
+		if len(forwarders) < forwardersPerGroup && !view.IsUnreachable(name) {
+			forwarders = append(forwarders, name)
 		}
 	}
-	if len(relays) == 0 {
+	if len(forwarders) == 0 {
 		return names[:min(forwardersPerGroup, len(names))]
 	}
-	return relays
+	return forwarders
 }
 
 func contains(names []string, name string) bool {
