--- a/share/demand.go
+++ b/share/demand.go
@@ -12,9 +12,9 @@
 	// demandSlowdown multiplies the interval when the hosts are too many for a full mesh: most of 72 hosts have at most
 	// one key to report in one interval.
 	demandSlowdown = 3
-	// processingTimeInterval is when an upstream's processing time is reported again although it has not changed: the
-	// keeper uses a reported time for 3 s, and messages get lost. A change by the share processingTimeChange is sent
-	// with the next keys.
+	// processingTimeInterval is the time after which an upstream's processing time is reported again although it has not
+	// changed: the keeper uses a reported time for 3 s, and messages get lost. A change by the share processingTimeChange
+	// is sent with the next keys.
 	processingTimeInterval = time.Second
 	processingTimeChange   = 0.1
 	// maxDemandKeys bounds the keys of a service in one message; further keys are not counted.
--- a/share/liveness.go
+++ b/share/liveness.go
@@ -14,7 +14,7 @@
 	return contacts{expected: map[string]cherrykeel.Instant{}, receivedAt: map[string]cherrykeel.Instant{}}
 }
 
-// expectMessage records that a host gets messages that it answers with its own.
+// expectMessage records that this host sends messages to a host that sends its own in return.
 func (contacts *contacts) expectMessage(name string, now cherrykeel.Instant) {
 	_, known := contacts.expected[name]
 	if !known {
--- a/share/mesh.go
+++ b/share/mesh.go
@@ -237,16 +237,16 @@
 	return mesh.clock.Now().Sub(mesh.hubSince)
 }
 
-// Rank returns how many hosts come before this one in the order of hosts, of those with a fresh report that counts
-// accepts. It calls counts with Mesh.mutex held, so counts must not call the mesh.
-func (mesh *Mesh) Rank(counts func(report Report) bool) int {
+// Rank returns how many hosts come before this one in the order of hosts. It counts those that have a fresh report for
+// which isCounted returns true. It calls isCounted with Mesh.mutex held, so isCounted must not call the mesh.
+func (mesh *Mesh) Rank(isCounted func(report Report) bool) int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	now := mesh.clock.Now()
 	own := mesh.plan.Rank(mesh.self.Name)
 	rank := 0
 	for name, received := range mesh.reports {
-		if now.Sub(received.ReceivedAt) <= staleAfter && mesh.plan.Rank(name) < own && counts(received.Report) {
+		if now.Sub(received.ReceivedAt) <= staleAfter && mesh.plan.Rank(name) < own && isCounted(received.Report) {
 			rank++
 		}
 	}
--- a/share/message.go
+++ b/share/message.go
@@ -141,8 +141,8 @@
 // NoPreviousChange is the PreviousOffset of records that do not depend on an earlier change.
 const NoPreviousChange = -1
 
-// Demand reports to the keeper which keys were requested since the last report, and the processing times of their
-// owners.
+// Demand reports to the keeper which keys of a service were requested since the last report, and the processing times
+// of the service's upstreams.
 type Demand struct {
 	Host    string
 	Service string
--- a/share/receive.go
+++ b/share/receive.go
@@ -77,8 +77,8 @@
 	return method == methodReport || method == methodLoad || method == methodSum
 }
 
-// recordReport records a report, unless it is not from the present incarnation of a known host or is older than the one
-// known; it reports whether it did.
+// recordReport records a report of a known host's present incarnation if it is newer than the one known, and reports
+// whether it did.
 func (mesh *Mesh) recordReport(report Report) bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
--- a/share/send.go
+++ b/share/send.go
@@ -87,7 +87,8 @@
 	mesh.send(methodReport, report, names)
 }
 
-// hasStopped reports whether ReportStopped was called; a report that is sent after it must repeat the mark.
+// hasStopped reports whether ReportStopped was called; reports that are sent after it must also mark this host as
+// stopped.
 func (mesh *Mesh) hasStopped() bool {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
--- a/share/suspension.go
+++ b/share/suspension.go
@@ -27,7 +27,7 @@
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
 	elapsed := now.Sub(mesh.lastRunAt)
-	// Of a longer time the process has run for one interval at the most.
+	// Of a longer time, at most one interval counts as time in which the process ran.
 	mesh.ranSincePause += min(elapsed, busyLoadInterval)
 	if elapsed >= minPause && (mesh.ranSincePause > discardAfterResume || elapsed >= mesh.pauseEnd.Sub(mesh.pauseStart)) {
 		// A shorter pause just after a longer one is ignored: events of the longer one may not have been noticed yet.
