--- a/flow/discipline.go
+++ b/flow/discipline.go
@@ -15,8 +15,8 @@
 type discipline interface {
 	// upstreamsChanged is called after the service's upstreams have changed.
 	upstreamsChanged()
-	// refreshCounts counts the waiting requests. It is called after these have changed, before any of the methods
-	// below.
+	// refreshCounts counts this host's waiting requests by owner, for chooseUpstream and chooseProbe. It is called before
+	// these whenever the waiting requests may have changed.
 	refreshCounts()
 	// setRemoteWaiting records how many requests wait at all other hosts together.
 	setRemoteWaiting(total int)
--- a/flow/member.go
+++ b/flow/member.go
@@ -66,7 +66,7 @@
 	lastSentAt cherrykeel.Instant
 	// processingTime is the mean processing time of a request; 0 while unknown.
 	processingTime time.Duration
-	// failures and answers count this host's attempts; they decay, and hold for the time decayedAt.
+	// failures and answers count this host's attempts. They decay; decayedAt is the time of their present values.
 	failures  float64
 	answers   float64
 	decayedAt cherrykeel.Instant
--- a/flow/owned.go
+++ b/flow/owned.go
@@ -42,7 +42,7 @@
 func (owned *owned) setRemoteWaiting(int) {}
 
 // observeQueues detects a standing queue at an owner to which this host has sent nothing for a long time. With 195
-// hosts, each has about one request a minute for an owner. If only a host's own requests showed that a queue stands, no
+// hosts, each has about one request a minute for an owner. If only a host's own requests showed a standing queue, no
 // host would detect it, and all queues would grow as far as deadlines allow.
 func (owned *owned) observeQueues(now cherrykeel.Instant) {
 	if owned.service.target == 0 {
--- a/flow/shared.go
+++ b/flow/shared.go
@@ -186,7 +186,7 @@
 
 // needsFirstRequest reports whether this host now sends its first request to an upstream that has joined. Without that,
 // an unknown and cold upstream would never be the best choice while others have free slots: 22 of 32 upstreams that
-// joined those of 72 hosts got no request in the rest of the day, so that no host knew their speed.
+// joined the upstreams of 72 hosts got no request for the rest of the day, so that no host knew their speed.
 func (shared *shared) needsFirstRequest(member *member, now cherrykeel.Instant) bool {
 	return member.firstSendAt != 0 && now >= member.firstSendAt && member.upstream.Zone == shared.zone && member.load() < member.upstream.Slots
 }
--- a/flow/uncertainty.go
+++ b/flow/uncertainty.go
@@ -32,8 +32,8 @@
 	uncertainty.meanError += uncertaintyWeight * (difference - uncertainty.meanError)
 }
 
-// extraRoom returns how many requests beyond its limit an upstream may get: the less the counts mean, the more
-// upstreams are sampled from.
+// extraRoom returns how many requests beyond its limit an upstream may get. The larger the error of the counts, the
+// more upstreams are candidates for a sample.
 func (uncertainty *uncertainty) extraRoom(slots int) int {
 	return int(extraRoomFactor * uncertainty.meanError * float64(slots))
 }
