--- a/spans/ledger.go
+++ b/spans/ledger.go
@@ -88,8 +88,8 @@
 	ledger.leases = kept
 }
 
-// RecordRelease records that a release was answered: the upstream holds the span under no lower fence, and refuses
-// such grants. The answer does not affect a grant under a higher fence, which was sent after the release.
+// RecordRelease records that a release was answered: the upstream no longer holds the span under a lower fence, and
+// refuses grants with one. The answer does not affect a grant under a higher fence, which was sent after the release.
 func (ledger *Ledger) RecordRelease(release GrantedSpan) {
 	ledger.removeSpan(release.Span, func(old lease) bool {
 		return old.Service == release.Service && old.Owner == release.Owner && old.Fence < release.Fence
--- a/spans/next.go
+++ b/spans/next.go
@@ -34,8 +34,8 @@
 
 // NextSpans returns the next list of spans for a service, and whether it differs from the current one.
 //
-// Owners that leave are asked to release their spans, spans that nobody holds go to new owners, and spans of the most
-// utilized upstreams are marked for transfer.
+// Owners that leave are asked to release their spans, spans that no upstream can hold any more go to new owners, and
+// spans of the most utilized upstreams are marked for transfer.
 func (table Table) NextSpans(service string, input Input) ([]Owned, bool) {
 	list := table.Services[service]
 	if len(input.Candidates) == 0 {
--- a/spans/pieces.go
+++ b/spans/pieces.go
@@ -71,8 +71,9 @@
 	return best, bestScore
 }
 
-// movableSpans returns the parts of a span that could be moved: all of it, a prefix or suffix with the wanted load,
-// and its hottest key alone.
+// movableSpans returns the parts of a span that could be moved: all of it, a prefix or suffix with the wanted load, and
+// its hottest key alone. To an upstream that has maxSpansPerUpstream spans, none of them adjacent, only all of it can
+// be moved.
 func (planner *planner) movableSpans(i int, wanted float64, to string) []cherrykeel.KeySpan {
 	owned := planner.list[i]
 	span := owned.Span()
--- a/spans/plan.go
+++ b/spans/plan.go
@@ -30,10 +30,10 @@
 	// maxImbalance is the utilization of an upstream, as a multiple of the mean, above which keys are moved from it,
 	// provided that enough requests are counted for random variation to be smaller.
 	maxImbalance = 1.2
-	// noiseFactor scales the excess over the mean that random variation alone causes at the most utilized of n
-	// upstreams with c counted requests each: about sqrt(2 ln(n) / c), plus 2 ln(n) / 3c for the longer tail of low
-	// counts. With this factor 8 upstreams with 55 requests each stay at maxImbalance, and 111 upstreams with 6 each
-	// may reach 2.4 times the mean. A limit of 1.2 for those too would write 20 tables a second under steady load.
+	// noiseFactor scales the first term of the excess over the mean that random variation alone causes at the most
+	// utilized of n upstreams with c counted requests each: about sqrt(2 ln(n) / c), plus 2 ln(n) / 3c for the longer tail
+	// of low counts. With this factor 8 upstreams with 55 requests each stay at maxImbalance, and 111 upstreams with 6
+	// each may reach 2.4 times the mean. A limit of 1.2 for those too would write 20 tables a second under steady load.
 	noiseFactor = 0.72
 	// minUtilization is the utilization below which no keys are moved from an upstream, however uneven the load is.
 	minUtilization = 0.35
@@ -110,7 +110,7 @@
 	return moves
 }
 
-// planner plans moves between the upstreams in order, which is sorted by utilization.
+// planner plans moves between the upstreams whose IDs are in its field order; nextMove sorts these by utilization.
 type planner struct {
 	list            []Owned
 	candidates      map[string]Candidate
@@ -146,7 +146,7 @@
 	if capacity > 0 {
 		planner.meanUtilization = planner.totalLoad / capacity
 	}
-	planner.assignMovingLoad()
+	planner.assignLoadInTransfer()
 	return planner
 }
 
@@ -161,9 +161,9 @@
 	planner.order = order
 }
 
-// assignMovingLoad counts the load of each span in transfer at its likely new owner, the upstream with the lowest
+// assignLoadInTransfer counts the load of each span in transfer at its likely new owner, the upstream with the lowest
 // utilization. Counted with the old owner, the same load would be moved away twice.
-func (planner *planner) assignMovingLoad() {
+func (planner *planner) assignLoadInTransfer() {
 	for _, owned := range planner.list {
 		if !owned.InTransfer || len(planner.order) == 0 {
 			continue
