--- a/grants/change.go
+++ b/grants/change.go
@@ -37,7 +37,7 @@
 
 // updateTable writes the next table if upstreams have joined, left or become unavailable, or if the load has shifted.
 func (keeper *Keeper) updateTable(ctx context.Context, table spans.Table, next int64, now cherrykeel.Instant) {
-	keeper.releaseMoving(ctx, table, now)
+	keeper.releaseSpansInTransfer(ctx, table, now)
 	if keeper.writing || now < keeper.writeAfter || keeper.reclaimAfterRefusal(ctx, table, next) || keeper.reclaimForReturned(ctx, table, next, now) {
 		return
 	}
@@ -158,8 +158,8 @@
 	return capacity
 }
 
-// releaseMoving sends releases to the owners of the spans that the table marks as moving.
-func (keeper *Keeper) releaseMoving(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
+// releaseSpansInTransfer sends releases to the owners of the spans that the table marks as in transfer.
+func (keeper *Keeper) releaseSpansInTransfer(ctx context.Context, table spans.Table, now cherrykeel.Instant) {
 	wanted := map[spans.GrantedSpan]bool{}
 	for service, list := range table.Services {
 		for _, owned := range list {
--- a/grants/claim.go
+++ b/grants/claim.go
@@ -158,8 +158,8 @@
 	})
 }
 
-// writeResignation writes a table without a keeper, so that the next host need not wait until this one is silent for
-// long.
+// writeResignation writes a table without a keeper, so that another host need not wait for maxKeeperSilence before it
+// claims.
 func (keeper *Keeper) writeResignation(ctx context.Context) {
 	keeper.resigned = true
 	table, next, known := keeper.table.Current()
--- a/grants/lease.go
+++ b/grants/lease.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// takeoverBarredAfter is how long the store must be unavailable before leases become long. A shorter outage
-	// prevents no takeover that could have come before short leases expire: a silent keeper is detected after 0.9 s.
+	// takeoverBarredAfter is how long the store must be unavailable before leases become long. A shorter outage prevents
+	// no takeover that could have come before short leases expire: a keeper that sends no reports is detected after 0.9 s.
 	takeoverBarredAfter = time.Second
 	// tailFactor is the ratio of an owner's shortest lease to its mean processing time. Processing times of slow
 	// requests reach 8 times their mean; 1 to 2 requests in 100 take over 4 times the mean, and the last renewal is up
--- a/grants/meter.go
+++ b/grants/meter.go
@@ -17,7 +17,8 @@
 	orderRelease = "release"
 )
 
-// meter counts orders to upstreams by their results, and transferred spans by the evidence that they were free.
+// meter counts orders to upstreams, that is grants and releases, by their results, and transferred spans by the
+// evidence that they were free.
 type meter struct {
 	scope tally.Scope
 }
--- a/grants/overtaken_test.go
+++ b/grants/overtaken_test.go
@@ -60,7 +60,7 @@
 		keeper.renewGrants(context.Background(), table, clock.Now())
 		owned.InTransfer = true
 		moving := spans.Table{Version: 5, Term: 1, Services: map[string][]spans.Owned{service: {owned}}}
-		keeper.releaseMoving(context.Background(), moving, clock.Now())
+		keeper.releaseSpansInTransfer(context.Background(), moving, clock.Now())
 		processResult(keeper)
 		clock.Advance(200 * time.Millisecond)
 		close(busy)
--- a/grants/probe.go
+++ b/grants/probe.go
@@ -42,7 +42,7 @@
 	contact.probing = true
 	contact.probed = true
 	contact.probedAt = now
-	born := contact.startedAt
+	startedAt := contact.startedAt
 	upstream := cherrykeel.Upstream{ID: owned.Owner, Address: owned.Address}
 	keeper.workers.probes.Submit(func() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -50,7 +50,7 @@
 		leaving, err := keeper.granter.IsLeaving(ctx, upstream, healthPath)
 		keeper.results <- func(cherrykeel.Instant) {
 			contact.probing = false
-			if err != nil || contact.leaving == leaving || contact.startedAt != born {
+			if err != nil || contact.leaving == leaving || contact.startedAt != startedAt {
 				return
 			}
 			contact.leaving = leaving
--- a/grants/renew.go
+++ b/grants/renew.go
@@ -147,11 +147,11 @@
 		state = keeper.newGrant(key, owned)
 	}
 	contact := keeper.contact(key.Owner)
-	pace := renewInterval
+	interval := renewInterval
 	if state.sent && !state.accepted || state.overdue || contact.misses > 0 {
-		pace = retryInterval
+		interval = retryInterval
 	}
-	if state.pending || state.refused || state.sent && now.Sub(state.sentAt) < pace || keeper.isUnavailable(key.Owner, now) {
+	if state.pending || state.refused || state.sent && now.Sub(state.sentAt) < interval || keeper.isUnavailable(key.Owner, now) {
 		return
 	}
 	if keeper.isTransferPending(key) || keeper.ledger.FreeAt(key.Service, key.Owner, key.Span) > now || keeper.hasProcessEnded(key.Owner, owned.Address, now) {
--- a/grants/workers.go
+++ b/grants/workers.go
@@ -15,7 +15,7 @@
 	// maxReleases bounds the releases that are under way at once; each waits for running requests, up to the longest
 	// lease.
 	maxReleases = 256
-	// callTimeout bounds one grant from its decision, including the wait for a worker.
+	// callTimeout bounds one grant from its decision, including the wait for a worker, and one probe from its start.
 	callTimeout = 600 * time.Millisecond
 	// maxCancelDelay bounds how long after its timeout a grant may still be sent: a host that has used up its processor
 	// quota does nothing for up to a tenth of a second, and cancels the call only then.
@@ -24,8 +24,8 @@
 	// takes some milliseconds, which maxCancelDelay includes. Grants that a saturated link delays for longer are not
 	// covered.
 	maxArrivalDelay = callTimeout + maxCancelDelay
-	// maxWorkerWait is how long a grant may wait for a worker; after that, the evidence on which it is based is too
-	// old.
+	// maxWorkerWait is how long a grant or a release may wait for a worker; after that, the evidence on which it is based
+	// is too old.
 	maxWorkerWait = maxEvidenceAge / 2
 	// maxFairWait is the longest wait for a worker that leaves a running upstream enough time to answer the grant.
 	maxFairWait = 200 * time.Millisecond
@@ -33,8 +33,8 @@
 	maxGrantTime = 2 * callTimeout
 )
 
-// errOverdue means that a grant waited too long for a worker and was not sent, which is no evidence against the
-// upstream.
+// errOverdue means that a grant or a release waited too long for a worker and was not sent, which is no evidence
+// against the upstream.
 var errOverdue = errors.WithMessage(cherrykeel.ErrNotSent, "the order waited too long for a worker")
 
 // errWithdrawn means that a grant was not sent because its span is being released or is granted otherwise.
