--- a/grants/keeper.go
+++ b/grants/keeper.go
@@ -28,8 +28,9 @@
 	upstreamsPerMove = 16
 	// maxSpeedReportAge is the maximum age of a host's report on an upstream's speed that counts.
 	maxSpeedReportAge = 3 * time.Second
-	// maxKeeperSilence is the time without a report from the keeper after which another host claims. The keeper reports at
-	// least every 330 ms, or every 580 ms if the hosts are too many for a full mesh (see package share).
+	// maxKeeperSilence is the time without a report from the keeper after which another host claims. The keeper reports
+	// every 250 ms, or every 500 ms if the hosts are too many for a full mesh, and at the latest one tick of 80 ms later
+	// (see package share).
 	maxKeeperSilence = 900 * time.Millisecond
 	// claimStagger delays the claims of hosts by their rank, so that usually only one host claims.
 	claimStagger = 120 * time.Millisecond
