--- a/flow/cold_test.go
+++ b/flow/cold_test.go
@@ -57,7 +57,7 @@
 	})
 
 	// Guards against a limit that applies only to upstreams that have joined, not to a known one that becomes cold.
-	It("may have been warm before", func() {
+	It("is limited even if it was warm before", func() {
 		service := flow.New("z", nil, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 3)}, 0)
 		Expect(countSent(service, "a", 0, 100*time.Millisecond)).To(Equal(5))
--- a/flow/nearly_test.go
+++ b/flow/nearly_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("upstreams that the estimate nearly rules out", func() {
 	const (
-		pace           = 100 * time.Millisecond
+		interval       = 100 * time.Millisecond
 		processingTime = 600 * time.Millisecond
 		slots          = 3
 		rounds         = 600
@@ -27,12 +27,12 @@
 			_, decisions := submit(service, 0, func(ticket *flow.Ticket) { ticket.Key, ticket.Deadline = key, instantAt(4*time.Second) })
 			service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(processingTime))
 			sent := 0
-			for now := processingTime; now < processingTime+rounds*pace; now += pace {
+			for now := processingTime; now < processingTime+rounds*interval; now += interval {
 				service.SetRemoteCounts(map[string]int{"a": slots}, nil, 0, instantAt(now))
 				_, decisions := submit(service, now, func(ticket *flow.Ticket) { ticket.Key = key })
 				if len(*decisions) == 1 && (*decisions)[0].Slot != nil {
 					sent++
-					service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(now+pace/2))
+					service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(now+interval/2))
 				}
 			}
 			Expect(sent).To(BeNumerically(">", 0))
--- a/flow/partly_test.go
+++ b/flow/partly_test.go
@@ -12,11 +12,11 @@
 
 var _ = Describe("upstreams that were slow for a while", func() {
 	const (
-		pace   = 100 * time.Millisecond
-		quick  = 50 * time.Millisecond
-		slow   = 3 * time.Second
-		rounds = 600
-		burst  = 6
+		interval = 100 * time.Millisecond
+		quick    = 50 * time.Millisecond
+		slow     = 3 * time.Second
+		rounds   = 600
+		burst    = 6
 	)
 	// slowedService returns a service with three upstreams that each took long to answer a request.
 	slowedService := func() *flow.Service {
@@ -36,7 +36,7 @@
 	// requests that each gets.
 	sentByUpstream := func(service *flow.Service) map[string]int {
 		sent := map[string]int{}
-		for now := slow; now < slow+rounds*pace; now += pace {
+		for now := slow; now < slow+rounds*interval; now += interval {
 			var running []*flow.Slot
 			for range burst {
 				_, decisions := submit(service, now, unchanged)
--- a/flow/probe_test.go
+++ b/flow/probe_test.go
@@ -13,25 +13,25 @@
 
 var _ = Describe("requests that the estimate rules out", func() {
 	const (
-		pace    = 100 * time.Millisecond
-		quick   = 50 * time.Millisecond
-		slow    = 3 * time.Second
-		slowEnd = 20 * time.Second
-		key     = 7
+		interval = 100 * time.Millisecond
+		quick    = 50 * time.Millisecond
+		slow     = 3 * time.Second
+		slowEnd  = 20 * time.Second
+		key      = 7
 		// recovery is the longest pause between two probes, with its jitter, plus the duration of the last probe
 		// before.
 		recovery = 7 * time.Second
 	)
 	var now time.Duration
 
-	// patient gives a ticket a deadline that slow upstreams can meet.
-	patient := func(ticket *flow.Ticket) { ticket.Deadline = ticket.Arrived.Add(4 * time.Second) }
+	// setLongDeadline sets a deadline that slow upstreams can meet.
+	setLongDeadline := func(ticket *flow.Ticket) { ticket.Deadline = ticket.Arrived.Add(4 * time.Second) }
 	keyed := func(ticket *flow.Ticket) { ticket.Key = key }
 	// learn makes the service's upstreams each answer a request with a long deadline after some time.
 	learn := func(service *flow.Service, change func(*flow.Ticket), count int, took time.Duration) {
 		var acquired []*flow.Slot
 		for range count {
-			_, decisions := submit(service, now, func(ticket *flow.Ticket) { change(ticket); patient(ticket) })
+			_, decisions := submit(service, now, func(ticket *flow.Ticket) { change(ticket); setLongDeadline(ticket) })
 			Expect(*decisions).To(HaveLen(1))
 			acquired = append(acquired, (*decisions)[0].Slot)
 		}
@@ -45,7 +45,7 @@
 	submitUntil := func(service *flow.Service, change func(*flow.Ticket), slowUntil, until time.Duration) []time.Duration {
 		var sent []time.Duration
 		releases := map[time.Duration]func(){}
-		for ; now < until; now += pace {
+		for ; now < until; now += interval {
 			if release := releases[now]; release != nil {
 				release()
 			}
@@ -57,7 +57,7 @@
 				Expect((*decisions)[0].Reason).To(Equal(flow.TooLate))
 				continue
 			case now < slowUntil:
-				releases[now+5*pace] = func() { service.Release(slot, flow.Failed, cherrykeel.UpstreamLoad{}, slot.Deadline) }
+				releases[now+5*interval] = func() { service.Release(slot, flow.Failed, cherrykeel.UpstreamLoad{}, slot.Deadline) }
 			default:
 				service.Release(slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(now+quick))
 			}
@@ -91,8 +91,8 @@
 			Expect(len(while)).To(BeNumerically("~", 5, 2))
 			after := submitUntil(service, kind.change, slowEnd, slowEnd+recovery)
 			Expect(after).NotTo(BeEmpty())
-			Expect(after[0]).To(BeNumerically("<", slowEnd+recovery-pace))
-			Expect(submitUntil(service, kind.change, slowEnd, slowEnd+2*recovery)).To(HaveLen(int(recovery / pace)))
+			Expect(after[0]).To(BeNumerically("<", slowEnd+recovery-interval))
+			Expect(submitUntil(service, kind.change, slowEnd, slowEnd+2*recovery)).To(HaveLen(int(recovery / interval)))
 		})
 
 		// Guards against a host that takes longer after each further suspension to use its upstreams again.
@@ -101,7 +101,7 @@
 			for range 5 {
 				var acquired []*flow.Slot
 				for range 3 {
-					_, decisions := submit(service, now, func(ticket *flow.Ticket) { kind.change(ticket); patient(ticket) })
+					_, decisions := submit(service, now, func(ticket *flow.Ticket) { kind.change(ticket); setLongDeadline(ticket) })
 					acquired = append(acquired, (*decisions)[0].Slot)
 				}
 				now += 2 * slow
@@ -110,7 +110,7 @@
 				}
 				resumed := now
 				Expect(submitUntil(service, kind.change, 0, resumed+2*time.Second)).NotTo(BeEmpty())
-				Expect(submitUntil(service, kind.change, 0, resumed+3*time.Second)).To(HaveLen(int(time.Second / pace)))
+				Expect(submitUntil(service, kind.change, 0, resumed+3*time.Second)).To(HaveLen(int(time.Second / interval)))
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 		Expect(len(submitUntil(service, unchanged, until, until))).To(BeNumerically(">=", 2))
 	})
 
-	// Guards against a service with many upstreams whose estimates are renewed at one a second.
+	// Guards against a service with many upstreams of which only one a second gets a new estimate.
 	It("renew the estimates of all upstreams that were ruled out with it", func() {
 		service := flow.New("z", nil, fixedRandom)
 		service.SetUpstreams([]cherrykeel.Upstream{upstream("a", 1), upstream("b", 1), upstream("c", 1)}, 0)
@@ -213,16 +213,16 @@
 			service.SetRemoteCounts(map[string]int{"a": 4, "b": 4}, nil, 0, instantAt(now))
 		}),
 		Entry("at an owner that is unreachable", keyed, func(service *flow.Service) {
-			_, decisions := submit(service, now, func(ticket *flow.Ticket) { keyed(ticket); patient(ticket) })
+			_, decisions := submit(service, now, func(ticket *flow.Ticket) { keyed(ticket); setLongDeadline(ticket) })
 			now += time.Second
 			service.Release((*decisions)[0].Slot, flow.Unreachable, cherrykeel.UpstreamLoad{}, instantAt(now))
 		}),
 		Entry("while this host has a request at the owner", keyed, func(service *flow.Service) {
-			submit(service, now, func(ticket *flow.Ticket) { keyed(ticket); patient(ticket) })
+			submit(service, now, func(ticket *flow.Ticket) { keyed(ticket); setLongDeadline(ticket) })
 			now += 2 * time.Second
 		}),
 		Entry("while this host has a request at the service", unchanged, func(service *flow.Service) {
-			submit(service, now, patient)
+			submit(service, now, setLongDeadline)
 			now += 2 * time.Second
 		}),
 		Entry("that were sent before", func(ticket *flow.Ticket) { keyed(ticket); ticket.Tried = []string{"a"} }, unchangedService),
--- a/flow/relearn_test.go
+++ b/flow/relearn_test.go
@@ -15,7 +15,7 @@
 var _ = Describe("upstreams whose answers a suspended host read late", func() {
 	const (
 		suspension = 6 * time.Second
-		pace       = 100 * time.Millisecond
+		interval   = 100 * time.Millisecond
 		within     = 30 * time.Second
 	)
 
@@ -24,7 +24,7 @@
 		keyed := func(ticket *flow.Ticket) { ticket.Key = key }
 		_, decisions := submit(service, 0, keyed)
 		service.Release((*decisions)[0].Slot, flow.Answered, cherrykeel.UpstreamLoad{}, instantAt(suspension))
-		for now := suspension; now < suspension+within; now += pace {
+		for now := suspension; now < suspension+within; now += interval {
 			service.Dispatch(instantAt(now))
 			_, decisions := submit(service, now, keyed)
 			if len(*decisions) > 0 && (*decisions)[0].Slot != nil {
--- a/flow/slowed_test.go
+++ b/flow/slowed_test.go
@@ -62,7 +62,7 @@
 		service.SetUpstreams(upstreams, 0)
 		simulation.hosts = append(simulation.hosts, service)
 		simulation.learnSlowness(service)
-		simulation.schedule(time.Duration(simulation.random.Int64N(int64(reportPace))), func(now time.Duration) { simulation.exchangeCounts(i, now) })
+		simulation.schedule(time.Duration(simulation.random.Int64N(int64(reportInterval))), func(now time.Duration) { simulation.exchangeCounts(i, now) })
 	}
 	for now := time.Duration(0); now < load.length; now += time.Duration(simulation.random.ExpFloat64() / load.perSecond * float64(time.Second)) {
 		simulation.schedule(now, simulation.submitRequest)
@@ -74,7 +74,7 @@
 	return simulation
 }
 
-const reportPace = 160 * time.Millisecond
+const reportInterval = 160 * time.Millisecond
 
 func (simulation *slowSimulation) schedule(at time.Duration, run func(now time.Duration)) {
 	heap.Push(&simulation.events, event{at, run})
@@ -108,7 +108,7 @@
 	simulation.sum.add(simulation.reported[host])
 	simulation.hosts[host].SetRemoteCounts(others.running, others.waiting, others.queued, instantAt(now))
 	if now < simulation.load.length {
-		simulation.schedule(now+reportPace, func(now time.Duration) { simulation.exchangeCounts(host, now) })
+		simulation.schedule(now+reportInterval, func(now time.Duration) { simulation.exchangeCounts(host, now) })
 	}
 }
 
--- a/spans/ledger_model_test.go
+++ b/spans/ledger_model_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// modelKeys is enough to split, move and merge parts of a span.
+	// modelKeys is enough to split, transfer and merge parts of a span.
 	modelKeys      = 4
 	modelUpstreams = 3
 	// grantLimit and releaseMargin define the time limits of orders, and evidenceAge is how long a keeper continues
--- a/spans/ledger_site_test.go
+++ b/spans/ledger_site_test.go
@@ -150,7 +150,7 @@
 
 func isStable(owned spans.Owned) bool { return !owned.InTransfer }
 
-func isMoving(owned spans.Owned) bool { return owned.InTransfer }
+func isBeingTransferred(owned spans.Owned) bool { return owned.InTransfer }
 
 // isFree reports whether no upstream can hold a span, by the ledger.
 func (model *model) isFree(owned spans.Owned) bool {
--- a/spans/ledger_steps_test.go
+++ b/spans/ledger_steps_test.go
@@ -55,7 +55,7 @@
 }
 
 func (model *model) repeatRelease() {
-	owned, found := model.drawOwned(model.keeper.table, isMoving)
+	owned, found := model.drawOwned(model.keeper.table, isBeingTransferred)
 	if found {
 		model.release(owned)
 	}
--- a/spans/suite_test.go
+++ b/spans/suite_test.go
@@ -64,10 +64,9 @@
 		Expect(ledger.FreeAt(service, "b", span(50, 99))).To(Equal(at(14 * time.Second)))
 	})
 
-	// Guards against keys that are granted twice after a lost answer: a grant without an answer may have been
-	// applied, so its span is blocked for others until the lease would end, even if an earlier, shorter grant was
-	// answered.
-	It("keeps the latest end of unanswered grants", func() {
+	// Guards against keys that are granted to two upstreams: a span is blocked for other upstreams until the latest of
+	// its leases ends. Its owner may be granted it again at any time.
+	It("blocks a span until the latest of its leases ends, except for its owner", func() {
 		var ledger spans.Ledger
 		ledger.RecordLease(granted("a", span(0, 99)), at(2*time.Second))
 		ledger.RecordLease(granted("a", span(0, 99)), at(10*time.Second))
