--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -104,7 +104,7 @@
 		Expect(follower.HasDiverged(status.Next+5, 1)).To(BeFalse(), "a peer that is ahead cannot be compared yet")
 	})
 
-	It("returns the records that a peer lacks, without a checkpoint if it still has all of them", func() {
+	It("returns the records that a peer lacks, without a checkpoint if the follower still has all of them", func() {
 		log := &fakeLog{}
 		follower := startFollower(log)
 		for base := range int64(3) {
--- a/keeper/moved_test.go
+++ b/keeper/moved_test.go
@@ -59,8 +59,8 @@
 	cluster.processes[address] = fakes.NewOwnership("boot "+address, service)
 }
 
-// move changes the address of an upstream in the settings.
-func (cluster *cluster) move(name, address string) {
+// changeAddress changes the address of an upstream in the settings.
+func (cluster *cluster) changeAddress(name, address string) {
 	upstreams := append([]cherrykeel.UpstreamServer(nil), cluster.service.Upstreams...)
 	for i := range upstreams {
 		if upstreams[i].Name == name {
@@ -124,7 +124,7 @@
 			cluster.tick()
 		}
 		cluster.start("new")
-		cluster.move("a", "new")
+		cluster.changeAddress("a", "new")
 		for start := cluster.now; cluster.now < start+settleTime; {
 			cluster.tick()
 			for partition := range partitions {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -176,7 +176,7 @@
 		Expect(witness.Confirm(service, 6, 150)).To(BeFalse())
 	})
 
-	It("abstains again after a suspension in which a successor may have counted it as gone", func() {
+	It("abstains again after a suspension in which a successor may have considered it unavailable", func() {
 		witness := lease.NewWitness(0)
 		witness.RecordTerm(service, 7)
 		witness.RecordCaughtUp(0)
--- a/lease/proof_test.go
+++ b/lease/proof_test.go
@@ -62,7 +62,7 @@
 	}
 
 	// Guards against two owners of a key: a proxy answers a grant with the upstream's answer to the previous one, and
-	// delivers the grant later. If any acceptance counted, the keeper would believe that a holds only what the
+	// delivers the grant later. If any acceptance counted, the keeper would assume that a holds only what the
 	// previous grant assigned, and would assign partition 2 to b before a accepts it.
 	It("proves nothing if the upstream accepted another grant", func() {
 		answerGrant(func(_ lease.Order, earlier cherrykeel.Holding) cherrykeel.Holding { return earlier })
--- a/share/group_test.go
+++ b/share/group_test.go
@@ -42,9 +42,9 @@
 		Eventually(running(members[4], "u1"), generous).Should(Equal(len(members) - 2))
 	})
 
-	// Guards against an announcement that misses a group because one of the two hosts that pass it on is down, and
-	// against hosts that pass it on more than once.
-	It("all get an announcement through two hosts of each other group", func() {
+	// Guards against an announcement that misses a group because one of its two forwarders is down, and against
+	// forwarders that pass it on more than once.
+	It("all get an announcement through two forwarders of each other group", func() {
 		sender := members[0]
 		plan := topo.New(sender.peer.Name, peersOf(members), allReachable{})
 		Expect(plan.Forwarders).To(HaveLen(2))
