--- a/edge/abandon_test.go
+++ b/edge/abandon_test.go
@@ -117,9 +117,9 @@
 }
 
 var _ = Describe("a request to an upstream that checks no fences", func() {
-	// Failure: two writes to a key run on two upstreams at once. The first caller went away and the host closed the
+	// Failure: two writes to a key run on two upstreams at once. The first caller disconnected and the host closed the
 	// connection, but the upstream has not noticed and still runs the write, while the partition gets its next owner.
-	It("keeps its partition until its deadline if its caller went away", func() {
+	It("keeps its partition until its deadline if its caller disconnected", func() {
 		host := newTestHost()
 		ctx, cancel := context.WithCancel(context.Background())
 		host.send(ctx, func(ctx context.Context, _ *http.Request) (conns.Progress, error) {
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -32,9 +32,9 @@
 		requestCount = 60
 	)
 
-	// Failure: an upstream never gets requests again, because the caller of its probe went away and the probe was counted
-	// as still outstanding.
-	It("gets another probe if the probe's caller goes away", func() {
+	// Failure: an upstream never gets requests again, because the caller of its probe disconnected and the probe was
+	// counted as still outstanding.
+	It("gets another probe if the probe's caller disconnects", func() {
 		clock := &manualClock{}
 		clock.advance(time.Hour)
 		fleet := edge.NewFleet("zone", incarnation, clock, picker.NewLeastLoaded(), clock, func(string, int) {})
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -152,15 +152,15 @@
 			Services: map[string]cherrykeel.RoutedService{"s": {Name: "s"}},
 			Routes:   []cherrykeel.Route{{Domain: "h", PathPrefix: "/", Timeout: testGrace / 2, SplitTargets: []cherrykeel.SplitTarget{{Service: "s", Weight: 1}}}},
 		})
-		ask := func() string {
+		send := func() string {
 			writer := httptest.NewRecorder()
 			stopping.host.relay.ServeHTTP(writer, httptest.NewRequest(http.MethodGet, "http://h/x", nil))
 			return writer.Body.String()
 		}
-		Expect(ask()).To(HavePrefix("no-upstream"), "admitted, and refused only because there is no upstream")
+		Expect(send()).To(HavePrefix("no-upstream"), "admitted, and refused only because there is no upstream")
 		stopping.clock.Advance(testGrace / 2)
 		stopping.begin()
-		Eventually(ask, generous).Should(HavePrefix("stopping"))
+		Eventually(send, generous).Should(HavePrefix("stopping"))
 		stopping.clock.Advance(testGrace - endMargin - 1)
 		Consistently(stopping.ended, "200ms").ShouldNot(BeClosed())
 		stopping.clock.Advance(1)
@@ -170,7 +170,7 @@
 	// Guards against a host that is too busy to notice its signal at once, and is killed in the middle of its stop with
 	// requests that it has admitted; and against one that was suspended while it measured its delay, and cuts all
 	// requests at once.
-	DescribeTable("counted from the signal, although it notices that late, and would exit as late", func(measured, counted time.Duration) {
+	DescribeTable("counted from the signal, which it notices late, with the same delay allowed for its exit", func(measured, counted time.Duration) {
 		stopping := newStoppingHost(noRemoval)
 		stopping.host.schedulingDelay.yield = func() { stopping.clock.Advance(measured) }
 		stopping.host.schedulingDelay.measure()
--- a/host/duty_test.go
+++ b/host/duty_test.go
@@ -22,8 +22,8 @@
 	})
 
 	// Failure: a key gets two owners, because a replaced keeper is still confirmed. Its witness was suspended, and the
-	// new keeper treated it as lost. Then the witness reads the log to its end, but cannot use the settings there, which a
-	// newer program wrote. If it ignored the claims for that reason, it would confirm the old term.
+	// new keeper treated it as unavailable. Then the witness reads the log to its end, but cannot use the settings
+	// there, which a newer program wrote. If it ignored the claims for that reason, it would confirm the old term.
 	It("records new terms from the log even if it cannot use the settings there", func() {
 		const service = "test/keys"
 		host := New(config.Config{Name: "host"})
--- a/watch/fresh_test.go
+++ b/watch/fresh_test.go
@@ -53,9 +53,9 @@
 	return []time.Duration{readerInterval, time.Second, fallbackInterval}[min(rank, 2)]
 }
 
-// simulate runs a number of hosts, of which the first ones lose the store at a random time. It returns the greatest age
-// of the topic's state at any host that still has the store, and the reads of all hosts. The other hosts go on counting
-// a lost one among the readers for the duration detection.
+// simulate runs a number of hosts, of which the first ones, lost in number, cannot reach the store from a random time
+// on. It returns the greatest age of the topic's state at any host that can reach the store, and the reads of all hosts.
+// The other hosts count a lost one among the readers for the duration detection.
 func simulate(seed uint64, hosts, lost int, detection time.Duration, policy intervalPolicy) (oldest time.Duration, reads int) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	all := make([]*reader, hosts)
@@ -101,9 +101,9 @@
 
 var _ = Describe("the age of a topic's state", func() {
 	// An upstream announces that it is leaving; it may get requests for 2 s after the store has recorded that. The
-	// hosts that read for all, two or more, lose the store at that moment and do not notice, since their connections
-	// are silent. Hosts that relied on them would send requests to the upstream after that time.
-	It("stays within the bound however many readers are lost", func() {
+	// hosts that read for all, two or more, cannot reach the store from that moment on and do not notice, since their
+	// connections are silent. Hosts that relied on them would send requests to the upstream after that time.
+	It("stays within the bound however many readers cannot reach the store", func() {
 		for seed := range uint64(50) {
 			for lost := range 9 {
 				oldest, _ := simulate(seed, 11, lost, 2*time.Second, byAge)
@@ -112,13 +112,13 @@
 		}
 	})
 
-	It("exceeds the bound with two fixed readers that both lose the store", func() {
+	It("exceeds the bound with two fixed readers if neither can reach the store", func() {
 		oldest, _ := simulate(1, 11, 2, 2*time.Second, byRankOnly)
 		Expect(oldest).To(BeNumerically(">", drainBound))
 	})
 
 	// While all hosts are available, one host reads for all: 2.5 reads a second, and hardly one more by another host.
-	It("needs few reads while no reader is lost", func() {
+	It("needs few reads while all readers can reach the store", func() {
 		total := 0
 		for seed := range uint64(50) {
 			_, reads := simulate(seed, 11, 0, 0, byAge)
--- a/watch/replaced_test.go
+++ b/watch/replaced_test.go
@@ -27,7 +27,7 @@
 	})
 })
 
-var _ = Describe("an upstream at the address of a gone one", func() {
+var _ = Describe("an upstream at the address of one whose entry is gone", func() {
 	// Start times come from each machine's own clock, and the clocks differ. An upstream ends a second after its start,
 	// its entry is gone, and 2 s later another one registers at its address whose clock is 5 s behind. Guards against
 	// start times alone deciding: the later one would count as replaced for good at each host, and the keeper would
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -130,23 +130,23 @@
 		Eventually(follower.HasAppliedSnapshot, generous).Should(BeTrue())
 	})
 
-	// Another host reports a change; the read is due at once, however seldom this host rechecks its schedule.
-	It("reads at once when it is triggered between two reads, and rechecks its schedule no more often than that asks for", func() {
-		var looks atomic.Int64
+	// Another host reports a change; the read is due at once, however rarely this host rechecks its schedule.
+	It("reads at once when it is triggered between two reads, and rechecks its schedule no more often than the schedule requires", func() {
+		var scheduleChecks atomic.Int64
 		reads := make(chan struct{}, 100)
 		log.read = func(_ context.Context, from int64) (cherrykeel.KeyedBatch, error) {
 			reads <- struct{}{}
 			return cherrykeel.KeyedBatch{Next: from}, nil
 		}
 		follower := watch.NewFollower("topic", log, cherrykeel.SystemClock(), zap.NewNop(), func(watch.Update) {}, func() watch.Schedule {
-			looks.Add(1)
+			scheduleChecks.Add(1)
 			return watch.Schedule{Interval: 2 * time.Hour, RecheckInterval: time.Hour}
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go follower.Run(ctx)
-		Eventually(looks.Load, generous).Should(Equal(int64(1)))
-		Consistently(looks.Load, "300ms").Should(Equal(int64(1)))
+		Eventually(scheduleChecks.Load, generous).Should(Equal(int64(1)))
+		Consistently(scheduleChecks.Load, "300ms").Should(Equal(int64(1)))
 		follower.TriggerRead()
 		Eventually(reads, generous).Should(Receive())
 	})
