--- a/conns/reset_test.go
+++ b/conns/reset_test.go
@@ -22,7 +22,7 @@
 }
 
 var _ = Describe("the wait on a new connection", func() {
-	// Guards against a busy host that takes a connection for open, since the wait ended before the host saw the reset.
+	// Guards against a busy host that considers a reset connection open, since the wait ended before it saw the reset.
 	It("checks the socket at its end", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
--- a/deny/list_test.go
+++ b/deny/list_test.go
@@ -65,7 +65,7 @@
 	fixture.list.NewRequest(requestParts).RecordUnanswered(fixture.attempt())
 }
 
-// crash has the upstream crash under the request, and the next one take its place.
+// crash makes the upstream crash while it runs the request; the next upstream then takes its place.
 func (fixture *fixture) crash() {
 	fixture.loseRequest()
 	fixture.list.RecordIncarnationEnded(fixture.incarnation())
@@ -118,7 +118,7 @@
 		Expect(fixture.list.NewRequest(requestParts).IsSuspected()).To(BeFalse())
 	})
 
-	It("denies at the third crash, wakes waiting requests, and returns for how long", func() {
+	It("denies at the third crash, wakes waiting requests, and returns how long the denial lasts", func() {
 		fixture.crash()
 		fixture.crash()
 		denialAdded := fixture.list.DenialAdded()
--- a/poison/callers_test.go
+++ b/poison/callers_test.go
@@ -27,7 +27,7 @@
 	}
 
 	// Guards against a caller that changes its address with each send, so that no caller has three crashes.
-	It("is denied to all if no caller was there at each of them", func() {
+	It("is denied to all if no caller's copy was running at each of them", func() {
 		crash("a", 1, "x")
 		crash("b", 1, "y")
 		crash("c", 1, "x")
@@ -36,7 +36,7 @@
 	})
 
 	// Guards against a caller that crashes upstreams in order to have a page denied to all others.
-	It("is denied to the one caller that was there at each of them, and to no other", func() {
+	It("is denied to the one caller whose copy was running at each of them, and to no other", func() {
 		for _, upstream := range []string{"a", "b", "c"} {
 			crash(upstream, 1, "x")
 		}
--- a/poison/fleet_test.go
+++ b/poison/fleet_test.go
@@ -105,7 +105,7 @@
 	return counts
 }
 
-// anyCaller draws one of 40 callers, which is more than are kept of one crash.
+// anyCaller returns a random one of 40 callers, which is more than a record keeps for one crash.
 func anyCaller(t *rapid.T) poison.CallerFingerprint {
 	return poison.CallerFingerprint(fmt.Sprintf("%02d", rapid.IntRange(0, 39).Draw(t, "caller")))
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -42,7 +42,7 @@
 		Entry("the shorter one", "halls.example", "/a/bc", "short"),
 		Entry("with a port and capitals", "HALLS.example:80", "/a/x", "short"),
 		Entry("another path", "halls.example", "/b/", ""),
-		Entry("another host", "other.example", "/a/", ""),
+		Entry("another domain", "other.example", "/a/", ""),
 	)
 
 	// Guards against a random spread: operators move a tenth of a route's requests to another service and watch it, and
--- a/relay/retry_test.go
+++ b/relay/retry_test.go
@@ -88,9 +88,9 @@
 })
 
 var _ = Describe("an upstream's failure before a retry", func() {
-	// Guards against a failure of the router's own in place of an answer that is ready: an owner ended a search with
-	// its lease, and the search could not run again in time.
-	It("is passed on in place of a failure of the router's own", func() {
+	// Guards against a failure that this host generates although it has an answer: an owner ended a search with its
+	// lease, and the search could not run again in time.
+	It("is passed on in place of a failure that this host generates", func() {
 		writer := httptest.NewRecorder()
 		current := &exchange{
 			relay:      New(Settings{Clock: fixedClock{}, Scope: tally.NoopScope, Logger: zap.NewNop()}),
