--- a/grants/final_test.go
+++ b/grants/final_test.go
@@ -41,8 +41,9 @@
 		granter.held["u2"] = map[cherrykeel.KeySpan]time.Time{{First: 30000, Last: cherrykeel.MaxKey}: time.Now().Add(time.Second)}
 	}
 
-	// The store is unavailable, and an owner answers a probe that it leaves, and then answers no grant. A further grant
-	// would only start its lease again, and a successor of this keeper could not know when its keys are free.
+	// While the store is unavailable, an owner answers a probe by stating that it leaves, and then answers no grant. A
+	// further grant would only start its lease again, and a successor of this keeper could not know when its keys are
+	// free.
 	It("are reported to the other hosts and get no more grants", func() {
 		run()
 		Eventually(granter.count("u1"), longTimeout).Should(BeNumerically(">=", 1))
@@ -80,7 +81,7 @@
 		Expect(granter.attemptsTo("u2")).To(BeNumerically("<=", 2), "it got no further grants that would start its lease again")
 	})
 
-	It("and all others have final grants when the keeper stops granting", func() {
+	It("are none, and all owners have final grants, when the keeper stops granting", func() {
 		run()
 		Eventually(granter.count("u2"), longTimeout).Should(BeNumerically(">=", 1))
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
