--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -186,12 +186,12 @@
 	witness.RecordCaughtUp(0)
 	serviceKeeper := keeper.New("host", "a/b", witness, place.New())
 	placement := place.New().Place(cherrykeel.Placement{}, partitions, slopeCandidates(), cherrykeel.Demand{}, partitions)
-	block := fold.ServiceOwnership{Term: 1, Keeper: "host", Witnesses: []string{"host"}, Sequence: 1, LeaseLength: 900 * time.Millisecond, Placement: placement}
+	ownership := fold.ServiceOwnership{Term: 1, Keeper: "host", Witnesses: []string{"host"}, Sequence: 1, LeaseLength: 900 * time.Millisecond, Placement: placement}
 	now := cherrykeel.Instant(time.Second)
 	grants, grantBytes, largest := 0, 0, 0
 	tick := func(int) {
 		now = now.Add(20 * time.Millisecond)
-		actions := serviceKeeper.Tick(keeper.Input{Now: now, Ownership: block, Service: service, Hosts: []keeper.Host{{Name: "host"}}, ClaimedTerm: 1})
+		actions := serviceKeeper.Tick(keeper.Input{Now: now, Ownership: ownership, Service: service, Hosts: []keeper.Host{{Name: "host"}}, ClaimedTerm: 1})
 		for _, name := range actions.RequestConfirmation {
 			serviceKeeper.RecordConfirmation(name, 1, now)
 		}
--- a/fakes/upstream.go
+++ b/fakes/upstream.go
@@ -15,8 +15,7 @@
 	"cherrykeel"
 )
 
-// slowStartFactor is the additional processing time of a request at the beginning of a slow start, as a multiple of
-// UpstreamOptions.Work.
+// slowStartFactor is the additional processing time at the beginning of a slow start, in units of UpstreamOptions.Work.
 const slowStartFactor = 9
 
 // UpstreamFaults are the faults that the stand-in of an upstream can inject. Counts are numbers of next answers.
@@ -32,8 +31,7 @@
 	Reset int
 	// Work is added to the processing time of each request.
 	Work time.Duration
-	// SlowStart makes requests take ten times UpstreamOptions.Work at first; the time falls linearly to the usual one
-	// within this duration.
+	// SlowStart is how long the processing time falls linearly, from ten times UpstreamOptions.Work to the usual one.
 	SlowStart time.Duration
 	// Shed is the share of requests, 0 to 1, that are shed.
 	Shed float64
@@ -66,15 +64,13 @@
 	Registers *Registers
 	// EnforceFences refuses requests for keys that the upstream does not own.
 	EnforceFences bool
-	// EndsOn, if set, is a path and query; a request for it makes the upstream crash, by a call of End, after its
-	// processing time and without having run.
+	// EndsOn, if set, is a path and query. A request for it calls End after its processing time, and does not run.
 	EndsOn string
 	// End ends the process; it is needed if EndsOn is set.
 	End func()
 }
 
-// Upstream is the stand-in of an upstream that owns keys. It counts the requests that it runs, so that tests can compare
-// them with what callers received.
+// Upstream is the stand-in of an upstream that owns keys. It counts runs for comparison with what callers received.
 type Upstream struct {
 	options     UpstreamOptions
 	incarnation string
@@ -237,8 +233,7 @@
 	return upstream.execute(call)
 }
 
-// load returns the load to report: running and waiting requests over slots. A running request counts twice, in its slot
-// and as held.
+// load returns the load to report: occupied slots plus held requests, over all slots. A running request counts twice.
 func (upstream *Upstream) load() float64 {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
--- a/keeper/claim.go
+++ b/keeper/claim.go
@@ -74,13 +74,13 @@
 // vacancy reports whether the service needs another keeper, and whether the only sign of that is the current keeper's
 // silence, which only its witnesses can observe.
 func (claimer *claimer) vacancy(input Input, witness *lease.Witness, actions *Actions) (vacant, silent bool) {
-	block := input.Ownership
-	if block.Term == 0 {
+	ownership := input.Ownership
+	if ownership.Term == 0 {
 		return true, false
 	}
-	if block.Keeper == claimer.self {
+	if ownership.Keeper == claimer.self {
 		// A restarted process does not know which leases the previous process of its host has granted.
-		return input.ClaimedTerm != block.Term, false
+		return input.ClaimedTerm != ownership.Term, false
 	}
 	if claimer.hasKeeperLeft(input) {
 		return true, false
--- a/keeper/moved_test.go
+++ b/keeper/moved_test.go
@@ -33,7 +33,7 @@
 type cluster struct {
 	keeper    *keeper.Keeper
 	service   cherrykeel.Service
-	block     fold.ServiceOwnership
+	ownership fold.ServiceOwnership
 	processes map[string]*fakes.Ownership
 	now       time.Duration
 }
@@ -43,7 +43,7 @@
 	cluster := &cluster{
 		keeper:    keeper.New(self, service, witness, place.New()),
 		service:   cherrykeel.Service{Path: service, Keyed: true, Partitions: partitions, ChecksFences: true, LeaseLength: length},
-		block:     fold.ServiceOwnership{Term: 1, Keeper: self, LeaseLength: length, Witnesses: []string{self}},
+		ownership: fold.ServiceOwnership{Term: 1, Keeper: self, LeaseLength: length, Witnesses: []string{self}},
 		processes: map[string]*fakes.Ownership{},
 		now:       time.Hour,
 	}
@@ -75,17 +75,17 @@
 	now := cherrykeel.Instant(cluster.now)
 	service := cluster.service
 	actions := cluster.keeper.Tick(keeper.Input{
-		Now: now, Ownership: cluster.block, Service: &service, Hosts: []keeper.Host{{Name: self}}, ClaimedTerm: cluster.block.Term,
+		Now: now, Ownership: cluster.ownership, Service: &service, Hosts: []keeper.Host{{Name: self}}, ClaimedTerm: cluster.ownership.Term,
 	})
 	for range actions.RequestConfirmation {
-		cluster.keeper.RecordConfirmation(self, cluster.block.Term, now)
+		cluster.keeper.RecordConfirmation(self, cluster.ownership.Term, now)
 	}
 	for _, order := range actions.Orders {
 		cluster.deliver(order)
 	}
 	if actions.Assign != nil {
-		cluster.block.Placement = fold.ApplyAssign(cluster.block.Placement, *actions.Assign)
-		cluster.block.Sequence++
+		cluster.ownership.Placement = fold.ApplyAssign(cluster.ownership.Placement, *actions.Assign)
+		cluster.ownership.Sequence++
 	}
 }
 
--- a/keeper/term.go
+++ b/keeper/term.go
@@ -50,7 +50,7 @@
 	renewedAt         cherrykeel.Instant
 	announcedAt       cherrykeel.Instant
 
-	// sequence is the sequence of the block from which proposed was computed.
+	// sequence is the sequence of the ownership from which proposed was computed.
 	sequence   int64
 	proposed   *cherrykeel.Placement
 	proposedAt cherrykeel.Instant
