--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -15,8 +15,8 @@
 	"cherrykeel/platform/soak"
 )
 
-// commands are the program's flags; it has no subcommands.
-type commands struct {
+// flags are the program's flags; it has no subcommands.
+type flags struct {
 	Seed      uint64        `help:"The first seed; it chooses the faults and the callers' requests." default:"1"`
 	Seeds     int           `help:"How many seeds are run, one after the other." default:"1"`
 	For       time.Duration `help:"How long faults come." default:"30s"`
@@ -33,13 +33,13 @@
 }
 
 // Run runs the seeds one after the other and returns an error if any guarantee was broken.
-func (commands *commands) Run() error {
+func (flags *flags) Run() error {
 	totalFailures := 0
-	if commands.Kept {
-		return commands.runRegressionSeeds()
+	if flags.Kept {
+		return flags.runRegressionSeeds()
 	}
-	for i := range commands.Seeds {
-		failures, err := commands.runSeed(commands.Seed + uint64(i))
+	for i := range flags.Seeds {
+		failures, err := flags.runSeed(flags.Seed + uint64(i))
 		if err != nil {
 			return err
 		}
@@ -52,13 +52,13 @@
 }
 
 // runRegressionSeeds runs each regression seed with its own number of hosts and duration, up to the first one that fails.
-func (commands *commands) runRegressionSeeds() error {
-	commands.Kept = false
-	commands.Seeds = 1
+func (flags *flags) runRegressionSeeds() error {
+	flags.Kept = false
+	flags.Seeds = 1
 	for _, regression := range soak.RegressionSeeds {
 		fmt.Println("kept:", regression.Cause)
-		commands.Seed, commands.Hosts, commands.For = regression.Seed, regression.Hosts, regression.Duration
-		err := commands.Run()
+		flags.Seed, flags.Hosts, flags.For = regression.Seed, regression.Hosts, regression.Duration
+		err := flags.Run()
 		if err != nil {
 			return err
 		}
@@ -68,26 +68,26 @@
 
 // runSeed runs one seed in a temporary directory and returns the number of failures. The directory stays if the
 // run ends with an error, or if Keep is set and there are failures.
-func (commands *commands) runSeed(seed uint64) (int, error) {
+func (flags *flags) runSeed(seed uint64) (int, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		return 0, err
 	}
-	program, err := filepath.Abs(commands.Program)
+	program, err := filepath.Abs(flags.Program)
 	if err != nil {
 		return 0, err
 	}
 	outcome, err := soak.Soak(ctx, soak.Options{
-		Seed: seed, Duration: commands.For, Hosts: commands.Hosts, Upstreams: commands.Upstreams, Callers: commands.Callers,
-		Pause: commands.Pause, Grace: commands.Grace, CheckTimeBounds: commands.Bounds, ServiceTimeout: commands.Patience, Program: program, Dir: dir,
+		Seed: seed, Duration: flags.For, Hosts: flags.Hosts, Upstreams: flags.Upstreams, Callers: flags.Callers,
+		Pause: flags.Pause, Grace: flags.Grace, CheckTimeBounds: flags.Bounds, ServiceTimeout: flags.Patience, Program: program, Dir: dir,
 	})
 	if err != nil {
 		return 0, errors.Wrapf(err, "seed %d, logs in %s", seed, dir)
 	}
 	outcome.Write(os.Stdout)
-	if commands.Keep && len(outcome.Failures) > 0 {
+	if flags.Keep && len(outcome.Failures) > 0 {
 		fmt.Println("  logs:", dir)
 		return len(outcome.Failures), nil
 	}
@@ -95,8 +95,8 @@
 }
 
 func main() {
-	var commands commands
-	context := kong.Parse(&commands,
+	var flags flags
+	context := kong.Parse(&flags,
 		kong.Name("soak"),
 		kong.Description("Entry hosts as real processes under seeded faults; docs/SOAK.md tells how to read a failure."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
