--- a/fakes/log.go
+++ b/fakes/log.go
@@ -22,9 +22,9 @@
 type LogFaults struct {
 	// Outage answers every read and append with 503.
 	Outage bool
-	// LoseReplies is the number of next appends that take effect but get no answer: their connections are closed.
+	// LoseReplies is how many of the next appends take effect but get no answer: their connections are closed.
 	LoseReplies int
-	// RefuseAppends is the number of next appends that get no answer and have no effect.
+	// RefuseAppends is how many of the next appends get no answer and have no effect.
 	RefuseAppends int
 	// Delay is the time before the answer to a read, or to an append, which has taken effect by then.
 	Delay time.Duration
--- a/fakes/owned.go
+++ b/fakes/owned.go
@@ -20,7 +20,7 @@
 	exceptKeys map[string]bool
 	// inFlight counts running requests. Keys that a new grant no longer names count as held until their requests end.
 	inFlight map[Work]int
-	// lapses counts the leases that lapsed before the next grant arrived. It tells the current lease from earlier ones.
+	// lapses counts the leases that lapsed before the next grant arrived. It distinguishes the current lease from them.
 	lapses int
 }
 
@@ -190,10 +190,10 @@
 
 // ownershipOf returns the ownership for a service and creates it if needed; the caller holds the mutex.
 func (upstream *Upstream) ownershipOf(service string) *Ownership {
-	held, exists := upstream.services[service]
+	ownership, exists := upstream.services[service]
 	if !exists {
-		held = NewOwnership(upstream.incarnation, service)
-		upstream.services[service] = held
+		ownership = NewOwnership(upstream.incarnation, service)
+		upstream.services[service] = ownership
 	}
-	return held
+	return ownership
 }
--- a/fakes/upstream.go
+++ b/fakes/upstream.go
@@ -18,7 +18,7 @@
 // slowStartFactor is the additional processing time at the beginning of a slow start, in units of UpstreamOptions.Work.
 const slowStartFactor = 9
 
-// UpstreamFaults are the faults that the stand-in of an upstream can inject. Counts are numbers of next answers.
+// UpstreamFaults are the faults that the stand-in of an upstream can inject. A count applies to that many next answers.
 type UpstreamFaults struct {
 	// Freeze suspends requests and grants for this time, or until the faults are replaced. Requests to replace the
 	// faults or to read the runs are still answered.
@@ -359,8 +359,8 @@
 func (upstream *Upstream) execute(call call) ([]byte, string) {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
-	held := upstream.ownershipOf(call.service)
-	lapsed := held.Lapsed(call.work, upstream.now())
+	ownership := upstream.ownershipOf(call.service)
+	lapsed := ownership.Lapsed(call.work, upstream.now())
 	if call.partition >= 0 && upstream.options.EnforceFences && !upstream.faults.IgnoreFences && lapsed {
 		return nil, "owner"
 	}
@@ -368,7 +368,7 @@
 	if call.repeatKey != "" {
 		upstream.repeats[call.repeatKey]++
 	}
-	value := upstream.options.Registers.access(upstream, held.Term(), call)
+	value := upstream.options.Registers.access(upstream, ownership.Term(), call)
 	answer := strings.Join([]string{upstream.options.Name, call.id, call.key, value}, " ") + "\n"
 	return []byte(answer), ""
 }
