--- a/demand/merge.go
+++ b/demand/merge.go
@@ -79,20 +79,20 @@
 		old := merger.smoothed.HotKeys[key]
 		next.HotKeys[key] = old + weight*(load-old)
 	}
-	merger.fadeKeys(next, sum, weight)
+	merger.decayUnreported(next, sum, weight)
 	merger.smoothed = next
 }
 
-// fadeKeys decays the demand of keys that no host reports any more and drops it below one request a second. Hosts
+// decayUnreported decays the demand of keys that no host reports any more and drops it below one request a second. Hosts
 // include the remaining requests for these keys in the counts of their partitions.
-func (merger *Merger) fadeKeys(next, sum cherrykeel.Demand, weight float64) {
+func (merger *Merger) decayUnreported(next, sum cherrykeel.Demand, weight float64) {
 	for key, old := range merger.smoothed.HotKeys {
 		if _, reported := sum.HotKeys[key]; reported {
 			continue
 		}
-		faded := old * (1 - weight)
-		if faded >= 1 {
-			next.HotKeys[key] = faded
+		decayed := old * (1 - weight)
+		if decayed >= 1 {
+			next.HotKeys[key] = decayed
 		}
 	}
 }
