--- a/opctl/client.go
+++ b/opctl/client.go
@@ -189,7 +189,7 @@
 	Version int64
 	// Accepted reports whether the change was applied. It is false, without an error, if there was nothing to change.
 	Accepted bool
-	// Reason says why the change was rejected, or that there was nothing to change.
+	// Reason explains why the change was rejected, or that there was nothing to change.
 	Reason string
 	// ConflictingEntry is the earlier change that this one conflicts with.
 	ConflictingEntry *fold.AuditEntry `json:"Lost,omitempty"`
@@ -199,7 +199,7 @@
 	Missing []string
 }
 
-// Publish appends a plan's edits to the log and waits for the decision on them. It requires a running follower: call State
+// Publish appends a plan's edits to the log and waits for the verdict on them. It requires a running follower: call State
 // before. If the outcome stays unknown, the error has ExitUnknown; if the change is rejected, ExitRejected.
 func (client *Client) Publish(ctx context.Context, plan Plan, author, reason string) (Publication, error) {
 	record := fold.Record{Format: fold.Format, ID: uuid.NewString(), Author: author, Time: client.clock.Wall()}
@@ -274,7 +274,7 @@
 	Member cherrykeel.Member
 	// Status is nil if the host did not answer.
 	Status *host.Status `json:",omitempty"`
-	// Error says why there is no status.
+	// Error explains why there is no status.
 	Error string `json:",omitempty"`
 }
 
--- a/opctl/commands.go
+++ b/opctl/commands.go
@@ -111,7 +111,7 @@
 	return entries, nil
 }
 
-// Outcome returns the decision on a change whose publish ended with ExitUnknown.
+// Outcome returns the verdict on a change whose publish ended with ExitUnknown.
 func (client *Client) Outcome(ctx context.Context, id string) (fold.Verdict, error) {
 	_, err := client.State(ctx)
 	if err != nil {
