--- a/cmd/cherrykeel/entry.go
+++ b/cmd/cherrykeel/entry.go
@@ -86,8 +86,9 @@
 	})
 }
 
-// runUntil runs a function and returns when the function ends or mustExit is closed; what still hangs then ends with the
-// process. Otherwise a stalled reader of the log output could keep the process forever after all requests were served.
+// runUntil runs a function and returns when the function ends or mustExit is closed; a function that still runs then
+// ends with the process. Otherwise a stalled reader of the log output could keep the process running forever after all
+// requests were served.
 func runUntil(mustExit <-chan struct{}, run func() error) error {
 	ended := make(chan error, 1)
 	go func() {
